--- a/src/main/java/rushproxy/Balancer.java
+++ b/src/main/java/rushproxy/Balancer.java
@@ -17,7 +17,7 @@
     }
 
     /** Which upstreams drop repeats of a keyed request. */
-    enum Group {
+    enum DedupScope {
         ALL,
         ZONE,
         CELL
@@ -39,7 +39,7 @@
     }
 
     /** How upstreams tell of their load. */
-    enum Reports {
+    enum LoadReporting {
         NONE,
         INLINE,
         ON_PROBE
@@ -68,8 +68,8 @@
     record RequestClass(
             String name,
             Semantics semantics,
-            Group group,
-            long windowUs,
+            DedupScope dedupScope,
+            long dedupWindowUs,
             long aimUs,
             double aimStretch,
             long deadlineUs,
@@ -89,27 +89,27 @@
             boolean peers,
             boolean retryAfter,
             long maxRetryAfterUs,
-            long connIdleUs,
+            long connectionIdleUs,
             double cpuUsPerRequest) {}
 
-    /** {@code closeOnDrainUs} is 0 where idle connections to a draining upstream may stay open. */
+    /** {@code closeOnDrainWithinUs} is 0 where idle connections to a draining upstream may stay open. */
     record Rules(
             long drainGraceUs,
             double coldShare,
-            long rampUs,
-            double fallMultiple,
-            long fallWindowUs,
-            long askEveryUs,
+            long rampTimeUs,
+            double overloadMultiple,
+            long overloadWindowUs,
+            long discoveryRetryUs,
             long answerSlackUs,
-            long closeOnDrainUs) {}
+            long closeOnDrainWithinUs) {}
 
     /** Points of the result for each unit of use; 0 where it is free. */
     record Prices(double crossZone, double peer, double probe, double connection, double handshake) {}
 
-    /** All that an instance is told of its deployment; {@code me} is its number among {@code balancers}. */
+    /** All that an instance is told of its deployment; {@code sidecarIndex} is its number among {@code sidecarCount}. */
     record Settings(
-            int me,
-            int balancers,
+            int sidecarIndex,
+            int sidecarCount,
             String zone,
             List<String> zones,
             List<String> kinds,
@@ -117,7 +117,7 @@
             List<Tenant> tenants,
             Limits limits,
             Rules rules,
-            Reports reports,
+            LoadReporting loadReporting,
             boolean discoveryOnRequest,
             boolean worthByWork,
             double overShareWorth,
@@ -130,30 +130,30 @@
 
     /**
      * {@code costHintUs} is 0 where there is none; {@code remainingUs} is the time until the client gives
-     * up, from the request's last byte on. {@code partial}: its body is still coming, and an attempt can't be repeated
-     * once it has taken of it; {@link #onSent} tells when the upstream has all.
+     * up, from the request's last byte on. {@code bodyIncomplete}: its body is still coming, and an attempt can't be repeated
+     * once it has taken of it; {@link #onRequestSent} tells when the upstream has all.
      */
     record Request(
             String id,
             long key,
-            boolean repeat,
+            boolean clientRetry,
             boolean write,
             double costHintUs,
             long remainingUs,
             String tenant,
             String requestClass,
-            boolean partial) {
+            boolean bodyIncomplete) {
         /** A request of which all is here. */
         public Request(
                 String id,
                 long key,
-                boolean repeat,
+                boolean clientRetry,
                 boolean write,
                 double costHintUs,
                 long remainingUs,
                 String tenant,
                 String requestClass) {
-            this(id, key, repeat, write, costHintUs, remainingUs, tenant, requestClass, false);
+            this(id, key, clientRetry, write, costHintUs, remainingUs, tenant, requestClass, false);
         }
     }
 
@@ -161,15 +161,15 @@
     record LoadReport(double inFlight, double queued, double utilisation) {}
 
     /** Whether a sidecar sees most of the fleet, a part that may be cut off, or none but itself. */
-    enum Standing {
+    enum QuorumState {
         MAJORITY,
         MINORITY,
         NOBODY
     }
 
-    /** Word of the fleet plane: {@code here} sidecars, itself included, by zone in {@code byZone}. From {@code untilUs} on it
+    /** Word of the fleet plane: {@code liveSidecars} sidecars, itself included, by zone in {@code liveByZone}. From {@code validUntilUs} on it
      * counts as never told. */
-    record Fleet(int here, List<Integer> byZone, Standing standing, long untilUs) {}
+    record FleetStatus(int liveSidecars, List<Integer> liveByZone, QuorumState quorum, long validUntilUs) {}
 
     /** What a sidecar has seen of an upstream. All but {@code GOOD} speak against it. */
     enum Evidence {
@@ -188,15 +188,15 @@
         DROPS_IDLE;
 
         /** No request should go there. */
-        public boolean out() {
+        public boolean isUnavailable() {
             return this == SILENT || this == FAILING || this == FAILING_FAST;
         }
     }
 
     /**
-     * Word of the fleet on an upstream. {@code holds}: witnesses enough speak against it, and it is to be believed where the own
+     * Word of the fleet on an upstream. {@code confirmed}: witnesses enough speak against it, and it is to be believed where the own
      * evidence says nothing fresher; else it is accused only, and whoever knows better says so. {@code factor} is as
-     * {@link Evidence} has it. {@code ownWord}: this instance is one of the witnesses. From {@code untilUs} on it counts as
+     * {@link Evidence} has it. {@code reportedHere}: this instance is one of the witnesses. From {@code validUntilUs} on it counts as
      * never told.
      */
     record Verdict(
@@ -204,34 +204,41 @@
             Evidence kind,
             double factor,
             int witnesses,
-            boolean ownWord,
-            boolean holds,
-            long untilUs) {}
+            boolean reportedHere,
+            boolean confirmed,
+            long validUntilUs) {}
 
     /**
      * The own share of a fleet-wide limit: {@code per} second, or in flight, of all requests, a class or a tenant. From {@code
-     * untilUs} on {@code alone} holds, the limit over the configured number of sidecars.
+     * untilUs} on {@code fallbackShare} holds, the limit over the configured number of sidecars.
      */
-    record Share(String name, Scope scope, String of, boolean inFlight, double share, double alone, long untilUs) {
-        boolean counts(Request r) {
+    record LimitShare(
+            String name,
+            LimitScope scope,
+            String subject,
+            boolean limitsInFlight,
+            double share,
+            double fallbackShare,
+            long validUntilUs) {
+        boolean appliesTo(Request r) {
             return switch (scope) {
                 case ALL -> true;
-                case CLASS -> of.equals(r.requestClass());
-                case TENANT -> of.equals(r.tenant());
+                case CLASS -> subject.equals(r.requestClass());
+                case TENANT -> subject.equals(r.tenant());
             };
         }
     }
 
     /** What a limit counts. */
-    enum Scope {
+    enum LimitScope {
         ALL,
         CLASS,
         TENANT
     }
 
-    /** Parts of their shares that servers get, 0 to 1, by id; all of it where none is named. Until {@code untilUs}. */
-    record Weights(Map<String, Double> byServer, long untilUs) {
-        double of(String upstream) {
+    /** Parts of their shares that servers get, 0 to 1, by id; all of it where none is named. Until {@code validUntilUs}. */
+    record ServerWeights(Map<String, Double> byServer, long validUntilUs) {
+        double weightOf(String upstream) {
             return byServer.getOrDefault(upstream, 1.0);
         }
     }
@@ -251,20 +258,20 @@
         void subscribe();
 
         /** A message to the peer of this number. */
-        void tell(int peer, byte[] message);
+        void sendToPeer(int peer, byte[] message);
 
         /** Closes this instance's idle connections to the upstream. */
-        void close(String upstream);
+        void closeIdleConnections(String upstream);
 
-        void timer(String mark, long delayUs);
+        void startTimer(String mark, long delayUs);
 
         void log(String text);
 
         /** Own evidence on an upstream, for the fleet plane where there is one. */
-        default void evidence(String upstream, Evidence kind, double factor) {}
+        default void reportEvidence(String upstream, Evidence kind, double factor) {}
     }
 
-    void onList(long now, ListKind kind, List<Upstream> entries);
+    void onUpstreamList(long now, ListKind kind, List<Upstream> entries);
 
     /**
      * The operators leave the upstream out from now on, or have it back. What is back was started anew meanwhile, at
@@ -278,10 +285,10 @@
      * Whether an attempt may still begin, its connection having taken its time: asked at the moment of sending, since
      * lists change and the windows of repeats close meanwhile. It acts on nothing. Where it says no the outcome is NOT_SENT.
      */
-    boolean mayBegin(long now, String request, int attempt);
+    boolean canStartAttempt(long now, String request, int attempt);
 
     /** The last byte of a partial request has been written: only now can the upstream begin. */
-    void onSent(long now, String request, int attempt);
+    void onRequestSent(long now, String request, int attempt);
 
     /** {@code done}: the request is over, by this outcome or already before it. */
     void onOutcome(
@@ -296,33 +303,33 @@
 
     void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs);
 
-    void onProbe(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report);
+    void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report);
 
     /** The client has left, or the answer is overdue: the request is over. */
-    void onExpired(long now, String request);
+    void onRequestExpired(long now, String request);
 
-    void onPeer(long now, int peer, byte[] message);
+    void onPeerMessage(long now, int peer, byte[] message);
 
     void onTimer(long now, String mark);
 
     /** Who is here, as the peers have it; never told where no fleet plane runs. */
-    void onFleet(long now, Fleet fleet);
+    void onFleetStatus(long now, FleetStatus fleet);
 
     /** All that the fleet says of upstreams now; what is not among it is not said any more. */
     void onVerdicts(long now, List<Verdict> verdicts);
 
     /** All limits that hold now. */
-    void onShares(long now, List<Share> shares);
+    void onLimitShares(long now, List<LimitShare> shares);
 
     /** Which servers get only a part of their shares: in a release, or where a zone is left. */
-    void onWeights(long now, Weights weights);
+    void onServerWeights(long now, ServerWeights weights);
 
     /** By limit's name, what was asked of it in the {@code passedUs} since this was called last: a second, or at once. */
-    Map<String, Double> demands(long passedUs);
+    Map<String, Double> collectLimitDemands(long passedUs);
 
     /** What this instance has learned, for one that starts anew; only instances of the same settings understand it. */
-    byte[] know();
+    byte[] exportEstimates();
 
     /** What others have learned, each from another: taken where own answers say little yet. Returns how many could be read. */
-    int onKnow(long now, List<byte[]> told);
+    int importEstimates(long now, List<byte[]> told);
 }
--- a/src/main/java/rushproxy/Knowledge.java
+++ b/src/main/java/rushproxy/Estimates.java
@@ -11,32 +11,32 @@
  * What one sidecar's estimates are, for another that has just started: plain data and its bytes, used by {@link Policy}. Only
  * between sidecars of the same zones, kinds and classes.
  */
-final class Knowledge {
+final class Estimates {
     private static final byte VERSION = 1;
-    private static final int HEAD = 5;
+    private static final int HEADER_BYTES = 5;
 
-    final double[] slow;
-    final double[] least;
+    final double[] slowness;
+    final double[] bestSlowness;
     final double[] cores;
     /** Behind each kind's estimates, 255 at most. */
     final double[] answers;
     /** Of each class, in microseconds of a standard core. */
-    final double[] work;
+    final double[] classWorkUs;
     /** Mean rate a second of the fleet's sidecars, apart by zone. */
-    final double[] rates;
+    final double[] zoneRates;
 
-    double meanWork;
-    double crowding;
-    private final int shape;
+    double meanWorkUs;
+    double congestion;
+    private final int settingsHash;
 
-    Knowledge(Settings s) {
-        slow = new double[s.kinds().size()];
-        least = new double[slow.length];
-        cores = new double[slow.length];
-        answers = new double[slow.length];
-        work = new double[s.classes().size()];
-        rates = new double[s.zones().size()];
-        shape = List.of(
+    Estimates(Settings s) {
+        slowness = new double[s.kinds().size()];
+        bestSlowness = new double[slowness.length];
+        cores = new double[slowness.length];
+        answers = new double[slowness.length];
+        classWorkUs = new double[s.classes().size()];
+        zoneRates = new double[s.zones().size()];
+        settingsHash = List.of(
                         s.zones(),
                         s.kinds(),
                         s.classes().stream().map(Balancer.RequestClass::name).toList())
@@ -44,40 +44,41 @@
     }
 
     private List<double[]> columns() {
-        return List.of(slow, least, cores, answers, work, rates);
+        return List.of(slowness, bestSlowness, cores, answers, classWorkUs, zoneRates);
     }
 
     /** The estimates of kind {@code i}, with {@code most} answers behind them at most. */
-    void of(int i, State.Kind kind, int most) {
-        slow[i] = kind.slow;
-        least[i] = kind.least;
+    void copyFrom(int i, PolicyState.ServerKind kind, int most) {
+        slowness[i] = kind.slowness;
+        bestSlowness[i] = kind.bestSlowness;
         cores[i] = kind.cores;
         answers[i] = Math.min(most, kind.answers);
     }
 
     /** Makes them the kind's own; none is so small that nothing could come of it. */
-    void into(int i, State.Kind kind) {
-        kind.slow = Math.max(1e-2, slow[i]);
-        kind.least = Math.max(1e-2, least[i]);
+    void copyTo(int i, PolicyState.ServerKind kind) {
+        kind.slowness = Math.max(1e-2, slowness[i]);
+        kind.bestSlowness = Math.max(1e-2, bestSlowness[i]);
         kind.cores = Math.max(1, cores[i]);
         kind.answers = (int) answers[i];
     }
 
-    byte[] bytes() {
+    byte[] encode() {
         int values = columns().stream().mapToInt(c -> c.length).sum() + 2;
-        ByteBuffer b = ByteBuffer.allocate(HEAD + 4 * values).put(VERSION).putInt(shape);
+        ByteBuffer b =
+                ByteBuffer.allocate(HEADER_BYTES + 4 * values).put(VERSION).putInt(settingsHash);
         for (double[] column : columns()) {
             for (double v : column) {
                 b.putFloat((float) v);
             }
         }
-        return b.putFloat((float) meanWork).putFloat((float) crowding).array();
+        return b.putFloat((float) meanWorkUs).putFloat((float) congestion).array();
     }
 
     /** False where the bytes are none of this version and shape, or hold what no estimate can be; nothing is to be taken then. */
-    boolean read(byte[] bytes) {
+    boolean decode(byte[] bytes) {
         ByteBuffer b = ByteBuffer.wrap(bytes);
-        if (bytes.length != bytes().length || b.get() != VERSION || b.getInt() != shape) {
+        if (bytes.length != encode().length || b.get() != VERSION || b.getInt() != settingsHash) {
             return false;
         }
         for (double[] column : columns()) {
@@ -88,43 +89,43 @@
                 }
             }
         }
-        meanWork = b.getFloat();
-        crowding = b.getFloat();
-        return meanWork > 0 && meanWork < 1e9 && crowding > 0 && crowding < 1e3;
+        meanWorkUs = b.getFloat();
+        congestion = b.getFloat();
+        return meanWorkUs > 0 && meanWorkUs < 1e9 && congestion > 0 && congestion < 1e3;
     }
 
     /** Of each value the middle one of all that can be read: one that lies moves nothing by itself among three. Null for none. */
-    static Knowledge middle(Settings settings, List<byte[]> told) {
-        List<Knowledge> all = new ArrayList<>();
+    static Estimates median(Settings settings, List<byte[]> told) {
+        List<Estimates> all = new ArrayList<>();
         for (byte[] bytes : told) {
-            Knowledge k = new Knowledge(settings);
-            if (k.read(bytes)) {
+            Estimates k = new Estimates(settings);
+            if (k.decode(bytes)) {
                 all.add(k);
             }
         }
         if (all.isEmpty()) {
             return null;
         }
-        Knowledge middle = new Knowledge(settings);
-        middle(all, middle, k -> k.slow);
-        middle(all, middle, k -> k.least);
-        middle(all, middle, k -> k.cores);
-        middle(all, middle, k -> k.answers);
-        middle(all, middle, k -> k.work);
-        middle(all, middle, k -> k.rates);
-        middle.meanWork = middle(all, k -> k.meanWork);
-        middle.crowding = middle(all, k -> k.crowding);
+        Estimates middle = new Estimates(settings);
+        median(all, middle, k -> k.slowness);
+        median(all, middle, k -> k.bestSlowness);
+        median(all, middle, k -> k.cores);
+        median(all, middle, k -> k.answers);
+        median(all, middle, k -> k.classWorkUs);
+        median(all, middle, k -> k.zoneRates);
+        middle.meanWorkUs = median(all, k -> k.meanWorkUs);
+        middle.congestion = median(all, k -> k.congestion);
         return middle;
     }
 
-    private static void middle(List<Knowledge> all, Knowledge into, Function<Knowledge, double[]> column) {
+    private static void median(List<Estimates> all, Estimates into, Function<Estimates, double[]> column) {
         for (int i = 0; i < column.apply(into).length; i++) {
             int at = i;
-            column.apply(into)[i] = middle(all, k -> column.apply(k)[at]);
+            column.apply(into)[i] = median(all, k -> column.apply(k)[at]);
         }
     }
 
-    private static double middle(List<Knowledge> all, ToDoubleFunction<Knowledge> value) {
+    private static double median(List<Estimates> all, ToDoubleFunction<Estimates> value) {
         double[] sorted = all.stream().mapToDouble(value).sorted().toArray();
         return (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
     }
--- a/src/main/java/rushproxy/PeerWord.java
+++ b/src/main/java/rushproxy/PeerMessage.java
@@ -3,42 +3,42 @@
 import java.nio.ByteBuffer;
 
 /** What one sidecar tells another, and its bytes: plain data, used by {@link Policy}. */
-public final class PeerWord {
+public final class PeerMessage {
     /** Mean rate a second of the fleet's sidecars, apart by zone. */
-    final double[] rates;
+    final double[] zoneRates;
     /** Of each kind the slowness and the number of answers behind it. */
-    final double[] slow;
+    final double[] slowness;
 
     final int[] answers;
     /** How many times longer than at their best the answers take. */
-    double crowding;
+    double congestion;
     /** Idle connections are dropped after about this long; 0 where nothing was seen of it. */
     long idleLimitUs;
 
-    PeerWord(int zones, int kinds) {
-        rates = new double[zones];
-        slow = new double[kinds];
+    PeerMessage(int zones, int kinds) {
+        zoneRates = new double[zones];
+        slowness = new double[kinds];
         answers = new int[kinds];
     }
 
-    private int length() {
-        return length(rates.length, slow.length);
+    private int encodedLength() {
+        return encodedLength(zoneRates.length, slowness.length);
     }
 
     /** It has no version and is known by its length alone: nothing else that peers send may be as long. */
-    public static int length(int zones, int kinds) {
+    public static int encodedLength(int zones, int kinds) {
         return 2 * zones + 3 * kinds + 4;
     }
 
-    byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(length());
-        for (double r : rates) {
+    byte[] encode() {
+        ByteBuffer b = ByteBuffer.allocate(encodedLength());
+        for (double r : zoneRates) {
             b.putShort(unsigned(r * 100));
         }
-        for (int i = 0; i < slow.length; i++) {
-            b.putShort(unsigned(slow[i] * 256)).put((byte) Math.min(255, answers[i]));
+        for (int i = 0; i < slowness.length; i++) {
+            b.putShort(unsigned(slowness[i] * 256)).put((byte) Math.min(255, answers[i]));
         }
-        return b.putShort(unsigned(crowding * 256))
+        return b.putShort(unsigned(congestion * 256))
                 .putShort(unsigned(idleLimitUs / 1000.0))
                 .array();
     }
@@ -48,19 +48,19 @@
     }
 
     /** False where the bytes are no such message; nothing is to be taken from it then. */
-    boolean read(byte[] message) {
-        if (message.length != length()) {
+    boolean decode(byte[] message) {
+        if (message.length != encodedLength()) {
             return false;
         }
         ByteBuffer b = ByteBuffer.wrap(message);
-        for (int i = 0; i < rates.length; i++) {
-            rates[i] = (b.getShort() & 65_535) / 100.0;
+        for (int i = 0; i < zoneRates.length; i++) {
+            zoneRates[i] = (b.getShort() & 65_535) / 100.0;
         }
-        for (int i = 0; i < slow.length; i++) {
-            slow[i] = (b.getShort() & 65_535) / 256.0;
+        for (int i = 0; i < slowness.length; i++) {
+            slowness[i] = (b.getShort() & 65_535) / 256.0;
             answers[i] = b.get() & 255;
         }
-        crowding = (b.getShort() & 65_535) / 256.0;
+        congestion = (b.getShort() & 65_535) / 256.0;
         idleLimitUs = (b.getShort() & 65_535) * 1000L;
         return true;
     }
--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -1,7 +1,7 @@
 package rushproxy;
 
 import java.util.*;
-import rushproxy.State.*;
+import rushproxy.PolicyState.*;
 
 /**
  * All decisions of the balancer; its interface (events, actions, settings) is {@link Balancer} in
@@ -105,14 +105,14 @@
         zoneRate = new double[cfg.zones().size()];
         Limits limits = cfg.limits();
         sampling = limits.probing()
-                && cfg.reports() != Reports.NONE
+                && cfg.loadReporting() != LoadReporting.NONE
                 && 2 * cfg.prices().probe() <= TOLL;
         subset = cfg.prices().connection() > 0 && cfg.prices().handshake() > 0;
-        if (limits.peers() && cfg.balancers() > 1) out.timer("tell", TELL_US / 2 + random.nextLong(TELL_US));
+        if (limits.peers() && cfg.sidecarCount() > 1) out.startTimer("tell", TELL_US / 2 + random.nextLong(TELL_US));
         slowStart = new SlowStart(cfg, sampling);
-        blind = !sampling && cfg.balancers() > SHARERS;
-        coresGuess = cfg.reports() == Reports.NONE ? CORES_GUESS : 1;
-        for (String k : cfg.kinds()) kinds.put(k, new Kind(coresGuess));
+        blind = !sampling && cfg.sidecarCount() > SHARERS;
+        coresGuess = cfg.loadReporting() == LoadReporting.NONE ? CORES_GUESS : 1;
+        for (String k : cfg.kinds()) kinds.put(k, new ServerKind(coresGuess));
         home = Math.max(0, cfg.zones().indexOf(cfg.zone()));
         rateAt = startedAt = now;
         solvedAt = now - RESOLVE_US;
@@ -121,7 +121,7 @@
 
     // ---- membership -----------------------------------------------------------------------------
     final Map<String, Server> servers = new LinkedHashMap<>();
-    final Map<String, Kind> kinds = new LinkedHashMap<>();
+    final Map<String, ServerKind> kinds = new LinkedHashMap<>();
     /** Ready servers; with a subset in the order that all sidecars share. */
     private final List<Server> ready = new ArrayList<>();
 
@@ -130,7 +130,7 @@
     private double wantedMembers;
 
     @Override
-    public void onList(long now, ListKind listKind, List<Upstream> entries) {
+    public void onUpstreamList(long now, ListKind listKind, List<Upstream> entries) {
         listAnswered(now, listKind);
         if (listKind == ListKind.FAILED) return;
         Set<String> named = new HashSet<>();
@@ -138,13 +138,13 @@
             named.add(u.id());
             Server s = servers.get(u.id());
             if (s == null) {
-                Kind kind = kinds.computeIfAbsent(u.kind(), k -> new Kind(coresGuess));
-                s = new Server(u, kind, cfg.zones().indexOf(u.zone()), mix(u.id().hashCode(), 0));
+                ServerKind kind = kinds.computeIfAbsent(u.kind(), k -> new ServerKind(coresGuess));
+                s = new Server(u, kind, cfg.zones().indexOf(u.zone()), mixHash(u.id().hashCode(), 0));
                 servers.put(u.id(), s);
-            } else if (u.startedUs() != s.entry.startedUs()) {
+            } else if (u.startedUs() != s.listing.startedUs()) {
                 restarted(s);
             }
-            s.entry = u;
+            s.listing = u;
             place(s);
         }
         for (Server s : servers.values()) {
@@ -158,18 +158,18 @@
     private void changed(long now) {
         ready.clear();
         servers.values().stream().filter(s -> s.ready).forEach(ready::add);
-        if (subset) ready.sort(Comparator.comparingInt((Server s) -> s.order).thenComparing(s -> s.id));
+        if (subset) ready.sort(Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
         solvedAt = now - RESOLVE_US;
         membersAt = now - TELL_US - 1;
         dispatch(now, false);
     }
 
     private static void restarted(Server s) {
-        s.apart = 1;
-        s.failures = s.ejections = s.refusals = 0;
-        s.ejectedUntil = s.fullUntil = s.usedAt = 0;
-        s.failedAt = Long.MIN_VALUE / 2;
-        s.idleBlamed = false;
+        s.relativeSlowness = 1;
+        s.failures = s.ejections = s.rejections = 0;
+        s.ejectedUntil = s.fullUntil = s.lastUsedAt = 0;
+        s.lastFailureAt = Long.MIN_VALUE / 2;
+        s.idleDropSuspected = false;
     }
 
     /** What the operators leave out, and when they had the others back; ids need not be listed. */
@@ -200,15 +200,15 @@
 
     /** Whether the list and the operators let it be used, and since when it runs. */
     private void place(Server s) {
-        s.startedAt = Math.max(s.entry.startedUs(), returned.getOrDefault(s.id, 0L));
-        s.ready = s.entry.state() == UpstreamState.READY && !cordoned.contains(s.id);
+        s.startedAt = Math.max(s.listing.startedUs(), returned.getOrDefault(s.id, 0L));
+        s.ready = s.listing.state() == UpstreamState.READY && !cordoned.contains(s.id);
         closeIfLeaving(s);
     }
 
     /** Fifth rule: idle connections to a server that leaves are closed at the notice and after each later
      * outcome there. Also when it vanishes from the list, where a drain may have gone unseen. */
     private void closeIfLeaving(Server s) {
-        if (cfg.rules().closeOnDrainUs() > 0 && !s.ready && s.usedAt > 0) out.close(s.id);
+        if (cfg.rules().closeOnDrainWithinUs() > 0 && !s.ready && s.lastUsedAt > 0) out.closeIdleConnections(s.id);
     }
 
     private boolean priced() {
@@ -216,7 +216,7 @@
     }
 
     /** A hash that spreads neighbouring numbers; the same at every sidecar. */
-    static int mix(int a, int b) {
+    static int mixHash(int a, int b) {
         int x = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
         x = (x ^ x >>> 15) * 0xc2b2ae35;
         return x ^ x >>> 16;
@@ -235,16 +235,16 @@
         Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
         int[] size = new int[zoneRate.length];
         for (Server s : ready) {
-            parts.computeIfAbsent(List.of(s.zone, s.entry.kind()), k -> new ArrayList<>())
+            parts.computeIfAbsent(List.of(s.zoneIndex, s.listing.kind()), k -> new ArrayList<>())
                     .add(s);
-            size[s.zone]++;
+            size[s.zoneIndex]++;
         }
         List<Server> chosen = new ArrayList<>();
         for (List<Server> of : parts.values()) {
             Server one = of.get(0);
-            double n = zonePart[one.zone] * Math.min(hot, wantedMembers) * of.size() / size[one.zone];
+            double n = zonePart[one.zoneIndex] * Math.min(hot, wantedMembers) * of.size() / size[one.zoneIndex];
             // Parts of a server are rounded so that they come out right over many sidecars.
-            n = Math.max(one.zone == home ? 1 : 0, Math.floor(n + cfg.me() * 0.7548776662466927 % 1));
+            n = Math.max(one.zoneIndex == home ? 1 : 0, Math.floor(n + cfg.sidecarIndex() * 0.7548776662466927 % 1));
             for (int i = 0; i < Math.min(n, of.size()); i++) {
                 chosen.add(of.get((i + ownPoint(of.size())) % of.size()));
             }
@@ -256,7 +256,7 @@
      * the own but for what it is asked beyond its part of the fleet. Without word of peers all stay. */
     private double[] zoneParts(long now) {
         double[] part = new double[zoneRate.length];
-        for (Server s : ready) part[s.zone] += 1.0 / ready.size();
+        for (Server s : ready) part[s.zoneIndex] += 1.0 / ready.size();
         if (!priced() || !blind) return part;
         double total = now - heardAt < HEARD_US ? Arrays.stream(zoneRate).sum() : 0;
         double stay = total <= 0 ? 1 : Math.min(1, part[home] * total / Math.max(1e-9, zoneRate[home]));
@@ -272,7 +272,7 @@
 
     /** Points of successive numbers at the golden section's distance spread evenly over any circle. */
     private int ownPoint(int places) {
-        return (int) (cfg.me() * 0.6180339887498949 % 1 * places);
+        return (int) (cfg.sidecarIndex() * 0.6180339887498949 % 1 * places);
     }
 
     // ---- estimators -----------------------------------------------------------------------------
@@ -284,19 +284,19 @@
     private final long startedAt;
 
     private double warmth(Server s, long now) {
-        return slowStart.warmth(s, now);
+        return slowStart.capacityFraction(s, now);
     }
 
     /** Requests a server holds, as far as known: own, or its own word where that is fresh and higher. */
     private double load(Server s, long now) {
-        double done = (now - s.reportedAt) * s.kind.cores / (s.slow() * meanWork);
-        double known = Math.max(s.own, s.reported - done);
-        while (!s.attempts.isEmpty() && !s.attempts.peekFirst().running) s.attempts.pollFirst();
-        Attempt oldest = s.attempts.peekFirst();
+        double done = (now - s.loadReportedAt) * s.kind.cores / (s.slowness() * meanWork);
+        double known = Math.max(s.inFlight, s.reportedLoad - done);
+        while (!s.inFlightAttempts.isEmpty() && !s.inFlightAttempts.peekFirst().running) s.inFlightAttempts.pollFirst();
+        Attempt oldest = s.inFlightAttempts.peekFirst();
         if (oldest != null) {
             // An answer that is overdue counts as more in flight: a stall shows in the own requests first.
             // Costs have long tails, and half of the servers are a way off: several times over is no stall.
-            double overdue = (now - oldest.sentAt) / oldest.expected - 2 * TAIL;
+            double overdue = (now - oldest.sentAt) / oldest.expectedUs - 2 * TAIL;
             if (overdue > 0) known += overdue;
         }
         return known;
@@ -304,7 +304,7 @@
 
     /** Time that work would take on a server that holds {@code held} others, served first come first. */
     private double expected(Server s, double work, double held, long now) {
-        return s.slow() * (work + waiting(s, held)) / warmth(s, now);
+        return s.slowness() * (work + waiting(s, held)) / warmth(s, now);
     }
 
     private double waiting(Server s, double held) {
@@ -313,44 +313,44 @@
     }
 
     private void learn(Server s, Attempt a, long latencyUs, boolean success, long now) {
-        double relative = latencyUs / Math.max(1, a.plain);
-        if (!success && relative < s.slow()) return;
+        double relative = latencyUs / Math.max(1, a.expectedStandardUs);
+        if (!success && relative < s.slowness()) return;
         double gain = SPEED_GAIN;
-        if (cfg.reports() == Reports.NONE && success && warmth(s, now) >= 1) {
+        if (cfg.loadReporting() == LoadReporting.NONE && success && warmth(s, now) >= 1) {
             // What waited for a core tells of cores, what did not of speed; each answer teaches by its part.
-            double part = waiting(s, a.held) / (waiting(s, a.held) + a.req.work);
-            double step = SPEED_GAIN / 4 * part * (Math.min(TAIL, relative / s.slow()) - 1);
+            double part = waiting(s, a.loadAtSend) / (waiting(s, a.loadAtSend) + a.owner.workUs);
+            double step = SPEED_GAIN / 4 * part * (Math.min(TAIL, relative / s.slowness()) - 1);
             s.kind.cores = Math.max(1, s.kind.cores * (1 - step));
             gain *= 1 - part;
         }
         // Of a server that is out, one more time-out tells nothing of a crowd.
         if (success || s.ejections == 0) {
-            crowding += SPEED_GAIN * (Math.min(2 * TAIL, relative / s.kind.least) - crowding);
+            crowding += SPEED_GAIN * (Math.min(2 * TAIL, relative / s.kind.bestSlowness) - crowding);
         }
-        s.heardAt = now;
-        s.kind.heardAt = now;
+        s.lastAnswerAt = now;
+        s.kind.lastAnswerAt = now;
         if (success && !apart(s)) {
             // Towards what was seen: steps that only add up drift. Few answers tell of the kind alone.
             double first = gain * Math.max(0.25, 1 / SPEED_GAIN / (++s.kind.answers + 1));
-            s.kind.slow *= 1 + first * (Math.min(TAIL, relative / s.kind.slow) - 1);
-            s.kind.taughtAt = now;
+            s.kind.slowness *= 1 + first * (Math.min(TAIL, relative / s.kind.slowness) - 1);
+            s.kind.lastTypicalAnswerAt = now;
         }
-        s.apart *= 1 + gain * (Math.min(TAIL, relative / s.slow()) - 1);
-        if (success && a.req.request.costHintUs() <= 0) {
-            double step = SPEED_GAIN / 4 * (Math.min(TAIL, relative / s.slow()) - 1);
-            classWork.computeIfPresent(a.req.spec.name(), (c, work) -> work * (1 + step));
+        s.relativeSlowness *= 1 + gain * (Math.min(TAIL, relative / s.slowness()) - 1);
+        if (success && a.owner.request.costHintUs() <= 0) {
+            double step = SPEED_GAIN / 4 * (Math.min(TAIL, relative / s.slowness()) - 1);
+            classWork.computeIfPresent(a.owner.requestClass.name(), (c, work) -> work * (1 + step));
         }
     }
 
     private static boolean apart(Server s) {
-        return s.apart > APART || s.apart * APART < 1;
+        return s.relativeSlowness > APART || s.relativeSlowness * APART < 1;
     }
 
     private void report(String upstream, LoadReport r, long now) {
         Server s = servers.get(upstream);
         if (s == null || r == null || r.inFlight() < 0) return;
-        s.reported = r.inFlight();
-        s.reportedAt = now;
+        s.reportedLoad = r.inFlight();
+        s.loadReportedAt = now;
         told = s;
         double running = r.inFlight() - Math.max(0, r.queued());
         if (r.queued() >= 0.5 && running >= 0.5 || running > s.kind.cores + 0.5) {
@@ -369,32 +369,32 @@
     /** The mean of the streams heard of, own one included, times their number. */
     private double fleetRate(long now) {
         double mean = Arrays.stream(zoneRate).sum();
-        return sidecars(now) * (mean > 0 ? mean : ownRate);
+        return effectiveSidecars(now) * (mean > 0 ? mean : ownRate);
     }
 
-    private Fleet fleet;
+    private FleetStatus fleet;
 
     @Override
-    public void onFleet(long now, Fleet told) {
+    public void onFleetStatus(long now, FleetStatus told) {
         fleet = told;
     }
 
     /** Those whose streams add up: in a majority the ones here, else all. Whom a minority does not see may be
      * cut off from it alone, and send on. A cold server's budget is not shared anew by this. */
-    int sidecars(long now) {
-        boolean told = fleet != null && now < fleet.untilUs() && fleet.standing() == Standing.MAJORITY;
-        return told ? Math.max(1, Math.min(cfg.balancers(), fleet.here())) : cfg.balancers();
+    int effectiveSidecars(long now) {
+        boolean told = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
+        return told ? Math.max(1, Math.min(cfg.sidecarCount(), fleet.liveSidecars())) : cfg.sidecarCount();
     }
 
     /** What only own answers and the list show, told on while it is fresh; not of a server that was ejected
      * and has not answered since, of which the failure is the word. */
     private void tellOf(long now, Server s) {
         if (s.ejections > 0) return;
-        boolean slow = s.apart > APART && now - s.heardAt < TELL_US, cold = warmth(s, now) < 1;
-        if (!slow && !cold || now - s.toldAt < HEARD_US) return;
-        s.toldAt = now;
-        if (slow) out.evidence(s.id, Evidence.SLOW, s.apart);
-        else out.evidence(s.id, Evidence.COLD, (now - s.startedAt) / 1e6);
+        boolean slow = s.relativeSlowness > APART && now - s.lastAnswerAt < TELL_US, cold = warmth(s, now) < 1;
+        if (!slow && !cold || now - s.evidenceSentAt < HEARD_US) return;
+        s.evidenceSentAt = now;
+        if (slow) out.reportEvidence(s.id, Evidence.SLOW, s.relativeSlowness);
+        else out.reportEvidence(s.id, Evidence.COLD, (now - s.startedAt) / 1e6);
     }
 
     /** Out by words of which one is the own: tried when the ejection ends, so that the word stays true. */
@@ -408,20 +408,20 @@
         accused.clear();
         for (Verdict v : verdicts) {
             Server s = servers.get(v.upstream());
-            if (s == null || now >= v.untilUs()) continue;
-            boolean answers = now - s.answeredAt < FRESH_US && s.failures == 0 && s.ejections == 0;
-            if (answers && v.kind().out()) out.evidence(s.id, Evidence.GOOD, 1);
-            if (v.ownWord() && v.kind().out()) accused.add(s);
-            boolean own = answers || v.ownWord() || now - s.failedAt < HEARD_US;
-            if (!v.holds() || v.kind().out() && own) continue;
+            if (s == null || now >= v.validUntilUs()) continue;
+            boolean answers = now - s.lastSuccessAt < FRESH_US && s.failures == 0 && s.ejections == 0;
+            if (answers && v.kind().isUnavailable()) out.reportEvidence(s.id, Evidence.GOOD, 1);
+            if (v.reportedHere() && v.kind().isUnavailable()) accused.add(s);
+            boolean own = answers || v.reportedHere() || now - s.lastFailureAt < HEARD_US;
+            if (!v.confirmed() || v.kind().isUnavailable() && own) continue;
             switch (v.kind()) {
                 case SILENT, FAILING, FAILING_FAST -> {
                     s.ejections = Math.max(1, s.ejections);
-                    s.ejectedUntil = Math.max(s.ejectedUntil, v.untilUs());
+                    s.ejectedUntil = Math.max(s.ejectedUntil, v.validUntilUs());
                 }
                 case SLOW -> {
-                    if (now - s.heardAt <= FORGET_US) continue;
-                    s.apart = Math.max(s.apart, Math.min(2 * TAIL, v.factor()));
+                    if (now - s.lastAnswerAt <= FORGET_US) continue;
+                    s.relativeSlowness = Math.max(s.relativeSlowness, Math.min(2 * TAIL, v.factor()));
                 }
                 case COLD -> s.startedAt = Math.max(s.startedAt, now - (long) (v.factor() * 1e6));
                 case DROPS_IDLE -> limitIdle(now, (long) (v.factor() * 1_000));
@@ -429,14 +429,14 @@
         }
     }
 
-    private final Map<String, Quota> quotas = new LinkedHashMap<>();
+    private final Map<String, LimitUsage> quotas = new LinkedHashMap<>();
 
     @Override
-    public void onShares(long now, List<Share> shares) {
-        Map<String, Quota> before = new HashMap<>(quotas);
+    public void onLimitShares(long now, List<LimitShare> shares) {
+        Map<String, LimitUsage> before = new HashMap<>(quotas);
         quotas.clear();
-        for (Share s : shares) {
-            Quota q = before.getOrDefault(s.name(), new Quota());
+        for (LimitShare s : shares) {
+            LimitUsage q = before.getOrDefault(s.name(), new LimitUsage());
             q.share = s;
             quotas.put(s.name(), q);
         }
@@ -444,36 +444,38 @@
 
     /** Since this was asked last: requests a second that each limit was asked for, or the most at once. */
     @Override
-    public Map<String, Double> demands(long passedUs) {
+    public Map<String, Double> collectLimitDemands(long passedUs) {
         Map<String, Double> demands = new LinkedHashMap<>();
-        for (Quota q : quotas.values()) {
-            demands.put(q.share.name(), q.share.inFlight() ? q.most : q.asked * 1e6 / Math.max(1, passedUs));
-            q.asked = 0;
-            q.most = q.inFlight;
+        for (LimitUsage q : quotas.values()) {
+            demands.put(
+                    q.share.name(),
+                    q.share.limitsInFlight() ? q.peakInFlight : q.requested * 1e6 / Math.max(1, passedUs));
+            q.requested = 0;
+            q.peakInFlight = q.inFlight;
         }
         return demands;
     }
 
     /** 0 where all limits that count it have room, which it takes; else the time until they do. */
-    private long overLimit(long now, Req r) {
-        List<Quota> counted = new ArrayList<>();
+    private long overLimit(long now, ActiveRequest r) {
+        List<LimitUsage> counted = new ArrayList<>();
         long wait = 0;
-        for (Quota q : quotas.values()) {
-            if (!q.share.counts(r.request)) continue;
+        for (LimitUsage q : quotas.values()) {
+            if (!q.share.appliesTo(r.request)) continue;
             counted.add(q);
-            double most = now < q.share.untilUs() ? q.share.share() : q.share.alone();
-            q.asked++;
-            q.most = Math.max(q.most, q.inFlight + 1);
-            if (q.share.inFlight() && q.inFlight + 1 > most) wait = Math.max(wait, r.spec.aimUs());
-            if (q.share.inFlight()) continue;
-            q.tokens = Math.min(Math.max(1, most * BURST), q.tokens + most * (now - q.at) / 1e6);
-            q.at = now;
+            double most = now < q.share.validUntilUs() ? q.share.share() : q.share.fallbackShare();
+            q.requested++;
+            q.peakInFlight = Math.max(q.peakInFlight, q.inFlight + 1);
+            if (q.share.limitsInFlight() && q.inFlight + 1 > most) wait = Math.max(wait, r.requestClass.aimUs());
+            if (q.share.limitsInFlight()) continue;
+            q.tokens = Math.min(Math.max(1, most * BURST), q.tokens + most * (now - q.refilledAt) / 1e6);
+            q.refilledAt = now;
             if (q.tokens < 1) wait = Math.max(wait, (long) ((1 - q.tokens) / Math.max(1e-3, most) * 1e6));
         }
         if (wait > 0) return wait;
-        r.quotas = counted;
-        for (Quota q : counted) {
-            if (!q.share.inFlight()) q.tokens--;
+        r.limits = counted;
+        for (LimitUsage q : counted) {
+            if (!q.share.limitsInFlight()) q.tokens--;
             q.inFlight++;
         }
         return 0;
@@ -481,7 +483,7 @@
 
     // ---- split ----------------------------------------------------------------------------------
     private long solvedAt;
-    /** Of the ready servers, the fastest one's {@link Server#slow}. */
+    /** Of the ready servers, the fastest one's {@link Server#slowness}. */
     private double bestSlow = 1;
 
     /** How many times longer than at their best answers take, beyond what the own requests explain. */
@@ -489,7 +491,7 @@
 
     /** Eq. (4) over groups of {@code k} servers of speed {@code mu}; those with a negative share are
      * dropped and the rest solved again. The shares sum to 1, or all are 0. */
-    static double[] split(double[] k, double[] mu, double lambda) {
+    static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
         double[] p = new double[n];
         boolean[] in = new boolean[n];
@@ -532,17 +534,17 @@
             members = members(now);
         }
         Map<Object, List<Server>> byKind = new LinkedHashMap<>();
-        for (Table t : List.of(near, far, all)) t.clear();
+        for (WeightedTable t : List.of(near, far, all)) t.clear();
         cold.clear();
-        for (Kind k : kinds.values()) {
+        for (ServerKind k : kinds.values()) {
             // A kind thought slow gets no requests that would tell otherwise: back towards its best.
-            if (now - k.heardAt > FORGET_US) k.slow += 0.02 * (k.least - k.slow);
-            k.least = k.answers < EVIDENCE ? k.slow : Math.min(k.slow, k.least * CREEP);
+            if (now - k.lastAnswerAt > FORGET_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
+            k.bestSlowness = k.answers < EVIDENCE ? k.slowness : Math.min(k.slowness, k.bestSlowness * CREEP);
         }
         for (Server s : members) {
             tellOf(now, s);
-            if (s.apart * APART < 1 && now - s.kind.taughtAt > FORGET_US) leanKindTo(s);
-            if (now - s.heardAt > FORGET_US) s.apart += 0.02 * (1 - s.apart);
+            if (s.relativeSlowness * APART < 1 && now - s.kind.lastTypicalAnswerAt > FORGET_US) leanKindTo(s);
+            if (now - s.lastAnswerAt > FORGET_US) s.relativeSlowness += 0.02 * (1 - s.relativeSlowness);
             Object group = apart(s) || warmth(s, now) < 1 ? s : s.kind;
             byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(s);
         }
@@ -551,18 +553,18 @@
         for (int i = 0; i < k.length; i++) {
             Server first = groups.get(i).get(0);
             double slow = 0;
-            for (Server s : groups.get(i)) slow += s.slow();
+            for (Server s : groups.get(i)) slow += s.slowness();
             k[i] = groups.get(i).size();
             mu[i] = 1e6 * first.kind.cores * warmth(first, now) / (slow / k[i] * meanWork);
         }
-        double[] p = split(k, mu, fleetRate(now) * members.size() / Math.max(1, ready.size()));
+        double[] p = solveShares(k, mu, fleetRate(now) * members.size() / Math.max(1, ready.size()));
         for (int i = 0; i < k.length; i++) {
             for (Server s : groups.get(i)) {
                 // The floor only matters when all servers with a share are full.
                 s.share = weight(now, s) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
-                bestSlow = Math.min(bestSlow, s.slow() / warmth(s, now));
+                bestSlow = Math.min(bestSlow, s.slowness() / warmth(s, now));
                 all.add(s);
-                if (priced()) (s.zone == home ? near : far).add(s);
+                if (priced()) (s.zoneIndex == home ? near : far).add(s);
                 boolean turn = weight(now, s) >= 1 || random.nextDouble() < weight(now, s);
                 if (p[i] > 0 && warmth(s, now) < 1 && turn) cold.add(s);
             }
@@ -572,28 +574,28 @@
     /** A faster server has all requests of its kind, so nothing tells what the others can do by now: they are
      * thought nearer to it until they are tried again. Its own estimate stays. */
     private static void leanKindTo(Server fast) {
-        double slow = fast.slow();
-        fast.kind.slow += 0.02 * (slow - fast.kind.slow);
-        fast.apart = slow / fast.kind.slow;
+        double slow = fast.slowness();
+        fast.kind.slowness += 0.02 * (slow - fast.kind.slowness);
+        fast.relativeSlowness = slow / fast.kind.slowness;
     }
 
     // ---- pick -----------------------------------------------------------------------------------
     /** The drawn-from servers with their cumulated shares; the own zone's where crossing has a price. */
-    private final Table all = new Table(), near = new Table(), far = new Table();
+    private final WeightedTable all = new WeightedTable(), near = new WeightedTable(), far = new WeightedTable();
     /** Warming servers with a share, for the turns of many sidecars. */
     private final List<Server> cold = new ArrayList<>();
 
     /** Two draws by p_i/k_i among the servers with room, the less busy one wins. Where crossing zones has
      * a price, all with room in the own zone are drawn from first (or, for the part that a crowded zone gives
      * away, the others); then any with a free core; then any below their bound. Null: wait here. */
-    private Server pick(long now, Req r) {
+    private Server pick(long now, ActiveRequest r) {
         refresh(now);
         Server turn = null;
         for (Server s : owed) {
-            if (turn == null && s.own == 0 && hasRoom(now, r, s, true)) turn = s;
+            if (turn == null && s.inFlight == 0 && hasRoom(now, r, s, true)) turn = s;
         }
         for (Server s : mayTry(r) ? accused : List.<Server>of()) {
-            if (turn == null && s.ejections > 0 && s.own == 0 && hasRoom(now, r, s, true)) turn = s;
+            if (turn == null && s.ejections > 0 && s.inFlight == 0 && hasRoom(now, r, s, true)) turn = s;
         }
         for (int i = 0; i < cold.size() && turn == null; i++) {
             turn = hasRoom(now, r, cold.get(i), true) ? cold.get(i) : null;
@@ -606,11 +608,11 @@
     }
 
     /** What tries a server that is out may well be lost: no request twice, and none of an unsafe class. */
-    private static boolean mayTry(Req r) {
-        return r.attempts.isEmpty() && r.spec.semantics() != Semantics.UNSAFE;
+    private static boolean mayTry(ActiveRequest r) {
+        return r.attempts.isEmpty() && r.requestClass.semantics() != Semantics.UNSAFE;
     }
 
-    private Server pair(long now, Req r, Table table, boolean freeCore) {
+    private Server pair(long now, ActiveRequest r, WeightedTable table, boolean freeCore) {
         Server first = draw(now, r, table, freeCore, null);
         Server second = first == null ? null : draw(now, r, table, freeCore, first);
         return second == null ? first : lessBusy(now, first, second);
@@ -621,41 +623,41 @@
     /** Many sidecars see too little of the fleet themselves: both of a pair are asked for their load. A free
      * core takes the request; after some pairs without, the less busy with room. One without an answer by the
      * next sweep loses. One that {@code told} of a free core just now takes what found none. */
-    private Server sampled(long now, Req r, Server turn) {
-        if (told != null && r.pairs > 0 && hasRoom(now, r, told, true)) {
+    private Server sampled(long now, ActiveRequest r, Server turn) {
+        if (told != null && r.probedPairs > 0 && hasRoom(now, r, told, true)) {
             r.first = null;
             return told;
         }
         if (r.first == null) {
-            r.first = now < r.askNext ? null : turn != null ? turn : draw(now, r, all, false, null);
+            r.first = now < r.nextProbeAt ? null : turn != null ? turn : draw(now, r, all, false, null);
             if (r.first == null) return null;
             r.second = draw(now, r, all, false, r.first);
-            r.askedAt = now;
+            r.probedAt = now;
             ask(now, r.first);
             ask(now, r.second);
             return null;
         }
-        boolean secondAnswered = r.second == null || r.second.reportedAt >= r.askedAt;
-        boolean answered = r.first.reportedAt >= r.askedAt && secondAnswered;
-        if (!answered && now - r.askedAt < SWEEP_US) return null;
+        boolean secondAnswered = r.second == null || r.second.loadReportedAt >= r.probedAt;
+        boolean answered = r.first.loadReportedAt >= r.probedAt && secondAnswered;
+        if (!answered && now - r.probedAt < SWEEP_US) return null;
         Server best = null;
         for (Server s : new Server[] {r.first, r.second}) {
-            if (s != null && s.reportedAt >= r.askedAt && hasRoom(now, r, s, false)) {
+            if (s != null && s.loadReportedAt >= r.probedAt && hasRoom(now, r, s, false)) {
                 best = best == null ? s : lessBusy(now, best, s);
             }
         }
         r.first = null;
-        r.pairs++;
-        if (best != null && (r.pairs >= PAIRS || hasRoom(now, r, best, true))) return best;
-        if (r.pairs < PAIRS) return sampled(now, r, turn);
+        r.probedPairs++;
+        if (best != null && (r.probedPairs >= PAIRS || hasRoom(now, r, best, true))) return best;
+        if (r.probedPairs < PAIRS) return sampled(now, r, turn);
         // Ever rarer, so that a wait costs a bounded number of probes.
-        r.askNext = now + (SWEEP_US << Math.min(r.pairs - PAIRS, 2));
+        r.nextProbeAt = now + (SWEEP_US << Math.min(r.probedPairs - PAIRS, 2));
         return null;
     }
 
     private void ask(long now, Server s) {
-        if (s != null && now - s.askedAt > PROBE_US) {
-            s.askedAt = now;
+        if (s != null && now - s.probeSentAt > PROBE_US) {
+            s.probeSentAt = now;
             out.probe(s.id);
         }
     }
@@ -669,7 +671,7 @@
     /** A server by its share among those with room: for a key always the same one, which met it before, and
      * over all keys each by its share (weighted rendezvous: Schindelhauer, Schomaker 2005); else at random,
      * by a few draws from the table and then a look at all of it. */
-    private Server draw(long now, Req r, Table table, boolean freeCore, Server not) {
+    private Server draw(long now, ActiveRequest r, WeightedTable table, boolean freeCore, Server not) {
         long key = r.request.key();
         for (int i = 0; i < DRAWS && key < 0 && table.size() > 0; i++) {
             Server s = table.draw(random.nextDouble());
@@ -680,7 +682,7 @@
         Server chosen = null;
         for (int i = 0; i < table.size(); i++) {
             Server s = table.get(i);
-            double score = -Math.log(((mix(s.order, hash) >>> 1) + 1.0) / (1L << 31)) / s.share;
+            double score = -Math.log(((mixHash(s.hash, hash) >>> 1) + 1.0) / (1L << 31)) / s.share;
             if (s == not || score >= least || !hasRoom(now, r, s, freeCore)) continue;
             least = score;
             chosen = s;
@@ -688,53 +690,53 @@
         return chosen;
     }
 
-    private Weights weights;
+    private ServerWeights weights;
 
     /** A standing order on the draw; none makes a server ready, warm or trusted that is not. */
     @Override
-    public void onWeights(long now, Weights told) {
+    public void onServerWeights(long now, ServerWeights told) {
         weights = told;
         solvedAt = now - RESOLVE_US;
     }
 
     private double weight(long now, Server s) {
-        return weights == null || now >= weights.untilUs() ? 1 : weights.of(s.id);
+        return weights == null || now >= weights.validUntilUs() ? 1 : weights.weightOf(s.id);
     }
 
-    private boolean hasRoom(long now, Req r, Server s, boolean freeCore) {
-        if (now < Math.max(s.ejectedUntil, s.fullUntil) || s.ejections > 0 && s.own > 0) return false;
-        if (weight(now, s) <= 0 || !maySend(now, r, s)) return false;
+    private boolean hasRoom(long now, ActiveRequest r, Server s, boolean freeCore) {
+        if (now < Math.max(s.ejectedUntil, s.fullUntil) || s.ejections > 0 && s.inFlight > 0) return false;
+        if (weight(now, s) <= 0 || !canSend(now, r, s)) return false;
         double cores = Math.max(1, s.kind.cores) * warmth(s, now);
         double load = load(s, now);
         if (freeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
         return load + 1 <= Math.max(1, cores + CROWD * Math.sqrt(cores)) + (sampling ? 0.5 : 0.01)
                 && (!blind && load < 0.5 && warmth(s, now) >= 1
-                        || now + expected(s, r.work, load, now) <= r.usefulUntil);
+                        || now + expected(s, r.workUs, load, now) <= r.usefulUntil);
     }
 
     // ---- admission ------------------------------------------------------------------------------
-    final Map<String, Req> open = new HashMap<>();
-    private final List<Req> waiting = new ArrayList<>();
+    final Map<String, ActiveRequest> activeRequests = new HashMap<>();
+    private final List<ActiveRequest> waiting = new ArrayList<>();
     private boolean holdTimer;
 
     @Override
     public void onRequest(long now, Request request) {
         arrivals++;
-        Req r = new Req();
+        ActiveRequest r = new ActiveRequest();
         r.request = request;
-        r.spec = classes.get(request.requestClass());
-        if (r.spec == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        r.work = request.costHintUs() > 0 ? request.costHintUs() : classWork.get(r.spec.name());
-        meanWork += 0.01 * (Math.min(r.work, TAIL * meanWork) - meanWork);
-        r.deadline = now + request.remainingUs();
-        long aim = (long) (r.spec.aimUs() + r.spec.aimStretch() * r.work);
-        r.firstAsked = firstAsked(now, r);
-        r.usefulUntil = Math.min(r.deadline, r.spec.lateWorth() > 0 ? r.deadline : r.firstAsked + aim);
-        r.order = now + (long) (aim * topWorth / density(r.spec));
-        open.put(request.id(), r);
+        r.requestClass = classes.get(request.requestClass());
+        if (r.requestClass == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
+        r.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWork.get(r.requestClass.name());
+        meanWork += 0.01 * (Math.min(r.workUs, TAIL * meanWork) - meanWork);
+        r.deadlineAt = now + request.remainingUs();
+        long aim = (long) (r.requestClass.aimUs() + r.requestClass.aimStretch() * r.workUs);
+        r.firstTriedAt = firstAsked(now, r);
+        r.usefulUntil = Math.min(r.deadlineAt, r.requestClass.lateWorth() > 0 ? r.deadlineAt : r.firstTriedAt + aim);
+        r.queueOrder = now + (long) (aim * topWorth / density(r.requestClass));
+        activeRequests.put(request.id(), r);
         long wait = quotas.isEmpty() ? 0 : overLimit(now, r);
         if (wait > 0) {
-            refuse(r, Math.max(wait, r.spec.aimUs() / 2));
+            refuse(r, Math.max(wait, r.requestClass.aimUs() / 2));
             return;
         }
         if (blind && random.nextDouble() < Math.min(0.95, STEEP * (crowding / CALM - 1))) {
@@ -761,25 +763,25 @@
         }
     };
 
-    private long firstAsked(long now, Req r) {
-        if (!r.request.repeat() || r.request.key() < 0) return now;
-        Long first = unserved.remove(List.of(r.spec.name(), r.request.key()));
-        return first != null && now - first < r.spec.deadlineUs() ? first : now;
+    private long firstAsked(long now, ActiveRequest r) {
+        if (!r.request.clientRetry() || r.request.key() < 0) return now;
+        Long first = unserved.remove(List.of(r.requestClass.name(), r.request.key()));
+        return first != null && now - first < r.requestClass.deadlineUs() ? first : now;
     }
 
-    private void endUnserved(Req r) {
-        if (r.request.key() >= 0) unserved.put(List.of(r.spec.name(), r.request.key()), r.firstAsked);
+    private void endUnserved(ActiveRequest r) {
+        if (r.request.key() >= 0) unserved.put(List.of(r.requestClass.name(), r.request.key()), r.firstTriedAt);
     }
 
-    private void hold(long now, Req r) {
+    private void hold(long now, ActiveRequest r) {
         if (now >= lastStart(r)) {
             // Little time left, as on a client's last try: the sweep would come after its deadline.
             giveUp(now, r);
             return;
         }
-        r.waiting = true;
+        r.queued = true;
         int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).order > r.order) at--;
+        while (at > 0 && waiting.get(at - 1).queueOrder > r.queueOrder) at--;
         waiting.add(at, r);
         sweepLater();
     }
@@ -787,18 +789,18 @@
     private void sweepLater() {
         if (holdTimer || waiting.isEmpty()) return;
         holdTimer = true;
-        out.timer("hold", SWEEP_US);
+        out.startTimer("hold", SWEEP_US);
     }
 
     /** Sends what waits, in order, while there is room; with {@code sweep} gives up what is too late. */
     private void dispatch(long now, boolean sweep) {
         boolean room = true;
         for (int i = 0; i < waiting.size() && (room || sweep); i++) {
-            Req r = waiting.get(i);
+            ActiveRequest r = waiting.get(i);
             Server s = room || !r.attempts.isEmpty() ? pick(now, r) : null;
             if (s != null || now >= lastStart(r)) {
                 waiting.remove(i--);
-                r.waiting = false;
+                r.queued = false;
                 if (s != null) send(now, r, s);
                 else giveUp(now, r);
             } else {
@@ -809,124 +811,124 @@
     }
 
     /** The latest start from which an answer in time can be hoped for. */
-    private long lastStart(Req r) {
+    private long lastStart(ActiveRequest r) {
         // While a pair is asked for its load the request does not wait yet, and no slack is taken off.
-        long forAim = (long) (r.usefulUntil - (r.first != null ? 0 : SLACK * bestSlow * r.work));
-        return Math.min(r.deadline - SWEEP_US - 2 * cfg.tickUs(), forAim);
+        long forAim = (long) (r.usefulUntil - (r.first != null ? 0 : SLACK * bestSlow * r.workUs));
+        return Math.min(r.deadlineAt - SWEEP_US - 2 * cfg.tickUs(), forAim);
     }
 
-    private void giveUp(long now, Req r) {
-        if (mayRefuse(r)) refuse(r, cfg.limits().retryAfter() ? r.spec.aimUs() / 2 : 0);
+    private void giveUp(long now, ActiveRequest r) {
+        if (mayRefuse(r)) refuse(r, cfg.limits().retryAfter() ? r.requestClass.aimUs() / 2 : 0);
         else fail(r);
     }
 
     // ---- attempts -------------------------------------------------------------------------------
     /** Whether the rules allow this send; every send passes here, whatever the rest of this file decides. */
-    boolean maySend(long now, Req r, Server s) {
+    boolean canSend(long now, ActiveRequest r, Server s) {
         boolean spent = r.attempts.size() >= cfg.limits().maxAttempts();
-        if (r.over || r.streaming || !s.ready || now >= r.deadline || spent) return false;
+        if (r.finished || r.streaming || !s.ready || now >= r.deadlineAt || spent) return false;
         for (Attempt a : r.attempts) {
             if (!a.ended && !cfg.limits().secondCopies()) return false;
-            if (a.mayHaveRun && !repeatable(r.spec, a, s, now)) return false;
+            if (a.mayHaveRun && !repeatable(r.requestClass, a, s, now)) return false;
         }
-        return slowStart.hasRoom(now, s, r.work, meanWork);
+        return slowStart.canSend(now, s, r.workUs, meanWork);
     }
 
     /** While a connection came up the window of what ran before may have closed, or a cold server's. */
     @Override
-    public boolean mayBegin(long now, String id, int number) {
-        Req r = open.get(id);
-        if (r == null || r.over || number >= r.attempts.size()) return false;
+    public boolean canStartAttempt(long now, String id, int number) {
+        ActiveRequest r = activeRequests.get(id);
+        if (r == null || r.finished || number >= r.attempts.size()) return false;
         Attempt begins = r.attempts.get(number);
         Server s = begins.server;
         for (Attempt a : r.attempts.subList(0, number)) {
-            if (a.mayHaveRun && !repeatable(r.spec, a, s, now)) return false;
+            if (a.mayHaveRun && !repeatable(r.requestClass, a, s, now)) return false;
         }
-        return s.ready && slowStart.mayBegin(now, s, begins.sentAt, r.work, meanWork);
+        return s.ready && slowStart.canStartAttempt(now, s, begins.sentAt, r.workUs, meanWork);
     }
 
     private static boolean repeatable(RequestClass c, Attempt earlier, Server s, long now) {
         if (c.semantics() == Semantics.SAFE) return true;
-        if (c.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= c.windowUs()) return false;
-        return switch (c.group()) {
+        if (c.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= c.dedupWindowUs()) return false;
+        return switch (c.dedupScope()) {
             case ALL -> true;
-            case ZONE -> s.entry.zone().equals(earlier.entry.zone());
-            case CELL -> s.entry.cell() == earlier.entry.cell();
+            case ZONE -> s.listing.zone().equals(earlier.listing.zone());
+            case CELL -> s.listing.cell() == earlier.listing.cell();
         };
     }
 
     /** A refusal says that nothing has run, whatever the class: what may have is failed. */
-    private boolean mayRefuse(Req r) {
-        return !r.over && !r.streaming && r.attempts.stream().noneMatch(a -> a.mayHaveRun);
+    private boolean mayRefuse(ActiveRequest r) {
+        return !r.finished && !r.streaming && r.attempts.stream().noneMatch(a -> a.mayHaveRun);
     }
 
-    private void send(long now, Req r, Server s) {
-        if (!maySend(now, r, s)) throw new IllegalStateException("a send against the rules");
+    private void send(long now, ActiveRequest r, Server s) {
+        if (!canSend(now, r, s)) throw new IllegalStateException("a send against the rules");
         Attempt a = new Attempt();
-        a.req = r;
+        a.owner = r;
         a.server = s;
-        a.entry = s.entry;
+        a.listing = s.listing;
         a.sentAt = now;
-        a.held = s.reported > s.own ? load(s, now) : s.own;
-        a.expected = expected(s, r.work, a.held, now);
-        a.plain = a.expected / s.slow();
+        a.loadAtSend = s.reportedLoad > s.inFlight ? load(s, now) : s.inFlight;
+        a.expectedUs = expected(s, r.workUs, a.loadAtSend, now);
+        a.expectedStandardUs = a.expectedUs / s.slowness();
         r.attempts.add(a);
         // The body of a partial one may take long: its server begins when it has all.
-        if (!r.request.partial()) run(now, a);
-        slowStart.sent(now, s, r.work);
-        boolean others = s.own > (a.running ? 1 : 0);
-        a.idle = others || now - s.usedAt > cfg.limits().connIdleUs() ? 0 : now - s.usedAt;
+        if (!r.request.bodyIncomplete()) run(now, a);
+        slowStart.recordSend(now, s, r.workUs);
+        boolean others = s.inFlight > (a.running ? 1 : 0);
+        a.idleBeforeUs = others || now - s.lastUsedAt > cfg.limits().connectionIdleUs() ? 0 : now - s.lastUsedAt;
         // What is tried after an ejection goes by a new connection: its end speaks of the server alone.
-        if (a.idle >= idleLimit || subset && s.ejections > 0 && a.idle >= IDLE_LEAST_US) {
-            out.close(s.id);
-            a.idle = 0;
+        if (a.idleBeforeUs >= idleLimit || subset && s.ejections > 0 && a.idleBeforeUs >= IDLE_LEAST_US) {
+            out.closeIdleConnections(s.id);
+            a.idleBeforeUs = 0;
         }
-        s.usedAt = now;
-        out.send(r.request.id(), s.id, r.deadline);
+        s.lastUsedAt = now;
+        out.send(r.request.id(), s.id, r.deadlineAt);
     }
 
     private void run(long now, Attempt a) {
         a.running = true;
         a.sentAt = now;
-        a.server.attempts.addLast(a);
-        a.server.own++;
+        a.server.inFlightAttempts.addLast(a);
+        a.server.inFlight++;
     }
 
     private void rest(long now, Attempt a) {
-        if (a.running) a.server.own--;
+        if (a.running) a.server.inFlight--;
         a.running = false;
-        a.server.usedAt = now;
+        a.server.lastUsedAt = now;
     }
 
     @Override
-    public void onSent(long now, String id, int number) {
-        Req r = open.get(id);
+    public void onRequestSent(long now, String id, int number) {
+        ActiveRequest r = activeRequests.get(id);
         if (r == null || number >= r.attempts.size()) return;
         Attempt a = r.attempts.get(number);
         if (!a.ended && !a.running) run(now, a);
     }
 
-    private void refuse(Req r, long retryAfterUs) {
+    private void refuse(ActiveRequest r, long retryAfterUs) {
         if (!mayRefuse(r)) throw new IllegalStateException("a refusal against the rules");
         over(r);
         endUnserved(r);
         out.refuse(r.request.id(), Math.min(retryAfterUs, cfg.limits().maxRetryAfterUs()));
     }
 
-    private void fail(Req r) {
-        if (r.over) return;
+    private void fail(ActiveRequest r) {
+        if (r.finished) return;
         over(r);
         endUnserved(r);
         out.fail(r.request.id());
     }
 
-    private void over(Req r) {
-        r.over = true;
-        for (Quota q : r.quotas) q.inFlight--;
-        r.quotas = List.of();
-        if (r.waiting) waiting.remove(r);
-        r.waiting = false;
-        if (r.attempts.stream().allMatch(a -> a.ended)) open.remove(r.request.id());
+    private void over(ActiveRequest r) {
+        r.finished = true;
+        for (LimitUsage q : r.limits) q.inFlight--;
+        r.limits = List.of();
+        if (r.queued) waiting.remove(r);
+        r.queued = false;
+        if (r.attempts.stream().allMatch(a -> a.ended)) activeRequests.remove(r.request.id());
     }
 
     @Override
@@ -939,7 +941,7 @@
             long latencyUs,
             boolean done,
             LoadReport report) {
-        Req r = open.get(id);
+        ActiveRequest r = activeRequests.get(id);
         report(upstream, report, now);
         told = r == null ? null : told;
         if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).ended) return;
@@ -950,19 +952,19 @@
         rest(now, a);
         closeIfLeaving(s);
         // Of an answer that came in pieces the server's part was learnt when it began.
-        if (!r.streaming || r.spec.stream() || outcome != Outcome.OK) health(now, s, a, outcome, latencyUs);
-        if (done || r.over) over(r);
+        if (!r.streaming || r.requestClass.stream() || outcome != Outcome.OK) health(now, s, a, outcome, latencyUs);
+        if (done || r.finished) over(r);
         else if (!r.streaming) next(now, r);
         dispatch(now, false);
         told = null;
     }
 
     /** After an attempt without success: another where a rule and the time allow, else the final answer. */
-    private void next(long now, Req r) {
+    private void next(long now, ActiveRequest r) {
         if (r.attempts.stream().anyMatch(a -> !a.ended)) return;
         Server s = now < lastStart(r) ? pick(now, r) : null;
         if (s != null) send(now, r, s);
-        else if (ready.stream().anyMatch(other -> maySend(now, r, other))) hold(now, r);
+        else if (ready.stream().anyMatch(other -> canSend(now, r, other))) hold(now, r);
         else giveUp(now, r);
     }
 
@@ -978,22 +980,22 @@
     private boolean idleDropped(long now, Attempt a, Outcome outcome) {
         if (idleLimit < Long.MAX_VALUE && now - idleSeenAt > IDLE_FORGET_US) {
             idleSeenAt = now;
-            idleLimit = idleLimit > cfg.limits().connIdleUs() ? Long.MAX_VALUE : idleLimit * 2;
+            idleLimit = idleLimit > cfg.limits().connectionIdleUs() ? Long.MAX_VALUE : idleLimit * 2;
         }
-        if (outcome == Outcome.OK && (a.idle >= idleKept || now - idleKeptAt > FORGET_US)) {
-            idleKept = a.idle;
+        if (outcome == Outcome.OK && (a.idleBeforeUs >= idleKept || now - idleKeptAt > FORGET_US)) {
+            idleKept = a.idleBeforeUs;
             idleKeptAt = now;
         }
         // A time-out alone may be a crowd; not so where none as long idle has answered of late.
-        boolean kept = now - idleKeptAt < FORGET_US && a.idle * 3 / 4 <= idleKept;
+        boolean kept = now - idleKeptAt < FORGET_US && a.idleBeforeUs * 3 / 4 <= idleKept;
         // Nor where one was laid to the connection already, and no answer has come since.
-        boolean laid = a.server.idleBlamed;
+        boolean laid = a.server.idleDropSuspected;
         boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !kept && !laid;
-        if (!subset || !suspect || a.idle < IDLE_LEAST_US) return false;
-        a.server.idleBlamed = true;
+        if (!subset || !suspect || a.idleBeforeUs < IDLE_LEAST_US) return false;
+        a.server.idleDropSuspected = true;
         idleOwnAt = now;
-        out.evidence(a.server.id, Evidence.DROPS_IDLE, a.idle * 3 / 4e3);
-        limitIdle(now, a.idle * 3 / 4);
+        out.reportEvidence(a.server.id, Evidence.DROPS_IDLE, a.idleBeforeUs * 3 / 4e3);
+        limitIdle(now, a.idleBeforeUs * 3 / 4);
         return true;
     }
 
@@ -1006,34 +1008,34 @@
         if (idleDropped(now, a, outcome)) return;
         switch (outcome) {
             case OK -> {
-                if (s.ejections > 0) out.evidence(s.id, Evidence.GOOD, 1);
-                s.failures = s.ejections = s.refusals = 0;
-                s.failedAt = Long.MIN_VALUE / 2;
-                s.idleBlamed = false;
-                s.answeredAt = now;
+                if (s.ejections > 0) out.reportEvidence(s.id, Evidence.GOOD, 1);
+                s.failures = s.ejections = s.rejections = 0;
+                s.lastFailureAt = Long.MIN_VALUE / 2;
+                s.idleDropSuspected = false;
+                s.lastSuccessAt = now;
                 owed.remove(s);
                 learn(s, a, latencyUs, true, now);
             }
             case TIMEOUT, CANCELLED -> {
                 // A server that has answered others meanwhile is slow; only silence is a fault.
-                boolean silent = outcome == Outcome.TIMEOUT && s.answeredAt < a.sentAt;
+                boolean silent = outcome == Outcome.TIMEOUT && s.lastSuccessAt < a.sentAt;
                 learn(s, a, latencyUs, false, now);
                 // One that is tried for its verdict's sake needs no second request lost to it.
                 int weight = s.ejections > 0 && accused.contains(s) ? EJECT_AFTER : 1;
                 failed(now, s, silent ? weight : 0, Evidence.SILENT);
             }
             case ERROR -> {
-                boolean fast = latencyUs < a.expected / FAST;
+                boolean fast = latencyUs < a.expectedUs / FAST;
                 failed(now, s, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
             }
             case RESET -> failed(now, s, 1, Evidence.FAILING);
             case CONNECT_FAILED -> failed(now, s, EJECT_AFTER, Evidence.SILENT);
             case REJECTED -> {
-                if (cfg.reports() == Reports.NONE) {
+                if (cfg.loadReporting() == LoadReporting.NONE) {
                     backOff(s, now);
                 } else {
                     // Refused while it holds little: not full but on its way out, or its room is broken.
-                    if (s.own < s.kind.cores) {
+                    if (s.inFlight < s.kind.cores) {
                         s.ejections = Math.max(2, s.ejections);
                         failed(now, s, EJECT_AFTER, Evidence.FAILING);
                     }
@@ -1047,13 +1049,13 @@
      * holds: no failure, and it has room again once it has ended one. Each refusal in a row doubles the wait,
      * since one on its way out never has. */
     private void backOff(Server s, long now) {
-        double place = s.slow() * meanWork / Math.max(1, s.kind.cores);
-        s.fullUntil = now + (long) Math.min(EJECT_US, place * (1 << Math.min(s.refusals++, 10)));
+        double place = s.slowness() * meanWork / Math.max(1, s.kind.cores);
+        s.fullUntil = now + (long) Math.min(EJECT_US, place * (1 << Math.min(s.rejections++, 10)));
     }
 
     private void countAsFull(Server s, long now) {
-        s.reported = Math.max(load(s, now), s.kind.cores + CROWD * Math.sqrt(s.kind.cores));
-        s.reportedAt = now;
+        s.reportedLoad = Math.max(load(s, now), s.kind.cores + CROWD * Math.sqrt(s.kind.cores));
+        s.loadReportedAt = now;
     }
 
     private void failed(long now, Server s, int weight, Evidence kind) {
@@ -1061,9 +1063,9 @@
         if (now < s.ejectedUntil) return;
         boolean ejected = s.failures >= EJECT_AFTER;
         // Once it is known to fail, each further failure tells that it still does.
-        if (ejected || weight > 0 && s.failedAt >= 0) {
-            s.failedAt = now;
-            out.evidence(s.id, kind, s.failures);
+        if (ejected || weight > 0 && s.lastFailureAt >= 0) {
+            s.lastFailureAt = now;
+            out.reportEvidence(s.id, kind, s.failures);
         }
         if (!ejected) return;
         s.failures = 0;
@@ -1073,31 +1075,31 @@
 
     @Override
     public void onStreamStart(long now, String id, int number, String upstream, long latencyUs) {
-        Req r = open.get(id);
+        ActiveRequest r = activeRequests.get(id);
         if (r == null || number >= r.attempts.size() || r.attempts.get(number).ended) return;
         r.streaming = true;
-        if (r.waiting) waiting.remove(r);
-        r.waiting = false;
+        if (r.queued) waiting.remove(r);
+        r.queued = false;
         // A server works on a stream to its end; a long answer was ready when it began.
-        if (r.spec.stream()) return;
+        if (r.requestClass.stream()) return;
         rest(now, r.attempts.get(number));
         health(now, r.attempts.get(number).server, r.attempts.get(number), Outcome.OK, latencyUs);
         dispatch(now, false);
     }
 
     @Override
-    public void onExpired(long now, String id) {
-        Req r = open.get(id);
+    public void onRequestExpired(long now, String id) {
+        ActiveRequest r = activeRequests.get(id);
         if (r == null) return;
-        if (!r.over) endUnserved(r);
+        if (!r.finished) endUnserved(r);
         over(r);
     }
 
     @Override
-    public void onProbe(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
+    public void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
         Server s = servers.get(upstream);
         if (s == null) return;
-        s.askedAt = 0;
+        s.probeSentAt = 0;
         // A probe that was not sent, or not heard out, is this instance's own doing.
         boolean asked = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
         if (asked && outcome != Outcome.OK) {
@@ -1139,9 +1141,9 @@
         asking = false;
         subscribed = kind != ListKind.FAILED;
         // Jittered, so that instances that failed together do not ask together again.
-        if (!subscribed) out.timer("ask", askDelay / 2 + random.nextLong(askDelay));
+        if (!subscribed) out.startTimer("ask", askDelay / 2 + random.nextLong(askDelay));
         askDelay =
-                subscribed ? ASK_FIRST_US : Math.min(askDelay * 2, cfg.rules().askEveryUs() / 2 + 1);
+                subscribed ? ASK_FIRST_US : Math.min(askDelay * 2, cfg.rules().discoveryRetryUs() / 2 + 1);
     }
 
     // ---- peers ----------------------------------------------------------------------------------
@@ -1161,66 +1163,67 @@
             double own = z == home ? ownRate : 0;
             zoneRate[z] += (own - zoneRate[z]) * Math.max(LEAN, 1.0 / tells);
         }
-        PeerWord word = new PeerWord(zoneRate.length, cfg.kinds().size());
-        System.arraycopy(zoneRate, 0, word.rates, 0, zoneRate.length);
-        for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
-            word.slow[i] = k.slow;
+        PeerMessage word = new PeerMessage(zoneRate.length, cfg.kinds().size());
+        System.arraycopy(zoneRate, 0, word.zoneRates, 0, zoneRate.length);
+        for (int i = 0; i < word.slowness.length; i++) {
+            ServerKind k = kinds.get(cfg.kinds().get(i));
+            word.slowness[i] = k.slowness;
             word.answers[i] = Math.min(EVIDENCE, k.answers);
         }
-        word.crowding = crowding;
+        word.congestion = crowding;
         word.idleLimitUs = now - idleOwnAt < IDLE_FORGET_US ? idleLimit : 0;
-        out.tell((cfg.me() + 1 + random.nextInt(cfg.balancers() - 1)) % cfg.balancers(), word.bytes());
-        out.timer("tell", TELL_US);
+        out.sendToPeer(
+                (cfg.sidecarIndex() + 1 + random.nextInt(cfg.sidecarCount() - 1)) % cfg.sidecarCount(), word.encode());
+        out.startTimer("tell", TELL_US);
     }
 
     /** Speeds weigh by the answers behind them. One false message moves little, and the next take it back. */
     @Override
-    public void onPeer(long now, int peer, byte[] message) {
-        boolean known = peer >= 0 && peer < cfg.balancers() && peer != cfg.me();
-        PeerWord word = new PeerWord(zoneRate.length, cfg.kinds().size());
-        if (!known || !word.read(message)) return;
+    public void onPeerMessage(long now, int peer, byte[] message) {
+        boolean known = peer >= 0 && peer < cfg.sidecarCount() && peer != cfg.sidecarIndex();
+        PeerMessage word = new PeerMessage(zoneRate.length, cfg.kinds().size());
+        if (!known || !word.decode(message)) return;
         heardAt = now;
-        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (word.rates[z] - zoneRate[z]) / 2;
-        for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
+        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (word.zoneRates[z] - zoneRate[z]) / 2;
+        for (int i = 0; i < word.slowness.length; i++) {
+            ServerKind k = kinds.get(cfg.kinds().get(i));
             int answers = Math.min(EVIDENCE, word.answers[i]);
-            if (word.slow[i] <= 0 || answers == 0) continue;
-            k.slow += (word.slow[i] - k.slow) / 2 * answers / (answers + Math.min(EVIDENCE, k.answers));
+            if (word.slowness[i] <= 0 || answers == 0) continue;
+            k.slowness += (word.slowness[i] - k.slowness) / 2 * answers / (answers + Math.min(EVIDENCE, k.answers));
             k.answers = Math.max(k.answers, answers / 2);
         }
-        crowding += (Math.min(2 * TAIL, word.crowding) - crowding) / 2;
+        crowding += (Math.min(2 * TAIL, word.congestion) - crowding) / 2;
         if (word.idleLimitUs > 0) limitIdle(now, word.idleLimitUs);
     }
 
     @Override
-    public byte[] know() {
-        Knowledge k = new Knowledge(cfg);
-        for (int i = 0; i < k.slow.length; i++) {
-            k.of(i, kinds.get(cfg.kinds().get(i)), EVIDENCE);
+    public byte[] exportEstimates() {
+        Estimates k = new Estimates(cfg);
+        for (int i = 0; i < k.slowness.length; i++) {
+            k.copyFrom(i, kinds.get(cfg.kinds().get(i)), EVIDENCE);
         }
-        Arrays.setAll(k.work, i -> classWork.get(cfg.classes().get(i).name()));
-        System.arraycopy(zoneRate, 0, k.rates, 0, zoneRate.length);
-        k.meanWork = meanWork;
-        k.crowding = crowding;
-        return k.bytes();
+        Arrays.setAll(k.classWorkUs, i -> classWork.get(cfg.classes().get(i).name()));
+        System.arraycopy(zoneRate, 0, k.zoneRates, 0, zoneRate.length);
+        k.meanWorkUs = meanWork;
+        k.congestion = crowding;
+        return k.encode();
     }
 
     @Override
-    public int onKnow(long now, List<byte[]> told) {
-        int read = (int) told.stream().filter(new Knowledge(cfg)::read).count();
-        Knowledge k = Knowledge.middle(cfg, told);
+    public int importEstimates(long now, List<byte[]> told) {
+        int read = (int) told.stream().filter(new Estimates(cfg)::decode).count();
+        Estimates k = Estimates.median(cfg, told);
         if (k == null || kinds.values().stream().anyMatch(kind -> kind.answers >= EVIDENCE)) return read;
-        for (int i = 0; i < k.slow.length; i++) {
-            Kind kind = kinds.get(cfg.kinds().get(i));
-            if (k.answers[i] >= EVIDENCE / 2 && kind.answers <= k.answers[i]) k.into(i, kind);
+        for (int i = 0; i < k.slowness.length; i++) {
+            ServerKind kind = kinds.get(cfg.kinds().get(i));
+            if (k.answers[i] >= EVIDENCE / 2 && kind.answers <= k.answers[i]) k.copyTo(i, kind);
         }
-        for (int i = 0; i < k.work.length; i++) {
-            classWork.put(cfg.classes().get(i).name(), Math.max(1, k.work[i]));
+        for (int i = 0; i < k.classWorkUs.length; i++) {
+            classWork.put(cfg.classes().get(i).name(), Math.max(1, k.classWorkUs[i]));
         }
-        System.arraycopy(k.rates, 0, zoneRate, 0, zoneRate.length);
-        meanWork = k.meanWork;
-        crowding = k.crowding;
+        System.arraycopy(k.zoneRates, 0, zoneRate, 0, zoneRate.length);
+        meanWork = k.meanWorkUs;
+        crowding = k.congestion;
         heardAt = now;
         tells = Math.max(tells, EVIDENCE);
         return read;
--- a/src/main/java/rushproxy/State.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -4,133 +4,133 @@
 import rushproxy.Balancer.*;
 
 /** What {@link Policy} remembers of servers, requests and attempts: plain data. */
-final class State {
-    private State() {}
+final class PolicyState {
+    private PolicyState() {}
 
     /** What servers of one listed kind have in common. */
-    static final class Kind {
+    static final class ServerKind {
         /** Time on such a server of work that takes one unit of time on a standard core. */
-        double slow = 1;
+        double slowness = 1;
 
         double cores;
         /** The least slowness seen for long: that of uncrowded servers. */
-        double least = 1;
+        double bestSlowness = 1;
 
         int answers;
-        long heardAt;
+        long lastAnswerAt;
         /** Last answer by a server that is no group of its own. */
-        long taughtAt;
+        long lastTypicalAnswerAt;
 
-        Kind(double cores) {
+        ServerKind(double cores) {
             this.cores = cores;
         }
     }
 
     static final class Server {
         final String id;
-        final Kind kind;
-        Upstream entry;
+        final ServerKind kind;
+        Upstream listing;
         boolean ready;
         /** Start of the process as listed, or the operators' call back where that is later. */
         long startedAt;
 
         double share;
         /** Own requests in flight, and their attempts in the order of their sends. */
-        int own;
+        int inFlight;
 
-        final ArrayDeque<Attempt> attempts = new ArrayDeque<>();
+        final ArrayDeque<Attempt> inFlightAttempts = new ArrayDeque<>();
         /** How much slower than its kind. */
-        double apart = 1;
+        double relativeSlowness = 1;
 
-        long heardAt;
+        long lastAnswerAt;
         /** Its last answer with success; what was sent after it has met silence so far. */
-        long answeredAt;
+        long lastSuccessAt;
 
-        double reported;
-        long reportedAt = Long.MIN_VALUE / 2;
+        double reportedLoad;
+        long loadReportedAt = Long.MIN_VALUE / 2;
         int failures, ejections;
         long ejectedUntil;
         /** Requests turned away in a row, and until when it is taken to be full after the last of them. */
-        int refusals;
+        int rejections;
 
         long fullUntil;
         /** Own evidence against it of late, and when it was last told on that it is slow or cold. */
-        long failedAt = Long.MIN_VALUE / 2, toldAt = Long.MIN_VALUE / 2;
+        long lastFailureAt = Long.MIN_VALUE / 2, evidenceSentAt = Long.MIN_VALUE / 2;
         /** Place in the order of the servers that all sidecars share. */
-        final int order;
+        final int hash;
         /** Its zone's number in the settings, 0 where they do not name it. */
-        final int zone;
+        final int zoneIndex;
         /** Last send or outcome; 0: no connection was used yet. */
-        long usedAt;
+        long lastUsedAt;
         /** A failure was laid to a connection long idle, and it has not answered since. */
-        boolean idleBlamed;
+        boolean idleDropSuspected;
         /** Time of a probe without an answer yet. */
-        long askedAt;
+        long probeSentAt;
         /** Own work sent in the last slot of the cold server's budget. */
-        long coldSlot;
+        long slowStartSlot;
 
-        double coldSent;
+        double slowStartWorkUs;
 
-        double slow() {
-            return kind.slow * apart;
+        double slowness() {
+            return kind.slowness * relativeSlowness;
         }
 
-        Server(Upstream entry, Kind kind, int zone, int order) {
+        Server(Upstream entry, ServerKind kind, int zone, int order) {
             id = entry.id();
             this.kind = kind;
-            this.order = order;
-            this.zone = Math.max(0, zone);
-            this.entry = entry;
+            this.hash = order;
+            this.zoneIndex = Math.max(0, zone);
+            this.listing = entry;
         }
     }
 
     /** A request from its acceptance to its final answer. */
-    static final class Req {
+    static final class ActiveRequest {
         Request request;
-        RequestClass spec;
-        double work;
+        RequestClass requestClass;
+        double workUs;
         /** When its client asked for it first, in this try or an earlier one. */
-        long firstAsked;
+        long firstTriedAt;
         /** An answer after this is worth nothing more than a late one. */
         long usefulUntil;
 
-        long deadline;
+        long deadlineAt;
         /** Waiting requests go by this: the aim, as many times longer as the work is worth less. */
-        long order;
+        long queueOrder;
 
-        boolean waiting, over, streaming;
+        boolean queued, finished, streaming;
         /** The pair asked for its load, when, and how many pairs were. */
         Server first, second;
 
-        long askedAt, askNext;
-        int pairs;
+        long probedAt, nextProbeAt;
+        int probedPairs;
         final List<Attempt> attempts = new ArrayList<>(1);
         /** The fleet's limits that count it. */
-        List<Quota> quotas = List.of();
+        List<LimitUsage> limits = List.of();
     }
 
     /** The own share of one limit of the fleet: tokens that a quarter of a second fills, or places. */
-    static final class Quota {
-        Share share;
+    static final class LimitUsage {
+        LimitShare share;
         double tokens = 1;
-        long at;
+        long refilledAt;
         int inFlight;
         /** Since the demand was last looked at: all that came, and of those in flight's the most at once. */
-        int asked, most;
+        int requested, peakInFlight;
     }
 
     static final class Attempt {
-        Req req;
+        ActiveRequest owner;
         Server server;
         /** The server's line of the list at the send. */
-        Upstream entry;
+        Upstream listing;
 
         long sentAt;
-        double held, expected;
+        double loadAtSend, expectedUs;
         /** What was expected of a server of slowness 1. */
-        double plain;
+        double expectedStandardUs;
         /** How long the connection had been idle at the send; 0 where it was in use or new. */
-        long idle;
+        long idleBeforeUs;
 
         boolean ended, mayHaveRun = true;
         /** It occupies its server: from when that has the whole request until its answer comes. */
--- a/src/main/java/rushproxy/fleet/shared/Limits.java
+++ b/src/main/java/rushproxy/fleet/shared/Limits.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import rushproxy.Balancer.Scope;
-import rushproxy.Balancer.Share;
+import rushproxy.Balancer.LimitScope;
+import rushproxy.Balancer.LimitShare;
 import rushproxy.fleet.Envelope;
 import rushproxy.fleet.Group;
 import rushproxy.fleet.Host;
@@ -56,7 +56,7 @@
     private static final int BYTES = 16;
 
     /** {@code most} a second, or in flight. */
-    public record Limit(String name, Scope scope, String of, boolean inFlight, double most) {
+    public record Limit(String name, LimitScope scope, String of, boolean inFlight, double most) {
         private static final int HEAD = 7;
 
         /** As the store has it; throws where the names are too long. */
@@ -80,10 +80,10 @@
         /** Null where the bytes are no limit. */
         static Limit of(byte[] bytes) {
             ByteBuffer b = ByteBuffer.wrap(bytes);
-            if (bytes.length <= HEAD || bytes[0] < 0 || bytes[0] >= Scope.values().length) {
+            if (bytes.length <= HEAD || bytes[0] < 0 || bytes[0] >= LimitScope.values().length) {
                 return null;
             }
-            Scope scope = Scope.values()[b.get()];
+            LimitScope scope = LimitScope.values()[b.get()];
             boolean inFlight = b.get() == 1;
             double most = b.getFloat();
             int length = b.get() & 255;
@@ -402,9 +402,9 @@
     // ---- users ----------------------------------------------------------------------------------------
 
     /** What the module may use of each limit; told again within half of {@code validUs}. */
-    public List<Share> shares(long now, long validUs) {
+    public List<LimitShare> shares(long now, long validUs) {
         advance(now);
-        List<Share> shares = new ArrayList<>();
+        List<LimitShare> shares = new ArrayList<>();
         for (State s : limits.values()) {
             double alone = Math.max(0, byRight(s) - s.lent(nowUs, 0));
             double share = alone;
@@ -416,8 +416,8 @@
                     until = Math.min(until, l.untilUs);
                 }
             }
-            shares.add(
-                    new Share(s.limit.name(), s.limit.scope(), s.limit.of(), s.limit.inFlight(), share, alone, until));
+            shares.add(new LimitShare(
+                    s.limit.name(), s.limit.scope(), s.limit.of(), s.limit.inFlight(), share, alone, until));
         }
         return shares;
     }
--- a/src/main/java/rushproxy/fleet/shared/Verdicts.java
+++ b/src/main/java/rushproxy/fleet/shared/Verdicts.java
@@ -116,7 +116,7 @@
         write(nowUs, said);
         List<Case> cases = judge(nowUs, said);
         long out = cases.stream()
-                .filter(c -> c.verdict.holds() && c.verdict.kind().out())
+                .filter(c -> c.verdict.confirmed() && c.verdict.kind().isUnavailable())
                 .count();
         boolean past = out > Math.max(1, (int) (MOST_OUT * servers.size()));
         if (past != panic) {
@@ -130,16 +130,17 @@
         if (panic) {
             cases.replaceAll(c -> new Case(
                     c.server,
-                    holds(c.verdict, c.verdict.holds() && !c.verdict.kind().out()),
+                    holds(c.verdict, c.verdict.confirmed() && !c.verdict.kind().isUnavailable()),
                     c.words,
-                    c.verdict.kind().out() ? "too many at once" : c.why));
+                    c.verdict.kind().isUnavailable() ? "too many at once" : c.why));
         }
         tell(cases);
         return cases;
     }
 
     private static Verdict holds(Verdict v, boolean holds) {
-        return new Verdict(v.upstream(), v.kind(), v.factor(), v.witnesses(), v.ownWord(), holds, v.untilUs());
+        return new Verdict(
+                v.upstream(), v.kind(), v.factor(), v.witnesses(), v.reportedHere(), holds, v.validUntilUs());
     }
 
     /** All words that count, by server, the own ones with them. */
@@ -173,13 +174,13 @@
         Map<Long, Integer> accuses = new HashMap<>();
         said.values()
                 .forEach(words -> words.stream()
-                        .filter(w -> w.kind.out() || w.kind == Evidence.SLOW)
+                        .filter(w -> w.kind.isUnavailable() || w.kind == Evidence.SLOW)
                         .forEach(w -> accuses.merge(w.witness, 1, Integer::sum)));
         // The store keeps a few witnesses a server: the own evidence is all here.
         accuses.merge(
                 me,
                 (int) own.values().stream()
-                        .filter(o -> o.kind.out() || o.kind == Evidence.SLOW)
+                        .filter(o -> o.kind.isUnavailable() || o.kind == Evidence.SLOW)
                         .count(),
                 Math::max);
         Set<Long> now = new HashSet<>();
@@ -244,7 +245,8 @@
                     .filter(w -> !suspects.contains(w.witness))
                     .toList();
             long good = words.stream().filter(w -> w.kind == Evidence.GOOD).count();
-            List<Word> against = words.stream().filter(w -> w.kind.out()).toList();
+            List<Word> against =
+                    words.stream().filter(w -> w.kind.isUnavailable()).toList();
             if (against.isEmpty()) {
                 Map<Evidence, List<Word>> of = new TreeMap<>();
                 words.stream()
@@ -294,7 +296,7 @@
     private void tell(List<Case> cases) {
         Set<String> now = new HashSet<>();
         for (Case c : cases) {
-            if (c.verdict.holds()) {
+            if (c.verdict.confirmed()) {
                 now.add(c.server);
                 if (!held.contains(c.server)) {
                     host.note(c.server + " is " + name(c.verdict.kind()) + " by word of "
--- a/src/main/java/rushproxy/lab/sim/SharedFigures.java
+++ b/src/main/java/rushproxy/lab/sim/SharedFigures.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import rushproxy.Balancer.Scope;
+import rushproxy.Balancer.LimitScope;
 import rushproxy.fleet.shared.Limits;
 import rushproxy.fleet.shared.Table;
 
@@ -122,7 +122,7 @@
     public static Limited limited(int members, double loss, String event, long seed) {
         double limit = 1_000;
         SharedSim sim = new SharedSim(seed, members, 3, loss, 0.02, 30_000)
-                .limits(new Limits.Limit("all", Scope.ALL, "", false, limit));
+                .limits(new Limits.Limit("all", LimitScope.ALL, "", false, limit));
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(~seed);
         sim.startAll();
         double[] demand = new double[members];
--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/rushproxy/sidecar/Config.java
@@ -153,10 +153,13 @@
         }
         boolean members = fleet.has("members") && fleet.flag("members");
         boolean shared = fleet.has("shared") && fleet.flag("shared");
-        if (members && (!json.has("peer_listen") || settings.me() < 0 || settings.me() >= peers.size())) {
+        if (members
+                && (!json.has("peer_listen")
+                        || settings.sidecarIndex() < 0
+                        || settings.sidecarIndex() >= peers.size())) {
             throw new IllegalArgumentException(
-                    "'fleet.members' needs 'peer_listen' and 'peers' with this sidecar's number, " + settings.me()
-                            + ", among them");
+                    "'fleet.members' needs 'peer_listen' and 'peers' with this sidecar's number, "
+                            + settings.sidecarIndex() + ", among them");
         }
         if (shared && !members) {
             throw new IllegalArgumentException("'fleet.shared' needs 'fleet.members'");
--- a/src/main/java/rushproxy/sidecar/Decisions.java
+++ b/src/main/java/rushproxy/sidecar/Decisions.java
@@ -99,18 +99,18 @@
             }
 
             @Override
-            public void tell(int peer, byte[] message) {
-                actions.add(() -> hands.tell(peer, message));
+            public void sendToPeer(int peer, byte[] message) {
+                actions.add(() -> hands.sendToPeer(peer, message));
             }
 
             @Override
-            public void close(String upstream) {
-                actions.add(() -> hands.close(upstream));
+            public void closeIdleConnections(String upstream) {
+                actions.add(() -> hands.closeIdleConnections(upstream));
             }
 
             @Override
-            public void timer(String mark, long delayUs) {
-                actions.add(() -> hands.timer(mark, delayUs));
+            public void startTimer(String mark, long delayUs) {
+                actions.add(() -> hands.startTimer(mark, delayUs));
             }
 
             @Override
@@ -119,8 +119,8 @@
             }
 
             @Override
-            public void evidence(String upstream, Balancer.Evidence kind, double factor) {
-                actions.add(() -> hands.evidence(upstream, kind, factor));
+            public void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
+                actions.add(() -> hands.reportEvidence(upstream, kind, factor));
             }
         };
     }
--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/rushproxy/sidecar/Discovery.java
@@ -220,7 +220,7 @@
             Log.warn("a call to discovery failed: " + why + "; the list before holds");
         }
         if (!pushed && told) {
-            decisions.call(m -> m.onList(clock.now(), ListKind.FAILED, List.of()), () -> {});
+            decisions.call(m -> m.onUpstreamList(clock.now(), ListKind.FAILED, List.of()), () -> {});
         }
         goOn();
         over();
@@ -289,7 +289,8 @@
             List<Upstream> entries =
                     list.entries().stream().map(UpstreamList.Entry::upstream).toList();
             decisions.call(
-                    m -> m.onList(clock.now(), list.whole() ? ListKind.FULL : ListKind.DELTA, entries), () -> {});
+                    m -> m.onUpstreamList(clock.now(), list.whole() ? ListKind.FULL : ListKind.DELTA, entries),
+                    () -> {});
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import rushproxy.Balancer;
-import rushproxy.PeerWord;
+import rushproxy.PeerMessage;
 import rushproxy.fleet.Envelope;
 import rushproxy.fleet.Host;
 import rushproxy.fleet.member.Member;
@@ -88,11 +88,11 @@
 
     void start() {
         Balancer.Settings s = config.settings();
-        int taken = PeerWord.length(s.zones().size(), s.kinds().size());
+        int taken = PeerMessage.encodedLength(s.zones().size(), s.kinds().size());
         members = new Membership(
                 new Membership.Self(
                         config.name(),
-                        s.me(),
+                        s.sidecarIndex(),
                         config.peers().size(),
                         Math.max(0, s.zones().indexOf(s.zone())),
                         s.zones().size(),
@@ -118,7 +118,7 @@
             verdicts = new Verdicts(store, me, members.self().zone(), members, says);
             limits = new Limits(
                     me,
-                    s.balancers(),
+                    s.sidecarCount(),
                     PART_SHARED,
                     taken,
                     store,
@@ -128,7 +128,7 @@
                     members,
                     says);
             orders = new Orders(store, clock.now(), says);
-            watch = new Watch(orders, s.rules().rampUs());
+            watch = new Watch(orders, s.rules().rampTimeUs());
             warm = new WarmStart(me, PART_SHARED, taken, clock.now(), config.seed() + 3, members, says, this::known);
             snapshot = config.kept() == null ? null : new Snapshot(config.kept());
             snapshotUs = clock.now() + SNAPSHOT_US;
@@ -156,12 +156,12 @@
             }
             told = view;
             tellUs = now + TELL_US;
-            Balancer.Fleet fact = new Balancer.Fleet(
+            Balancer.FleetStatus fact = new Balancer.FleetStatus(
                     view.here(),
                     view.byZone(),
-                    Balancer.Standing.valueOf(view.standing().name()),
+                    Balancer.QuorumState.valueOf(view.standing().name()),
                     now + COUNTS_US);
-            decisions.call(m -> m.onFleet(now, fact), () -> {});
+            decisions.call(m -> m.onFleetStatus(now, fact), () -> {});
         }
         if (store != null && !members.isQuiet()) {
             share(now);
@@ -189,16 +189,17 @@
             long passed = limitsUs == 0 ? Limits.TICK_US : now - limitsUs + Limits.TICK_US;
             limitsUs = now + Limits.TICK_US;
             decisions.call(
-                    m -> m.demands(passed).forEach((name, demand) -> limits.demand(now, name, demand)), () -> {});
+                    m -> m.collectLimitDemands(passed).forEach((name, demand) -> limits.demand(now, name, demand)),
+                    () -> {});
             limits.onTick(now, incarnation);
-            List<Balancer.Share> shares = limits.shares(now, 2 * Limits.TICK_US);
-            decisions.call(m -> m.onShares(now, shares), () -> {});
+            List<Balancer.LimitShare> shares = limits.shares(now, 2 * Limits.TICK_US);
+            decisions.call(m -> m.onLimitShares(now, shares), () -> {});
         }
     }
 
     private byte[] known() {
         byte[][] known = new byte[1][];
-        decisions.call(m -> known[0] = m.know(), () -> {});
+        decisions.call(m -> known[0] = m.exportEstimates(), () -> {});
         return known[0] == null ? new byte[0] : known[0];
     }
 
@@ -222,7 +223,7 @@
                 if (!all.isEmpty()) {
                     decisions.call(
                             m -> {
-                                int read = m.onKnow(now, all);
+                                int read = m.importEstimates(now, all);
                                 Log.line("shared: begins with what "
                                         + (kept != null ? "the process before" : told.size() + " others") + " knew"
                                         + (read < all.size()
@@ -251,7 +252,7 @@
         Map<String, Double> weights = orders.weights(servers.get());
         if (weighed || !weights.isEmpty()) {
             weighed = !weights.isEmpty();
-            decisions.call(m -> m.onWeights(now, new Balancer.Weights(weights, now + COUNTS_US)), () -> {});
+            decisions.call(m -> m.onServerWeights(now, new Balancer.ServerWeights(weights, now + COUNTS_US)), () -> {});
         }
     }
 
@@ -333,7 +334,7 @@
                             one.put("server", c.server());
                             one.put("kind", word(c.verdict().kind()));
                             one.put("factor", c.verdict().factor());
-                            one.put("holds", c.verdict().holds());
+                            one.put("holds", c.verdict().confirmed());
                             one.put("why", c.why());
                             one.put(
                                     "words",
--- a/src/main/java/rushproxy/sidecar/LimitWords.java
+++ b/src/main/java/rushproxy/sidecar/LimitWords.java
@@ -1,7 +1,7 @@
 package rushproxy.sidecar;
 
 import java.util.Locale;
-import rushproxy.Balancer.Scope;
+import rushproxy.Balancer.LimitScope;
 import rushproxy.Balancer.Settings;
 import rushproxy.fleet.shared.Limits;
 
@@ -15,17 +15,17 @@
      */
     static Limits.Limit limit(String name, String of, String per, double most, Settings settings) {
         int colon = of.indexOf(':');
-        Scope scope = switch (colon < 0 ? of : of.substring(0, colon)) {
-            case "all" -> Scope.ALL;
-            case "class" -> Scope.CLASS;
-            case "tenant" -> Scope.TENANT;
+        LimitScope scope = switch (colon < 0 ? of : of.substring(0, colon)) {
+            case "all" -> LimitScope.ALL;
+            case "class" -> LimitScope.CLASS;
+            case "tenant" -> LimitScope.TENANT;
             default -> throw new IllegalArgumentException("'" + of + "' is not all, class:NAME or tenant:NAME");
         };
         String whom = colon < 0 ? "" : of.substring(colon + 1);
-        if (scope == Scope.ALL != whom.isEmpty()) {
+        if (scope == LimitScope.ALL != whom.isEmpty()) {
             throw new IllegalArgumentException("'" + of + "' is not all, class:NAME or tenant:NAME");
         }
-        if (scope == Scope.CLASS
+        if (scope == LimitScope.CLASS
                 && settings.classes().stream().noneMatch(c -> c.name().equals(whom))) {
             throw new IllegalArgumentException("no class '" + whom + "'");
         }
@@ -42,6 +42,6 @@
     }
 
     static String words(Limits.Limit l) {
-        return (l.scope() == Scope.ALL ? "all" : l.scope().name().toLowerCase(Locale.ROOT) + ":" + l.of());
+        return (l.scope() == LimitScope.ALL ? "all" : l.scope().name().toLowerCase(Locale.ROOT) + ":" + l.of());
     }
 }
--- a/src/main/java/rushproxy/sidecar/RequestGuard.java
+++ b/src/main/java/rushproxy/sidecar/RequestGuard.java
@@ -75,12 +75,12 @@
             return true;
         }
         // The module has been asked just before, by its own clock reading.
-        if (clock.now() - earlier.sentUs() >= c.windowUs() + CLOCK_SLACK_US) {
+        if (clock.now() - earlier.sentUs() >= c.dedupWindowUs() + CLOCK_SLACK_US) {
             return false;
         }
         Upstream at = earlier.target();
         Upstream now = call.target();
-        return switch (c.group()) {
+        return switch (c.dedupScope()) {
             case ALL -> true;
             case ZONE -> at.zone().equals(now.zone());
             case CELL -> at.cell() == now.cell();
--- a/src/main/java/rushproxy/sidecar/Requests.java
+++ b/src/main/java/rushproxy/sidecar/Requests.java
@@ -163,7 +163,7 @@
     }
 
     private void expired(Exchange x) {
-        decisions.call(m -> m.onExpired(clock.now(), x.request.id()), () -> {});
+        decisions.call(m -> m.onRequestExpired(clock.now(), x.request.id()), () -> {});
     }
 
     /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
@@ -209,8 +209,8 @@
 
                     @Override
                     public void sent(UpstreamCall c) {
-                        if (x.request.partial()) {
-                            decisions.call(m -> m.onSent(clock.now(), x.request.id(), number), () -> {});
+                        if (x.request.bodyIncomplete()) {
+                            decisions.call(m -> m.onRequestSent(clock.now(), x.request.id(), number), () -> {});
                         }
                     }
                 });
@@ -228,7 +228,7 @@
 
     /** Asked just before the first byte, on every way to it: the module, then the guard. */
     private boolean mayBegin(Exchange x, int number, UpstreamCall call) {
-        String why = decisions.ask(m -> m.mayBegin(clock.now(), x.request.id(), number))
+        String why = decisions.ask(m -> m.canStartAttempt(clock.now(), x.request.id(), number))
                 ? guard.whyNotSend(x, call)
                 : "the module says no";
         if (why != null) {
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -106,7 +106,7 @@
         upstreams = new Upstreams(
                 loop,
                 time,
-                settings.limits().connIdleUs(),
+                settings.limits().connectionIdleUs(),
                 Upstreams.REST_US,
                 config.dialTimeoutUs(),
                 // A place for the next client is none of those that clients do not use.
@@ -125,7 +125,7 @@
                 starts,
                 config.discovery(),
                 config.known().generation(),
-                settings.rules().askEveryUs(),
+                settings.rules().discoveryRetryUs(),
                 !settings.discoveryOnRequest());
         reload = new Reload(address -> loop.execute(() -> discovery.moveTo(address)));
         peers = new Peers(clock, decisions, config.peers(), config.peersAll());
@@ -138,7 +138,7 @@
         cordons = config.admin() == null
                 ? null
                 : new CordonStore(
-                        config.kept(), settings.rules().rampUs() / 1000, now -> loop.execute(() -> mark(now)));
+                        config.kept(), settings.rules().rampTimeUs() / 1000, now -> loop.execute(() -> mark(now)));
         deadlines = new AnswerDeadlines(settings.classes(), loopDelay);
         clients = new ClientServer(
                 loop,
@@ -219,7 +219,7 @@
         loop.submit(() -> decisions.start(
                         actions -> {
                             Balancer made = module.create(config, clock.now(), actions);
-                            made.onList(
+                            made.onUpstreamList(
                                     clock.now(),
                                     ListKind.CACHED,
                                     known.entries().stream()
@@ -461,7 +461,8 @@
                     left -> probe(),
                     null,
                     (call, outcome, report, body) -> decisions.call(
-                            m -> m.onProbe(clock.now(), upstream, outcome, upstreams.tookUs(call), report), () -> {})));
+                            m -> m.onProbeResult(clock.now(), upstream, outcome, upstreams.tookUs(call), report),
+                            () -> {})));
         }
 
         private static HttpRequest probe() {
@@ -474,17 +475,17 @@
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             peers.tell(peer, message);
         }
 
         @Override
-        public void close(String upstream) {
+        public void closeIdleConnections(String upstream) {
             upstreams.close(upstream);
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             loop.schedule(
                     () -> decisions.call(m -> m.onTimer(clock.now(), mark), requests::failHeld),
                     delayUs,
@@ -497,7 +498,7 @@
         }
 
         @Override
-        public void evidence(String upstream, Balancer.Evidence kind, double factor) {
+        public void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
             if (fleet != null) {
                 fleet.evidence(upstream, kind, factor);
             }
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -134,7 +134,7 @@
         decisions.start(
                 actions -> {
                     Balancer module = new Policy(settings, SEED, clock.now(), actions);
-                    module.onList(clock.now(), ListKind.FULL, list);
+                    module.onUpstreamList(clock.now(), ListKind.FULL, list);
                     return module;
                 },
                 new Hands());
@@ -217,22 +217,23 @@
 
         @Override
         public void probe(String upstream) {
-            decisions.call(m -> m.onProbe(clock.now(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
+            decisions.call(
+                    m -> m.onProbeResult(clock.now(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
         }
 
         @Override
         public void subscribe() {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
-        public void close(String upstream) {
+        public void closeIdleConnections(String upstream) {
             upstreams.close(upstream);
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             loop.schedule(
                     () -> {
                         if (!over) {
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/rushproxy/wire/SettingsReader.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Limits;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.RequestClass;
 import rushproxy.Balancer.Rules;
 import rushproxy.Balancer.Semantics;
@@ -151,20 +151,20 @@
         };
     }
 
-    private static Group group(String word) {
+    private static DedupScope group(String word) {
         return switch (word) {
-            case "all", "-" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all", "-" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
             default -> throw new WireException("group '" + word + "' is unknown");
         };
     }
 
-    private static Reports reports(String word) {
+    private static LoadReporting reports(String word) {
         return switch (word) {
-            case "inline" -> Reports.INLINE;
-            case "on_probe" -> Reports.ON_PROBE;
-            default -> Reports.NONE;
+            case "inline" -> LoadReporting.INLINE;
+            case "on_probe" -> LoadReporting.ON_PROBE;
+            default -> LoadReporting.NONE;
         };
     }
 }
--- a/src/main/java/rushproxy/wire/SimHost.java
+++ b/src/main/java/rushproxy/wire/SimHost.java
@@ -154,7 +154,7 @@
                 if (entries == null) {
                     throw new WireException("ANNOUNCE names PAGE " + number + ", which was never sent");
                 }
-                guarded(name, () -> instance.balancer.onList(now, kind, entries));
+                guarded(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
             }
             case "ACCEPT" -> {
                 String id = f.text();
@@ -191,16 +191,16 @@
                 Outcome outcome = outcome(f.text());
                 long latency = f.numberOr(0);
                 LoadReport report = report(f.textOrNull(), instance.reportFields);
-                guarded(name, () -> instance.balancer.onProbe(now, upstream, outcome, latency, report));
+                guarded(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
             }
             case "EXPIRED" -> {
                 String id = f.text();
-                guarded(name, () -> instance.balancer.onExpired(now, id));
+                guarded(name, () -> instance.balancer.onRequestExpired(now, id));
             }
             case "MAIL" -> {
                 int peer = (int) f.number();
                 byte[] message = bytes(f.textOrNull());
-                guarded(name, () -> instance.balancer.onPeer(now, peer, message));
+                guarded(name, () -> instance.balancer.onPeerMessage(now, peer, message));
             }
             case "DEADLINE_HIT" -> {
                 String mark = f.text();
@@ -332,7 +332,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             line("WRITE_PEER ")
                     .append(peer)
                     .append(' ')
@@ -341,12 +341,12 @@
         }
 
         @Override
-        public void close(String upstream) {
+        public void closeIdleConnections(String upstream) {
             line("LET_GO ").append(upstream).append('\n');
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             line("SCHEDULE ").append(mark).append(' ').append(delayUs).append('\n');
         }
 
--- a/src/test/java/rushproxy/AffinityTest.java
+++ b/src/test/java/rushproxy/AffinityTest.java
@@ -16,18 +16,18 @@
 class AffinityTest {
     private static final int SERVERS = 12;
 
-    private static Rig rig(long seed, int me) {
-        Rig rig = new Rig();
+    private static PolicyHarness rig(long seed, int me) {
+        PolicyHarness rig = new PolicyHarness();
         rig.seed = seed;
         rig.me = me;
         Upstream[] ups = new Upstream[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
-            ups[i] = Rig.up("s" + i, "za", i);
+            ups[i] = PolicyHarness.up("s" + i, "za", i);
         }
         return rig.start().list(ups);
     }
 
-    private static String send(Rig rig, String id, long key, boolean answer) {
+    private static String send(PolicyHarness rig, String id, long key, boolean answer) {
         rig.after(3_000);
         rig.policy.onRequest(rig.now, new Request(id, key, false, false, 0, 800_000, null, "c"));
         String at = rig.sentTo(id, 0);
@@ -42,7 +42,7 @@
         for (long key = 0; key < 40; key++) {
             Set<String> pair = new HashSet<>();
             for (int me = 0; me < 2; me++) {
-                Rig rig = rig(7 + me, me);
+                PolicyHarness rig = rig(7 + me, me);
                 for (int i = 0; i < 25; i++) {
                     pair.add(send(rig, "r" + i, key, true));
                 }
@@ -53,7 +53,7 @@
 
     @Test
     void overAllKeysServersThatAreAlikeGetAsMuch() {
-        Rig rig = rig(7, 0);
+        PolicyHarness rig = rig(7, 0);
         Map<String, Integer> got = new HashMap<>();
         int requests = 6_000;
         for (int i = 0; i < requests; i++) {
@@ -65,7 +65,7 @@
 
     @Test
     void aPopularKeyIsServedBeyondItsPairWhereThatIsFull() {
-        Rig rig = rig(7, 0);
+        PolicyHarness rig = rig(7, 0);
         Map<String, Integer> held = new HashMap<>();
         for (int i = 0; i < SERVERS; i++) {
             held.merge(send(rig, "r" + i, 5, false), 1, Integer::sum);
--- a/src/test/java/rushproxy/ColdRampTest.java
+++ b/src/test/java/rushproxy/ColdRampTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Limits;
 import rushproxy.Balancer.ListKind;
 import rushproxy.Balancer.LoadReport;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.Request;
 import rushproxy.Balancer.RequestClass;
 import rushproxy.Balancer.Rules;
@@ -79,7 +79,7 @@
     private static final class Play {
         final Random random;
         final int n;
-        final Reports reports;
+        final LoadReporting reports;
         final PriorityQueue<Event> events = new PriorityQueue<>(
                 (a, b) -> a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
         final List<Policy> fleet = new ArrayList<>();
@@ -96,7 +96,7 @@
         int asked;
         int served;
 
-        Play(long seed, int n, Reports reports) {
+        Play(long seed, int n, LoadReporting reports) {
             random = new Random(seed * 1_000_003 + n);
             this.n = n;
             this.reports = reports;
@@ -108,8 +108,8 @@
             for (int c = 0; c < 3; c++) {
                 means[c] = (40 + 80 * random.nextDouble()) * 1_000;
                 long aim = (long) (means[c] * (3 + 4 * random.nextDouble()));
-                classes.add(
-                        new RequestClass("c" + c, Semantics.SAFE, Group.ALL, 5 * S, aim, 0, 4 * aim, 1 + c, 0, false));
+                classes.add(new RequestClass(
+                        "c" + c, Semantics.SAFE, DedupScope.ALL, 5 * S, aim, 0, 4 * aim, 1 + c, 0, false));
             }
             int slow = random.nextInt(2);
             for (int i = 0; i < SERVERS; i++) {
@@ -175,12 +175,12 @@
             long end = servers[0].startedUs + rampUs + S;
             for (int i = 0; i < n; i++) {
                 int me = i;
-                fleet.get(i).onList(now, ListKind.FULL, list(false));
+                fleet.get(i).onUpstreamList(now, ListKind.FULL, list(false));
                 double own = rate * part[i] / sum / 1e6;
                 at(now + gap(own), () -> arrive(me, own, end));
                 at(
                         servers[0].startedUs + random.nextInt(100_000),
-                        () -> fleet.get(me).onList(now, ListKind.FULL, list(true)));
+                        () -> fleet.get(me).onUpstreamList(now, ListKind.FULL, list(true)));
             }
             for (Event e; (e = events.poll()) != null && e.atUs < end; ) {
                 now = e.atUs;
@@ -213,7 +213,7 @@
                     s.running--;
                     begin(s);
                     served++;
-                    LoadReport report = reports == Reports.NONE
+                    LoadReport report = reports == LoadReporting.NONE
                             ? null
                             : new LoadReport(s.running + s.queue.size(), s.queue.size(), 0.5);
                     fleet.get(call.sidecar)
@@ -287,13 +287,13 @@
             public void subscribe() {}
 
             @Override
-            public void tell(int peer, byte[] message) {}
+            public void sendToPeer(int peer, byte[] message) {}
 
             @Override
-            public void close(String upstream) {}
+            public void closeIdleConnections(String upstream) {}
 
             @Override
-            public void timer(String mark, long delayUs) {
+            public void startTimer(String mark, long delayUs) {
                 at(now + delayUs, () -> fleet.get(me).onTimer(now, mark));
             }
 
@@ -314,7 +314,7 @@
     @Test
     void theFleetStaysInsideTheBudgetOfTheTrueCapacity() {
         HARD.forEach((n, seeds) -> {
-            for (Reports reports : new Reports[] {Reports.NONE, Reports.INLINE}) {
+            for (LoadReporting reports : new LoadReporting[] {LoadReporting.NONE, LoadReporting.INLINE}) {
                 for (int seed : seeds) {
                     Found f = new Play(seed, n, reports).run();
                     assertTrue(f.toCold > 0, "nobody warms it");
@@ -332,7 +332,7 @@
     void figures() {
         int seeds = Integer.getInteger("ramp.seeds");
         int from = Integer.getInteger("ramp.from", 1_000);
-        Reports reports = Reports.valueOf(System.getProperty("ramp.reports", "NONE"));
+        LoadReporting reports = LoadReporting.valueOf(System.getProperty("ramp.reports", "NONE"));
         for (int n : HARD.keySet()) {
             double calls = Double.NEGATIVE_INFINITY;
             double work = Double.NEGATIVE_INFINITY;
--- a/src/test/java/rushproxy/KnowledgeTest.java
+++ b/src/test/java/rushproxy/KnowledgeTest.java
@@ -12,8 +12,9 @@
 /** What one instance has learned is the beginning of another. */
 class KnowledgeTest {
     /** Learns that servers are three times as slow as the settings' classes say. */
-    private static Rig taught(double slower) {
-        Rig rig = new Rig().start().list(Rig.up("s0", "za", 0), Rig.up("s1", "za", 1));
+    private static PolicyHarness taught(double slower) {
+        PolicyHarness rig =
+                new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), PolicyHarness.up("s1", "za", 1));
         for (int i = 0; i < 200; i++) {
             rig.after(5_000).request("r" + i);
             if (rig.sentTo("r" + i, 0) != null) {
@@ -26,28 +27,28 @@
 
     @Test
     void aFreshOneBeginsWhereTheOthersAre() {
-        Rig fresh = new Rig().start();
-        byte[] known = taught(0.5).policy.know();
-        assertFalse(java.util.Arrays.equals(known, fresh.policy.know()));
-        assertEquals(2, fresh.policy.onKnow(fresh.now, List.of(known, known)));
-        assertArrayEquals(known, fresh.policy.know());
+        PolicyHarness fresh = new PolicyHarness().start();
+        byte[] known = taught(0.5).policy.exportEstimates();
+        assertFalse(java.util.Arrays.equals(known, fresh.policy.exportEstimates()));
+        assertEquals(2, fresh.policy.importEstimates(fresh.now, List.of(known, known)));
+        assertArrayEquals(known, fresh.policy.exportEstimates());
     }
 
     @Test
     void oneAmongThreeMovesNothing() {
-        byte[] known = taught(0.5).policy.know();
-        Knowledge lie = new Knowledge(settings());
-        assertTrue(lie.read(known));
-        java.util.Arrays.fill(lie.slow, 100);
-        lie.crowding = 500;
-        Rig fresh = new Rig().start();
-        fresh.policy.onKnow(fresh.now, List.of(known, lie.bytes(), known));
-        assertArrayEquals(known, fresh.policy.know());
+        byte[] known = taught(0.5).policy.exportEstimates();
+        Estimates lie = new Estimates(settings());
+        assertTrue(lie.decode(known));
+        java.util.Arrays.fill(lie.slowness, 100);
+        lie.congestion = 500;
+        PolicyHarness fresh = new PolicyHarness().start();
+        fresh.policy.importEstimates(fresh.now, List.of(known, lie.encode(), known));
+        assertArrayEquals(known, fresh.policy.exportEstimates());
     }
 
     private static Balancer.Settings settings() {
-        Balancer.RequestClass c =
-                new Balancer.RequestClass("c", Balancer.Semantics.SAFE, Balancer.Group.ALL, 0, 1, 0, 1, 1, 0, false);
+        Balancer.RequestClass c = new Balancer.RequestClass(
+                "c", Balancer.Semantics.SAFE, Balancer.DedupScope.ALL, 0, 1, 0, 1, 1, 0, false);
         return new Balancer.Settings(
                 0,
                 2,
@@ -58,7 +59,7 @@
                 List.of(),
                 null,
                 null,
-                Balancer.Reports.INLINE,
+                Balancer.LoadReporting.INLINE,
                 false,
                 false,
                 0,
@@ -68,9 +69,9 @@
 
     @Test
     void whatIsNoKnowledgeIsLeftOut() {
-        Rig fresh = new Rig().start();
-        byte[] own = fresh.policy.know();
-        byte[] known = taught(0.5).policy.know();
+        PolicyHarness fresh = new PolicyHarness().start();
+        byte[] own = fresh.policy.exportEstimates();
+        byte[] known = taught(0.5).policy.exportEstimates();
         byte[] version = known.clone();
         version[0] = 9;
         byte[] shape = known.clone();
@@ -80,15 +81,15 @@
         byte[] negative = known.clone();
         java.nio.ByteBuffer.wrap(negative).putFloat(known.length - 8, -1);
         List<byte[]> bad = List.of(new byte[0], new byte[500], version, shape, impossible, negative);
-        assertEquals(0, fresh.policy.onKnow(fresh.now, bad));
-        assertArrayEquals(own, fresh.policy.know());
+        assertEquals(0, fresh.policy.importEstimates(fresh.now, bad));
+        assertArrayEquals(own, fresh.policy.exportEstimates());
     }
 
     @Test
     void whoKnowsMoreItselfTakesNothing() {
-        Rig old = taught(2);
-        byte[] own = old.policy.know();
-        old.policy.onKnow(old.now, List.of(taught(0.5).policy.know()));
-        assertArrayEquals(own, old.policy.know());
+        PolicyHarness old = taught(2);
+        byte[] own = old.policy.exportEstimates();
+        old.policy.importEstimates(old.now, List.of(taught(0.5).policy.exportEstimates()));
+        assertArrayEquals(own, old.policy.exportEstimates());
     }
 }
--- a/src/test/java/rushproxy/Rig.java
+++ b/src/test/java/rushproxy/PolicyHarness.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Limits;
 import rushproxy.Balancer.ListKind;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.Request;
 import rushproxy.Balancer.RequestClass;
 import rushproxy.Balancer.Rules;
@@ -18,13 +18,13 @@
 import rushproxy.Balancer.UpstreamState;
 
 /** One instance of the module under test, its actions written down as lines. */
-final class Rig implements Balancer.Actions {
+final class PolicyHarness implements Balancer.Actions {
     final List<String> actions = new ArrayList<>();
     long now = 1_000_000_000L;
     Policy policy;
 
     Semantics semantics = Semantics.SAFE;
-    Group group = Group.ALL;
+    DedupScope group = DedupScope.ALL;
     long windowUs = 4_000_000;
     long aimUs = 300_000;
     boolean stream;
@@ -39,11 +39,11 @@
     int balancers = 2;
     long seed = 7;
     double crossZonePrice;
-    Reports reports = Reports.INLINE;
+    LoadReporting reports = LoadReporting.INLINE;
     List<Tenant> tenants = List.of();
     List<RequestClass> otherClasses = List.of();
 
-    Rig start() {
+    PolicyHarness start() {
         RequestClass c = new RequestClass("c", semantics, group, windowUs, aimUs, 0, 800_000, 3, 0, stream);
         List<RequestClass> classes = new ArrayList<>(otherClasses);
         classes.add(c);
@@ -71,32 +71,32 @@
         return new Upstream(id, zone, "k", cell, 0, 1, UpstreamState.READY);
     }
 
-    Rig list(Upstream... entries) {
-        policy.onList(now, ListKind.FULL, List.of(entries));
+    PolicyHarness list(Upstream... entries) {
+        policy.onUpstreamList(now, ListKind.FULL, List.of(entries));
         return this;
     }
 
-    Rig request(String id) {
+    PolicyHarness request(String id) {
         return request(id, 800_000);
     }
 
-    Rig request(String id, long remainingUs) {
+    PolicyHarness request(String id, long remainingUs) {
         policy.onRequest(now, new Request(id, -1, false, false, 0, remainingUs, null, "c"));
         return this;
     }
 
-    Rig outcome(String id, int attempt, String upstream, Outcome outcome, long latencyUs) {
+    PolicyHarness outcome(String id, int attempt, String upstream, Outcome outcome, long latencyUs) {
         policy.onOutcome(now, id, attempt, upstream, outcome, latencyUs, outcome == Outcome.OK, null);
         return this;
     }
 
-    Rig after(long us) {
+    PolicyHarness after(long us) {
         now += us;
         return this;
     }
 
     /** Fires the timer, as the host would. */
-    Rig fire(String mark) {
+    PolicyHarness fire(String mark) {
         policy.onTimer(now, mark);
         return this;
     }
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void evidence(String upstream, Balancer.Evidence kind, double factor) {
+    public void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
         actions.add("evidence " + upstream + " " + kind);
     }
 
@@ -147,17 +147,17 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer + " " + message.length);
     }
 
     @Override
-    public void close(String upstream) {
+    public void closeIdleConnections(String upstream) {
         actions.add("close " + upstream);
     }
 
     @Override
-    public void timer(String mark, long delayUs) {
+    public void startTimer(String mark, long delayUs) {
         actions.add("timer " + mark + " " + delayUs);
     }
 
--- a/src/test/java/rushproxy/PolicyTest.java
+++ b/src/test/java/rushproxy/PolicyTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.ListKind;
 import rushproxy.Balancer.LoadReport;
 import rushproxy.Balancer.Outcome;
@@ -21,14 +21,14 @@
 import rushproxy.Balancer.UpstreamState;
 
 class PolicyTest {
-    private static final Upstream A = Rig.up("a", "za", 1);
-    private static final Upstream B = Rig.up("b", "zb", 2);
+    private static final Upstream A = PolicyHarness.up("a", "za", 1);
+    private static final Upstream B = PolicyHarness.up("b", "zb", 2);
 
     // ---- final answers --------------------------------------------------------------------------
 
     @Test
     void withoutAnyServerARequestIsAnsweredBeforeItsDeadline() {
-        Rig rig = new Rig().start();
+        PolicyHarness rig = new PolicyHarness().start();
         rig.request("r");
         for (int i = 0; i < 100; i++) {
             rig.after(5_000).fire("hold");
@@ -39,7 +39,7 @@
 
     @Test
     void aRequestWithHardlyAnyTimeLeftIsNotHeldForTheSweep() {
-        Rig rig = new Rig().start();
+        PolicyHarness rig = new PolicyHarness().start();
         rig.request("r", 3_000);
         assertEquals(1, rig.take("refuse r").size());
     }
@@ -47,9 +47,9 @@
     /** Where all wait, the place that frees goes to the work of most worth, also if that may wait longest. */
     @Test
     void whatIsOfMostWorthGoesFirst() {
-        Rig rig = new Rig();
-        rig.otherClasses = List.of(
-                new RequestClass("rich", Semantics.SAFE, Group.ALL, 4_000_000, 900_000, 0, 2_000_000, 30, 0, false));
+        PolicyHarness rig = new PolicyHarness();
+        rig.otherClasses = List.of(new RequestClass(
+                "rich", Semantics.SAFE, DedupScope.ALL, 4_000_000, 900_000, 0, 2_000_000, 30, 0, false));
         rig.start().list(A);
         int busy = 0;
         while (rig.take("send").size() == busy) {
@@ -64,7 +64,7 @@
     /** The aim runs from a client's first try: a retry that can't be in time any more is refused at once. */
     @Test
     void aRetryIsHeldNoLongerThanItsFirstTryLeavesTime() {
-        Rig rig = new Rig().start();
+        PolicyHarness rig = new PolicyHarness().start();
         rig.policy.onRequest(rig.now, new Request("first", 5, false, false, 0, 440_000, null, "c"));
         for (int i = 0; i < 60; i++) {
             rig.after(5_000).fire("hold");
@@ -78,9 +78,9 @@
 
     @Test
     void aTimeoutAtTheDeadlineIsAnsweredWithAFailure() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.semantics = Semantics.KEYED;
-        rig.group = Group.ZONE;
+        rig.group = DedupScope.ZONE;
         rig.start().list(A).request("r").after(800_000).outcome("r", 0, "a", Outcome.TIMEOUT, 800_000);
         assertEquals(1, rig.take("fail r").size());
         assertEquals(1, rig.take("send r").size());
@@ -88,9 +88,9 @@
 
     @Test
     void nothingFollowsAfterTheClientHasLeft() {
-        Rig rig = new Rig().start().list(A, B);
+        PolicyHarness rig = new PolicyHarness().start().list(A, B);
         rig.request("r");
-        rig.policy.onExpired(rig.now, "r");
+        rig.policy.onRequestExpired(rig.now, "r");
         rig.after(10_000).outcome("r", 0, rig.sentTo("r", 0), Outcome.CONNECT_FAILED, 10_000);
         assertEquals(1, rig.take("send r").size());
         assertTrue(rig.take("fail").isEmpty() && rig.take("refuse").isEmpty());
@@ -98,7 +98,7 @@
 
     @Test
     void aStartedStreamGetsNoOtherAttemptAndNoSecondAnswer() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.stream = true;
         rig.start().list(A, B).request("r");
         rig.policy.onStreamStart(rig.now, "r", 0, rig.sentTo("r", 0), 5_000);
@@ -111,7 +111,7 @@
 
     @Test
     void unsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.semantics = Semantics.UNSAFE;
         rig.start().list(A, B).request("r").after(10_000);
         rig.outcome("r", 0, rig.sentTo("r", 0), Outcome.ERROR, 10_000);
@@ -122,7 +122,7 @@
 
     @Test
     void unsafeGoesAgainWhereItProvablyNeverRan() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.semantics = Semantics.UNSAFE;
         rig.start().list(A, B).request("r").after(10_000);
         rig.outcome("r", 0, rig.sentTo("r", 0), Outcome.CONNECT_FAILED, 10_000);
@@ -133,11 +133,11 @@
     @Test
     void keyedStaysInTheZoneThatDropsRepeats() {
         for (int seed = 0; seed < 20; seed++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.seed = seed;
             rig.semantics = Semantics.KEYED;
-            rig.group = Group.ZONE;
-            rig.start().list(A, B, Rig.up("c", "zb", 3)).request("r").after(10_000);
+            rig.group = DedupScope.ZONE;
+            rig.start().list(A, B, PolicyHarness.up("c", "zb", 3)).request("r").after(10_000);
             String first = rig.sentTo("r", 0);
             rig.outcome("r", 0, first, Outcome.RESET, 10_000);
             String second = rig.sentTo("r", 1);
@@ -150,14 +150,14 @@
 
     @Test
     void keyedStaysInItsCellAndItsWindow() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.semantics = Semantics.KEYED;
-        rig.group = Group.CELL;
+        rig.group = DedupScope.CELL;
         rig.start().list(A, B).request("r").after(10_000).outcome("r", 0, rig.sentTo("r", 0), Outcome.ERROR, 10_000);
         String second = rig.sentTo("r", 1);
         assertTrue(second == null || second.equals(rig.sentTo("r", 0)));
 
-        Rig late = new Rig();
+        PolicyHarness late = new PolicyHarness();
         late.semantics = Semantics.KEYED;
         late.windowUs = 5_000;
         late.start().list(A, B).request("r").after(10_000).outcome("r", 0, late.sentTo("r", 0), Outcome.ERROR, 10_000);
@@ -170,25 +170,25 @@
     /** A connection takes time to come up: what was in the window at the decision may be out of it at the sending. */
     @Test
     void aRepeatBeginsOnlyWhileItsWindowIsOpen() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.semantics = Semantics.KEYED;
         rig.windowUs = 50_000;
         rig.start().list(A, B).request("r");
-        assertTrue(rig.policy.mayBegin(rig.now + 100_000, "r", 0), "a first attempt repeats nothing");
+        assertTrue(rig.policy.canStartAttempt(rig.now + 100_000, "r", 0), "a first attempt repeats nothing");
         rig.after(45_000).outcome("r", 0, rig.sentTo("r", 0), Outcome.ERROR, 10_000);
         assertNotNull(rig.sentTo("r", 1));
-        assertTrue(rig.policy.mayBegin(rig.now + 4_000, "r", 1));
-        assertFalse(rig.policy.mayBegin(rig.now + 5_000, "r", 1));
-        assertFalse(rig.policy.mayBegin(rig.now, "other", 0));
-        rig.policy.onExpired(rig.now, "r");
-        assertFalse(rig.policy.mayBegin(rig.now, "r", 1), "its client has gone");
+        assertTrue(rig.policy.canStartAttempt(rig.now + 4_000, "r", 1));
+        assertFalse(rig.policy.canStartAttempt(rig.now + 5_000, "r", 1));
+        assertFalse(rig.policy.canStartAttempt(rig.now, "other", 0));
+        rig.policy.onRequestExpired(rig.now, "r");
+        assertFalse(rig.policy.canStartAttempt(rig.now, "r", 1), "its client has gone");
     }
 
     /** Retry advice is for what has not run; a safe request that may have run has failed. */
     @Test
     void whatMayHaveRunIsFailedAndNotRefused() {
         for (Outcome outcome : new Outcome[] {Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.REJECTED}) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.maxAttempts = 1;
             rig.start().list(A, B).request("r").after(10_000).outcome("r", 0, rig.sentTo("r", 0), outcome, 10_000);
             assertEquals(outcome.mayHaveRun ? 1 : 0, rig.take("fail r").size(), outcome.name());
@@ -198,9 +198,9 @@
 
     @Test
     void theMostAttemptsAreKept() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.maxAttempts = 2;
-        rig.start().list(A, B, Rig.up("c", "zc", 3)).request("r");
+        rig.start().list(A, B, PolicyHarness.up("c", "zc", 3)).request("r");
         for (int i = 0; i < 2; i++) {
             rig.after(1_000).outcome("r", i, rig.sentTo("r", i), Outcome.CONNECT_FAILED, 1_000);
         }
@@ -211,11 +211,11 @@
     @Test
     void aSecondCopyPassesTheGateOnlyWhereAllowed() {
         for (boolean copies : new boolean[] {false, true}) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.secondCopies = copies;
             rig.start().list(A, B).request("r");
-            State.Server other = rig.policy.servers.get(rig.sentTo("r", 0).equals("a") ? "b" : "a");
-            assertEquals(copies, rig.policy.maySend(rig.now, rig.policy.open.get("r"), other));
+            PolicyState.Server other = rig.policy.servers.get(rig.sentTo("r", 0).equals("a") ? "b" : "a");
+            assertEquals(copies, rig.policy.canSend(rig.now, rig.policy.activeRequests.get("r"), other));
         }
     }
 
@@ -224,7 +224,7 @@
     /** Its body may take a minute: the server that is to have it has no work, and is not overdue. */
     @Test
     void aServerThatWaitsForABodyIsAsFreeAsBefore() {
-        Rig rig = new Rig().start().list(A);
+        PolicyHarness rig = new PolicyHarness().start().list(A);
         for (int i = 0; i < 6; i++) {
             rig.policy.onRequest(rig.now, new Balancer.Request("b" + i, -1, false, false, 0, 800_000, null, "c", true));
         }
@@ -232,7 +232,7 @@
         rig.after(60_000_000).request("r");
         assertEquals("a", rig.sentTo("r", 0));
         for (int i = 0; i < 6; i++) {
-            rig.policy.onSent(rig.now, "b" + i, 0);
+            rig.policy.onRequestSent(rig.now, "b" + i, 0);
         }
         rig.request("s");
         assertEquals(null, rig.sentTo("s", 0), "now it has six to do");
@@ -241,7 +241,7 @@
     /** A long answer was ready when it began: what the client's link takes is not the server's time. */
     @Test
     void aServerWhoseAnswerIsOnItsWayHasRoom() {
-        Rig rig = new Rig().start().list(A);
+        PolicyHarness rig = new PolicyHarness().start().list(A);
         for (int i = 0; i < 40; i++) {
             rig.request("r" + i).after(20_000);
             rig.policy.onStreamStart(rig.now, "r" + i, 0, "a", 20_000);
@@ -253,14 +253,14 @@
         }
         rig.after(1_000).request("after");
         assertEquals("a", rig.sentTo("after", 0));
-        assertTrue(rig.policy.open.size() <= 2);
+        assertTrue(rig.policy.activeRequests.size() <= 2);
     }
 
     // ---- cordons --------------------------------------------------------------------------------
 
     @Test
     void aServerLeftOutGetsNothingWhateverTheListSays() {
-        Rig rig = new Rig().start().list(A, B);
+        PolicyHarness rig = new PolicyHarness().start().list(A, B);
         rig.policy.onCordon(rig.now, "a", true, rig.now);
         Upstream again = new Upstream("a", "za", "k", 1, rig.now, 1, UpstreamState.READY);
         for (int i = 0; i < 20; i++) {
@@ -279,7 +279,7 @@
 
     @Test
     void whatIsCalledOutBeforeItIsListedIsLeftOutToo() {
-        Rig rig = new Rig().start();
+        PolicyHarness rig = new PolicyHarness().start();
         rig.policy.onCordon(rig.now, "a", true, rig.now);
         rig.list(A).request("r");
         assertTrue(rig.take("send").isEmpty());
@@ -295,7 +295,7 @@
     @Test
     void aServerThatIsBackGetsARequestSoon() {
         for (long seed = 0; seed < 20; seed++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.seed = seed;
             rig.start().list(A, B);
             rig.policy.onCordon(rig.now, "a", true, rig.now);
@@ -314,12 +314,12 @@
     /** It was started anew while it was left out, whatever the list knows of it. */
     @Test
     void aServerThatIsBackIsCold() {
-        Rig warm = new Rig().start().list(A);
-        Rig back = new Rig().start().list(A);
+        PolicyHarness warm = new PolicyHarness().start().list(A);
+        PolicyHarness back = new PolicyHarness().start().list(A);
         back.policy.onCordon(back.now, "a", true, back.now);
         back.after(3_000_000);
         back.policy.onCordon(back.now, "a", false, back.now);
-        for (Rig rig : List.of(warm, back)) {
+        for (PolicyHarness rig : List.of(warm, back)) {
             for (int i = 0; i < 100; i++) {
                 rig.request("r" + i).outcome("r" + i, 0, "a", Outcome.OK, 5_000).after(5_000);
             }
@@ -333,11 +333,11 @@
 
     @Test
     void nothingGoesToAServerToldDrainingOrGone() {
-        Rig rig = new Rig().start().list(A, B);
-        rig.policy.onList(
+        PolicyHarness rig = new PolicyHarness().start().list(A, B);
+        rig.policy.onUpstreamList(
                 rig.now, ListKind.DELTA, List.of(new Upstream("a", "za", "k", 1, 0, 1, UpstreamState.DRAINING)));
         rig.request("r1").request("r2");
-        rig.policy.onList(rig.now, ListKind.FULL, List.of(A));
+        rig.policy.onUpstreamList(rig.now, ListKind.FULL, List.of(A));
         rig.after(1).request("r3");
         assertEquals("b", rig.sentTo("r1", 0));
         assertEquals("b", rig.sentTo("r2", 0));
@@ -346,7 +346,7 @@
 
     @Test
     void aColdServerGetsNoMoreThanThisSidecarsPart() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.aimUs = 40_000;
         rig.start();
         rig.list(new Upstream("a", "za", "k", 1, rig.now, 1, UpstreamState.READY));
@@ -370,9 +370,9 @@
     @Test
     void manySidecarsTogetherStayInsideTheBudgetOfAColdServer() {
         int n = 600;
-        List<Rig> rigs = new ArrayList<>();
+        List<PolicyHarness> rigs = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.me = i;
             rig.seed = i;
             rig.balancers = n;
@@ -381,7 +381,7 @@
         }
         List<Long> sends = new ArrayList<>();
         for (int step = 0; step < 800; step++) {
-            for (Rig rig : rigs) {
+            for (PolicyHarness rig : rigs) {
                 rig.actions.clear();
                 String id = "r" + step;
                 rig.after(10_000).request(id, 300_000);
@@ -412,9 +412,9 @@
     @Test
     void manySidecarsThatAskFirstStayInsideTheBudgetToo() {
         int n = 500;
-        List<Rig> rigs = new ArrayList<>();
+        List<PolicyHarness> rigs = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.me = i;
             rig.seed = i;
             rig.balancers = n;
@@ -428,12 +428,13 @@
             double warmth = 0.13 + 0.87 * step * 5_000 / 24e6;
             work = Math.max(0, work - warmth * 5_000);
             double held = Math.ceil(work / 100_000);
-            for (Rig rig : rigs) {
+            for (PolicyHarness rig : rigs) {
                 boolean asked = !rig.take("probe").isEmpty();
                 rig.actions.clear();
                 rig.after(5_000);
                 if (asked) {
-                    rig.policy.onProbe(rig.now, "a", Outcome.OK, 1_000, new LoadReport(held, Math.max(0, held - 1), 1));
+                    rig.policy.onProbeResult(
+                            rig.now, "a", Outcome.OK, 1_000, new LoadReport(held, Math.max(0, held - 1), 1));
                 }
                 if (step % 100 == 0) {
                     rig.request("r" + step, 700_000);
@@ -458,15 +459,15 @@
     @Test
     void idleConnectionsAreClosedAtADrainAndAfterEachLaterOutcomeWhereTheRuleIsSet() {
         for (long within : new long[] {0, 500_000}) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.closeOnDrainUs = within;
             rig.start().list(A).request("r").request("s");
-            rig.policy.onList(rig.now, ListKind.DELTA, List.of(state(A, UpstreamState.DRAINING)));
+            rig.policy.onUpstreamList(rig.now, ListKind.DELTA, List.of(state(A, UpstreamState.DRAINING)));
             assertEquals(within > 0 ? 1 : 0, rig.take("close a").size());
             rig.after(50_000).outcome("r", 0, "a", Outcome.OK, 50_000);
             assertEquals(within > 0 ? 2 : 0, rig.take("close a").size());
             // It comes back: no more closing.
-            rig.policy.onList(rig.now, ListKind.DELTA, List.of(A));
+            rig.policy.onUpstreamList(rig.now, ListKind.DELTA, List.of(A));
             rig.after(50_000).outcome("s", 0, "a", Outcome.OK, 100_000);
             assertEquals(within > 0 ? 2 : 0, rig.take("close a").size());
         }
@@ -474,11 +475,11 @@
 
     @Test
     void aServerThatVanishesIsClosedAndOneNeverUsedIsNot() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.closeOnDrainUs = 500_000;
         rig.start().list(A, B).request("r");
         String used = rig.sentTo("r", 0);
-        rig.policy.onList(rig.now, ListKind.FULL, List.of());
+        rig.policy.onUpstreamList(rig.now, ListKind.FULL, List.of());
         assertEquals(List.of("close " + used), rig.take("close"));
     }
 
@@ -492,11 +493,11 @@
         }
         java.util.Map<String, Integer> users = new java.util.HashMap<>();
         for (int i = 0; i < n; i++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.me = i;
             rig.balancers = n;
             rig.connectionPrice = 0.05;
-            rig.reports = Balancer.Reports.NONE;
+            rig.reports = Balancer.LoadReporting.NONE;
             rig.start().list(fleet.toArray(new Upstream[0]));
             java.util.Set<String> used = new java.util.HashSet<>();
             for (int j = 0; j < 40; j++) {
@@ -514,7 +515,7 @@
     /** Connections dropped unseen: the failure speaks of the idle time, not of the server. */
     @Test
     void aConnectionLongIdleIsClosedBeforeUseOnceOneWasDropped() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.connectionPrice = 0.05;
         rig.start().list(A).request("r0").after(75_000).outcome("r0", 0, "a", Outcome.OK, 75_000);
         rig.after(2_000_000).request("r1").after(1_000).outcome("r1", 0, "a", Outcome.RESET, 1_000);
@@ -533,7 +534,7 @@
     /** A silent server that is tried more rarely than the idle time is remembered: each time-out was laid to the connection. */
     @Test
     void aServerTriedRarelyIsFoundSilent() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.connectionPrice = 0.05;
         rig.start().list(A).request("r").after(75_000).outcome("r", 0, "a", Outcome.OK, 75_000);
         for (int i = 0; i < 3; i++) {
@@ -546,9 +547,9 @@
     @Test
     void whereNoLoadIsToldACrowdShowsInTheAnswersAndRequestsAreShed() {
         for (int sidecars : new int[] {4, 400}) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.balancers = sidecars;
-            rig.reports = Balancer.Reports.NONE;
+            rig.reports = Balancer.LoadReporting.NONE;
             rig.aimUs = 700_000;
             rig.start().list(A, B);
             int refused = 0;
@@ -568,28 +569,28 @@
 
     // ---- loads asked by probes ------------------------------------------------------------------
 
-    private static Rig sampling() {
-        Rig rig = new Rig();
+    private static PolicyHarness sampling() {
+        PolicyHarness rig = new PolicyHarness();
         rig.probing = true;
         return rig.start().list(A, B);
     }
 
     @Test
     void bothDrawnAreAskedForTheirLoadAndTheLessBusyIsTaken() {
-        Rig rig = sampling().request("r");
+        PolicyHarness rig = sampling().request("r");
         assertEquals(2, rig.take("probe").size());
         assertNull(rig.sentTo("r", 0));
         rig.after(1_000);
-        rig.policy.onProbe(rig.now, "a", Outcome.OK, 1_000, new LoadReport(2, 1, 1));
-        rig.policy.onProbe(rig.now, "b", Outcome.OK, 1_000, new LoadReport(0, 0, 0));
+        rig.policy.onProbeResult(rig.now, "a", Outcome.OK, 1_000, new LoadReport(2, 1, 1));
+        rig.policy.onProbeResult(rig.now, "b", Outcome.OK, 1_000, new LoadReport(0, 0, 0));
         assertEquals("b", rig.sentTo("r", 0));
     }
 
     /** A stalled server shows in a probe before any request is lost on it. */
     @Test
     void oneThatDoesNotAnswerByTheNextSweepLoses() {
-        Rig rig = sampling().request("r").after(1_000);
-        rig.policy.onProbe(rig.now, "a", Outcome.OK, 1_000, new LoadReport(0, 0, 0));
+        PolicyHarness rig = sampling().request("r").after(1_000);
+        rig.policy.onProbeResult(rig.now, "a", Outcome.OK, 1_000, new LoadReport(0, 0, 0));
         assertNull(rig.sentTo("r", 0));
         rig.after(5_000).fire("hold");
         assertEquals("a", rig.sentTo("r", 0));
@@ -597,13 +598,13 @@
 
     @Test
     void aProbeAnsweredWithoutALoadCountsAsBusy() {
-        Rig rig = sampling().request("r").after(1_000);
-        rig.policy.onProbe(rig.now, "a", Outcome.OK, 1_000, null);
-        rig.policy.onProbe(rig.now, "b", Outcome.OK, 1_000, new LoadReport(1, 0, 1));
+        PolicyHarness rig = sampling().request("r").after(1_000);
+        rig.policy.onProbeResult(rig.now, "a", Outcome.OK, 1_000, null);
+        rig.policy.onProbeResult(rig.now, "b", Outcome.OK, 1_000, new LoadReport(1, 0, 1));
         for (int i = 0; i < 3 && rig.sentTo("r", 0) == null; i++) {
             rig.after(5_000);
-            rig.policy.onProbe(rig.now, "a", Outcome.OK, 1_000, null);
-            rig.policy.onProbe(rig.now, "b", Outcome.OK, 1_000, new LoadReport(1, 0, 1));
+            rig.policy.onProbeResult(rig.now, "a", Outcome.OK, 1_000, null);
+            rig.policy.onProbeResult(rig.now, "b", Outcome.OK, 1_000, new LoadReport(1, 0, 1));
             rig.fire("hold");
         }
         assertEquals("b", rig.sentTo("r", 0));
@@ -613,10 +614,10 @@
     @Test
     void aProbeThatWasNotSentLeavesNoServerOut() {
         for (Outcome own : new Outcome[] {Outcome.NOT_SENT, Outcome.CANCELLED}) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.start().list(A);
             for (int i = 0; i < 5; i++) {
-                rig.policy.onProbe(rig.now, "a", own, 1_000, null);
+                rig.policy.onProbeResult(rig.now, "a", own, 1_000, null);
             }
             assertEquals("a", rig.request("r").sentTo("r", 0), own.toString());
         }
@@ -626,7 +627,7 @@
 
     @Test
     void theLessBusyOfTwoWins() {
-        Rig rig = new Rig().start().list(A, B);
+        PolicyHarness rig = new PolicyHarness().start().list(A, B);
         rig.request("r1").request("r2");
         assertNotEquals(rig.sentTo("r1", 0), rig.sentTo("r2", 0));
     }
@@ -634,7 +635,8 @@
     @Test
     void drawsFollowTheShares() {
         // Equal servers, all idle: each is drawn alike.
-        Rig rig = new Rig().start().list(A, B, Rig.up("c", "zc", 3), Rig.up("d", "zc", 4));
+        PolicyHarness rig =
+                new PolicyHarness().start().list(A, B, PolicyHarness.up("c", "zc", 3), PolicyHarness.up("d", "zc", 4));
         int[] count = new int[4];
         for (int i = 0; i < 4000; i++) {
             rig.after(1_000).request("r" + i);
@@ -650,7 +652,7 @@
 
     @Test
     void tiesGoByUnequalShares() {
-        Rig rig = new Rig().start().list(A, B).request("first");
+        PolicyHarness rig = new PolicyHarness().start().list(A, B).request("first");
         rig.outcome("first", 0, rig.sentTo("first", 0), Outcome.OK, 75_000);
         rig.policy.servers.get("a").share = 0.75;
         rig.policy.servers.get("b").share = 0.25;
@@ -668,7 +670,7 @@
     /** Messages may be lost, repeated or false: they only move the fleet rate's estimate. */
     @Test
     void peersTellTheirRateToOneAtATime() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.balancers = 500;
         rig.start().list(A, B).fire("tell");
         assertEquals(1, rig.take("tell").size());
@@ -681,8 +683,8 @@
     /** A kind's speed once added up its servers' steps and drifted without bound; cores stuck at the guess. */
     @Test
     void speedsAndCoresAreFoundFromAnswersAlone() {
-        Rig rig = new Rig();
-        rig.reports = Balancer.Reports.NONE;
+        PolicyHarness rig = new PolicyHarness();
+        rig.reports = Balancer.LoadReporting.NONE;
         rig.aimUs = 4_000_000;
         rig.start().list(A);
         long[] freeAt = new long[4];
@@ -712,7 +714,7 @@
                 }
             }
         }
-        double slow = rig.policy.servers.get("a").slow();
+        double slow = rig.policy.servers.get("a").slowness();
         double cores = rig.policy.kinds.get("k").cores;
         assertTrue(cores > 2.5 && cores < 5, "" + cores);
         // Four cores at twice the standard speed: what counts is what they can do together.
@@ -722,9 +724,9 @@
     /** The one that was faster for a while kept all requests of a quiet sidecar for good: nothing told that the others had caught up. */
     @Test
     void serversThatHaveCaughtUpAreUsedAgain() {
-        Rig rig = new Rig();
-        rig.reports = Balancer.Reports.NONE;
-        rig.start().list(A, B, Rig.up("c", "za", 1), Rig.up("d", "za", 1));
+        PolicyHarness rig = new PolicyHarness();
+        rig.reports = Balancer.LoadReporting.NONE;
+        rig.start().list(A, B, PolicyHarness.up("c", "za", 1), PolicyHarness.up("d", "za", 1));
         int inARow = 0;
         for (int i = 0; inARow < 50 && i < 5_000; i++) {
             inARow = goesToTheFirst(rig, 50_000) ? inARow + 1 : 0;
@@ -738,7 +740,7 @@
     }
 
     /** One request and its answer, every 20 ms at most; whether "a" got it, which takes 10 ms. */
-    private static boolean goesToTheFirst(Rig rig, long othersUs) {
+    private static boolean goesToTheFirst(PolicyHarness rig, long othersUs) {
         rig.actions.clear();
         String server = rig.request("r").sentTo("r", 0);
         long tookUs = server.equals("a") ? 10_000 : othersUs;
@@ -755,8 +757,8 @@
     /** Where no load is told the own requests say little: others fill a server, and it is soon free again. */
     @Test
     void aServerFullOfOthersRequestsIsUsedAgainOnceItMayHaveRoom() {
-        Rig rig = new Rig();
-        rig.reports = Balancer.Reports.NONE;
+        PolicyHarness rig = new PolicyHarness();
+        rig.reports = Balancer.LoadReporting.NONE;
         rig.start().list(A, B).request("r").after(1_000);
         String full = rig.sentTo("r", 0);
         rig.outcome("r", 0, full, Outcome.REJECTED, 1_000);
@@ -768,8 +770,8 @@
     /** One on its way out turns all away: it is tried ever more seldom, not once for each request. */
     @Test
     void aServerThatTurnsAllAwayIsTriedEverMoreSeldom() {
-        Rig rig = new Rig();
-        rig.reports = Balancer.Reports.NONE;
+        PolicyHarness rig = new PolicyHarness();
+        rig.reports = Balancer.LoadReporting.NONE;
         rig.start().list(A, B);
         int tries = 0;
         for (int i = 0; i < 200; i++) {
@@ -788,8 +790,8 @@
     @Test
     void timeOutsEjectAServerOnlyIfItIsSilent() {
         for (boolean answers : new boolean[] {true, false}) {
-            Rig rig = new Rig();
-            rig.reports = Balancer.Reports.NONE;
+            PolicyHarness rig = new PolicyHarness();
+            rig.reports = Balancer.LoadReporting.NONE;
             rig.start().list(A).request("r1").request("r2").after(100_000);
             if (answers) {
                 rig.request("r3").after(50_000).outcome("r3", 0, "a", Outcome.OK, 50_000);
@@ -807,8 +809,8 @@
     @Test
     void oneLongRequestDoesNotMakeItsServerFull() {
         for (int times : new int[] {4, 12}) {
-            Rig rig = new Rig();
-            rig.reports = Balancer.Reports.NONE;
+            PolicyHarness rig = new PolicyHarness();
+            rig.reports = Balancer.LoadReporting.NONE;
             rig.start().list(A).request("long", 800_000);
             rig.after(times * rig.aimUs / 4).request("next");
             assertEquals(times == 4 ? "a" : null, rig.sentTo("next", 0));
@@ -816,7 +818,7 @@
     }
 
     private static void staysAwayAfter(Outcome outcome, long stepUs) {
-        Rig rig = new Rig().start().list(A, B).request("r").after(1_000);
+        PolicyHarness rig = new PolicyHarness().start().list(A, B).request("r").after(1_000);
         String left = rig.sentTo("r", 0);
         rig.outcome("r", 0, left, outcome, 1_000);
         rig.outcome("r", 1, rig.sentTo("r", 1), Outcome.OK, 50_000);
@@ -830,9 +832,9 @@
 
     @Test
     void whereCrossingHasAPriceAShortQueueInTheOwnZoneComesFirst() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.crossZonePrice = 0.08;
-        rig.reports = Balancer.Reports.NONE;
+        rig.reports = Balancer.LoadReporting.NONE;
         rig.start().list(A, B);
         for (int i = 0; i < 3; i++) {
             rig.request("r" + i);
@@ -844,10 +846,10 @@
 
     @Test
     void damagedPeerMessagesAreIgnored() {
-        Rig rig = new Rig().start().list(A);
-        rig.policy.onPeer(rig.now, 9, new byte[] {1, 2, 3, 4, 5});
-        rig.policy.onPeer(rig.now, 1, new byte[] {1});
-        rig.policy.onPeer(rig.now, 1, new byte[] {1, 2, 3, 4});
+        PolicyHarness rig = new PolicyHarness().start().list(A);
+        rig.policy.onPeerMessage(rig.now, 9, new byte[] {1, 2, 3, 4, 5});
+        rig.policy.onPeerMessage(rig.now, 1, new byte[] {1});
+        rig.policy.onPeerMessage(rig.now, 1, new byte[] {1, 2, 3, 4});
         rig.request("r");
         assertEquals("a", rig.sentTo("r", 0));
     }
@@ -859,7 +861,7 @@
 
     @Test
     void aFullServerLeavesTheDrawByItsOwnWord() {
-        Rig rig = new Rig().start().list(A, B).request("r");
+        PolicyHarness rig = new PolicyHarness().start().list(A, B).request("r");
         String to = rig.sentTo("r", 0);
         rig.policy.onOutcome(rig.now, "r", 0, to, Outcome.OK, 50_000, true, new LoadReport(9, 8, 1));
         for (int i = 0; i < 3; i++) {
@@ -872,22 +874,22 @@
 
     @Test
     void subscribesAtOnceAndAsksAgainAfterAFailure() {
-        Rig rig = new Rig();
+        PolicyHarness rig = new PolicyHarness();
         rig.onRequest = true;
         rig.start();
         assertEquals(1, rig.take("subscribe").size());
-        rig.policy.onList(rig.now, ListKind.FAILED, List.of());
+        rig.policy.onUpstreamList(rig.now, ListKind.FAILED, List.of());
         assertEquals(1, rig.take("timer ask").size());
         rig.after(2_000_000).fire("ask");
         assertEquals(2, rig.take("subscribe").size());
-        rig.policy.onList(rig.now, ListKind.FULL, List.of(A));
+        rig.policy.onUpstreamList(rig.now, ListKind.FULL, List.of(A));
         rig.fire("ask");
         assertEquals(2, rig.take("subscribe").size());
     }
 
     // ---- determinism and isolation --------------------------------------------------------------
 
-    private static void play(Rig rig, int from, int to) {
+    private static void play(PolicyHarness rig, int from, int to) {
         for (int i = from; i < to; i++) {
             rig.after(3_000).request("r" + i);
             if (i % 3 == 0 && rig.sentTo("r" + i, 0) != null) {
@@ -899,10 +901,10 @@
 
     @Test
     void theSameEventsGiveTheSameActionsWhateverRunsBeside() {
-        Rig alone = new Rig().start().list(A, B);
+        PolicyHarness alone = new PolicyHarness().start().list(A, B);
         play(alone, 0, 200);
-        Rig one = new Rig().start().list(A, B);
-        Rig two = new Rig().start().list(A, B, Rig.up("c", "zc", 3));
+        PolicyHarness one = new PolicyHarness().start().list(A, B);
+        PolicyHarness two = new PolicyHarness().start().list(A, B, PolicyHarness.up("c", "zc", 3));
         for (int i = 0; i < 200; i += 10) {
             play(one, i, i + 10);
             play(two, i, i + 10);
--- a/src/test/java/rushproxy/SharedFactsTest.java
+++ b/src/test/java/rushproxy/SharedFactsTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Evidence;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.LimitScope;
+import rushproxy.Balancer.LimitShare;
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.RequestClass;
-import rushproxy.Balancer.Scope;
 import rushproxy.Balancer.Semantics;
-import rushproxy.Balancer.Share;
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 import rushproxy.Balancer.Verdict;
@@ -25,16 +25,21 @@
 class SharedFactsTest {
     private static final long S = 1_000_000;
 
-    private static Rig rig() {
-        return new Rig().start().list(Rig.up("s0", "za", 0), Rig.up("s1", "za", 1), Rig.up("s2", "za", 2));
+    private static PolicyHarness rig() {
+        return new PolicyHarness()
+                .start()
+                .list(
+                        PolicyHarness.up("s0", "za", 0),
+                        PolicyHarness.up("s1", "za", 1),
+                        PolicyHarness.up("s2", "za", 2));
     }
 
-    private static void told(Rig rig, String server, Evidence kind, double factor, boolean holds) {
+    private static void told(PolicyHarness rig, String server, Evidence kind, double factor, boolean holds) {
         rig.policy.onVerdicts(rig.now, List.of(new Verdict(server, kind, factor, 2, false, holds, rig.now + 2 * S)));
     }
 
     /** Answers each at once, so that all servers are free. */
-    private static long sent(Rig rig, String server, int requests) {
+    private static long sent(PolicyHarness rig, String server, int requests) {
         int before = rig.take("send ").size();
         for (int i = 0; i < requests; i++) {
             String id = "r" + rig.now + "-" + i;
@@ -51,7 +56,7 @@
 
     @Test
     void nothingGoesToWhatIsOutByWordUntilTheWordEnds() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         told(rig, "s1", Evidence.SILENT, 1, true);
         assertEquals(0, sent(rig, "s1", 40));
         rig.after(2 * S);
@@ -60,14 +65,14 @@
 
     @Test
     void anAccusationAloneChangesNothing() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         told(rig, "s1", Evidence.SILENT, 1, false);
         assertTrue(sent(rig, "s1", 40) > 0);
     }
 
     @Test
     void ownFreshAnswersGoBeforeAnyWordAndAreToldOn() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         assertTrue(sent(rig, "s1", 40) > 0);
         rig.actions.clear();
         told(rig, "s1", Evidence.FAILING, 1, true);
@@ -83,11 +88,11 @@
 
     @Test
     void noWordUndoesACordonOrADrain() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         rig.policy.onCordon(rig.now, "s1", true, rig.now);
         rig.list(
-                Rig.up("s0", "za", 0),
-                Rig.up("s1", "za", 1),
+                PolicyHarness.up("s0", "za", 0),
+                PolicyHarness.up("s1", "za", 1),
                 new Upstream("s2", "za", "k", 2, 0, 1, UpstreamState.DRAINING));
         told(rig, "s1", Evidence.GOOD, 1, true);
         told(rig, "s2", Evidence.GOOD, 1, true);
@@ -98,7 +103,7 @@
 
     @Test
     void whatWasSeenOfAServerIsTold() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         rig.request("a");
         String at = rig.sentTo("a", 0);
         rig.after(1_000).outcome("a", 0, at, Outcome.CONNECT_FAILED, 1_000);
@@ -112,7 +117,7 @@
 
     @Test
     void errorsThatComeFasterThanAnAnswerCouldAreToldAsSuch() {
-        Rig rig = new Rig().start().list(Rig.up("s0", "za", 0));
+        PolicyHarness rig = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0));
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             rig.after(1_000).request("a" + i);
@@ -126,30 +131,35 @@
 
     @Test
     void aRestartThatTheListDoesNotTellMakesAServerCold() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         long warm = sent(rig, "s1", 60);
         rig.after(10 * S);
         told(rig, "s1", Evidence.COLD, 0, true);
         long cold = sent(rig, "s1", 60);
         assertTrue(cold < warm, cold + " and " + warm);
         // Nobody's word makes it warm before its time.
-        Rig other = new Rig()
+        PolicyHarness other = new PolicyHarness()
                 .start()
-                .list(Rig.up("s0", "za", 0), new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
+                .list(
+                        PolicyHarness.up("s0", "za", 0),
+                        new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
         other.now = rig.now;
         told(other, "s1", Evidence.COLD, 1_000, true);
-        Rig without = new Rig()
+        PolicyHarness without = new PolicyHarness()
                 .start()
-                .list(Rig.up("s0", "za", 0), new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
+                .list(
+                        PolicyHarness.up("s0", "za", 0),
+                        new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
         without.now = rig.now;
         assertEquals(sent(without, "s1", 60), sent(other, "s1", 60));
     }
 
-    private static void share(Rig rig, boolean inFlight, double share, double alone) {
-        rig.policy.onShares(rig.now, List.of(new Share("l", Scope.CLASS, "c", inFlight, share, alone, rig.now + S)));
+    private static void share(PolicyHarness rig, boolean inFlight, double share, double alone) {
+        rig.policy.onLimitShares(
+                rig.now, List.of(new LimitShare("l", LimitScope.CLASS, "c", inFlight, share, alone, rig.now + S)));
     }
 
-    private static int refusedOf(Rig rig, int requests, long everyUs) {
+    private static int refusedOf(PolicyHarness rig, int requests, long everyUs) {
         int before = rig.take("refuse ").size();
         for (int i = 0; i < requests; i++) {
             String id = "q" + rig.now;
@@ -163,11 +173,11 @@
 
     @Test
     void moreThanTheShareIsRefusedAndPastItsTimeThePartAlone() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         share(rig, false, 20, 5);
         int refused = refusedOf(rig, 100, 9_000);
         assertTrue(refused >= 75 && refused <= 82, "of 100 in 0.9 s, 18 and a burst of 5 pass: " + refused);
-        assertEquals(100 / 0.9, rig.policy.demands(900_000).get("l"), 0.1);
+        assertEquals(100 / 0.9, rig.policy.collectLimitDemands(900_000).get("l"), 0.1);
         rig.after(S);
         refused = refusedOf(rig, 100, 10_000);
         assertTrue(refused >= 93 && refused <= 95, "5 a second: " + refused);
@@ -175,26 +185,26 @@
 
     @Test
     void placesInFlightAreGivenBackWithEachEnd() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         share(rig, true, 2, 1);
         rig.request("a").request("b").request("c");
         assertEquals(List.of("refuse c"), rig.take("refuse "));
-        assertEquals(3, rig.policy.demands(S).get("l"));
+        assertEquals(3, rig.policy.collectLimitDemands(S).get("l"));
         rig.after(5_000).outcome("a", 0, rig.sentTo("a", 0), Outcome.OK, 5_000);
         rig.request("d");
         assertFalse(rig.take("refuse ").contains("refuse d"));
-        rig.policy.onShares(rig.now, List.of());
+        rig.policy.onLimitShares(rig.now, List.of());
         rig.request("e").request("f");
         assertEquals(1, rig.take("refuse ").size(), "no limit any more");
     }
 
-    private static void weigh(Rig rig, Map<String, Double> of) {
-        rig.policy.onWeights(rig.now, new Balancer.Weights(of, rig.now + 1_000 * S));
+    private static void weigh(PolicyHarness rig, Map<String, Double> of) {
+        rig.policy.onServerWeights(rig.now, new Balancer.ServerWeights(of, rig.now + 1_000 * S));
     }
 
     @Test
     void aServerGetsThePartOfItsShareThatItsWeightSays() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         weigh(rig, Map.of("s1", 0.2));
         long part = sent(rig, "s1", 600);
         // Without a weight a third; of 1 + 1 + 0.2 shares a server of 0.2 is drawn first or second and wins in some 200
@@ -208,7 +218,7 @@
 
     @Test
     void whatIsFullElsewhereIsNotSentAgainstAWeightOfNone() {
-        Rig rig = rig();
+        PolicyHarness rig = rig();
         weigh(rig, Map.of("s0", 0.0, "s1", 0.0, "s2", 0.0));
         rig.request("a");
         assertEquals(List.of(), rig.take("send "));
@@ -219,21 +229,21 @@
     @Test
     void aColdServersTurnsGoByItsWeightToo() {
         Upstream cold = new Upstream("s1", "za", "k", 1, 1_000_000_000L, 1, UpstreamState.READY);
-        Rig with = new Rig().start().list(Rig.up("s0", "za", 0), cold);
+        PolicyHarness with = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), cold);
         weigh(with, Map.of("s1", 0.05));
-        Rig without = new Rig().start().list(Rig.up("s0", "za", 0), cold);
+        PolicyHarness without = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), cold);
         long few = sent(with, "s1", 600);
         long many = sent(without, "s1", 600);
         assertTrue(4 * few < many, few + " and " + many);
     }
 
     /** Two of many servers refuse connections; this sidecar is a witness against both, and their ejections are over. */
-    private static Rig witness() {
-        Rig rig = new Rig();
-        rig.otherClasses =
-                List.of(new RequestClass("unsafe", Semantics.UNSAFE, Group.ALL, 0, 300_000, 0, 800_000, 3, 0, false));
+    private static PolicyHarness witness() {
+        PolicyHarness rig = new PolicyHarness();
+        rig.otherClasses = List.of(
+                new RequestClass("unsafe", Semantics.UNSAFE, DedupScope.ALL, 0, 300_000, 0, 800_000, 3, 0, false));
         Upstream[] all = new Upstream[40];
-        Arrays.setAll(all, i -> Rig.up("s" + i, "za", i));
+        Arrays.setAll(all, i -> PolicyHarness.up("s" + i, "za", i));
         rig.start().list(all);
         for (int i = 0;
                 rig.take("evidence s0 ").isEmpty() || rig.take("evidence s1 ").isEmpty();
@@ -257,7 +267,7 @@
     /** Guards against a request that fails at one server known to be out and is then used to try the next such one. */
     @Test
     void aRequestTriesOneServerThatIsOutAtMost() {
-        Rig rig = witness().request("a");
+        PolicyHarness rig = witness().request("a");
         assertEquals("s0", rig.sentTo("a", 0));
         rig.outcome("a", 0, "s0", Outcome.CONNECT_FAILED, 1_000);
         assertNotEquals("s1", rig.sentTo("a", 1));
@@ -267,7 +277,7 @@
     /** Guards against a server known to be out that is tried by a request which nobody may send again. */
     @Test
     void whatMayNotBeRepeatedTriesNoServerThatIsOut() {
-        Rig rig = witness();
+        PolicyHarness rig = witness();
         rig.policy.onRequest(rig.now, new Balancer.Request("a", -1, false, true, 0, 800_000, null, "unsafe", false));
         assertFalse(List.of("s0", "s1").contains(rig.sentTo("a", 0)));
         assertEquals("s0", rig.request("b").sentTo("b", 0));
@@ -276,7 +286,7 @@
     /** Guards against a first failure of a new process that is told as one more of the process before it. */
     @Test
     void aProcessThatIsNewIsNotAccusedForTheOneBefore() {
-        Rig rig = witness();
+        PolicyHarness rig = witness();
         rig.list(new Upstream("s0", "za", "k", 0, rig.now - 100 * S, 1, UpstreamState.READY));
         rig.actions.clear();
         for (int i = 0; rig.take("send a" + (i - 1) + " s0 ").isEmpty(); i++) {
@@ -288,7 +298,7 @@
     /** Guards against a second request that is lost to a silent server each time that it is tried. */
     @Test
     void aTrialOfAServerThatStaysSilentLosesOneRequest() {
-        Rig rig = witness().request("a");
+        PolicyHarness rig = witness().request("a");
         assertEquals("s0", rig.sentTo("a", 0));
         rig.after(800_000).outcome("a", 0, "s0", Outcome.TIMEOUT, 800_000);
         assertEquals("s1", rig.request("b").sentTo("b", 0));
--- a/src/test/java/rushproxy/SilentServerTest.java
+++ b/src/test/java/rushproxy/SilentServerTest.java
@@ -32,7 +32,7 @@
     private record Told(long us, Evidence kind) {}
 
     private final SplittableRandom random = new SplittableRandom(5);
-    private final List<Rig> rigs = new ArrayList<>();
+    private final List<PolicyHarness> rigs = new ArrayList<>();
     private final List<List<Told>> told = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
     private final List<String> wrong = new ArrayList<>();
@@ -43,13 +43,17 @@
         sim = new SharedSim(21, sidecars, 2, 0, 0, 30_000).servers(Map.of("s0", 0, "s1", 1, "s2", 0, "s3", 1));
         sim.startAll();
         for (int m = 0; m < sidecars; m++) {
-            Rig rig = new Rig();
+            PolicyHarness rig = new PolicyHarness();
             rig.me = m;
             rig.balancers = Math.max(2, sidecars);
             rig.connectionPrice = 0.05;
             rig.now = sim.node(m).clock();
             rigs.add(rig.start()
-                    .list(Rig.up("s0", "za", 0), Rig.up("s1", "zb", 1), Rig.up("s2", "za", 2), Rig.up("s3", "zb", 3)));
+                    .list(
+                            PolicyHarness.up("s0", "za", 0),
+                            PolicyHarness.up("s1", "zb", 1),
+                            PolicyHarness.up("s2", "za", 2),
+                            PolicyHarness.up("s3", "zb", 3)));
             told.add(new ArrayList<>());
             ask(m, everyUs, 0);
             hear(m);
@@ -57,8 +61,8 @@
         sim.until(END);
     }
 
-    private Rig rig(int m) {
-        Rig rig = rigs.get(m);
+    private PolicyHarness rig(int m) {
+        PolicyHarness rig = rigs.get(m);
         rig.now = sim.node(m).clock();
         return rig;
     }
@@ -79,7 +83,7 @@
         act(m);
         boolean out = cases.stream()
                 .map(Verdicts.Case::verdict)
-                .anyMatch(v -> v.upstream().equals("s0") && v.kind() == Evidence.SILENT && v.holds());
+                .anyMatch(v -> v.upstream().equals("s0") && v.kind() == Evidence.SILENT && v.confirmed());
         boolean due = sim.us() > SILENT_FROM + FOUND && sim.us() < SILENT_TO;
         if (due && !out || sim.us() > SILENT_TO + FOUND_BACK && out) {
             wrong.add("n" + m + " at " + sim.us() / S + " s: " + cases);
--- a/src/test/java/rushproxy/SlowStartTest.java
+++ b/src/test/java/rushproxy/SlowStartTest.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rushproxy.Balancer.Limits;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.Rules;
 import rushproxy.Balancer.Settings;
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
-import rushproxy.State.Kind;
-import rushproxy.State.Server;
+import rushproxy.PolicyState.Server;
+import rushproxy.PolicyState.ServerKind;
 
 /** What one of several sidecars may send to a server that has just started, also where a connection takes its time. */
 class SlowStartTest {
@@ -42,7 +42,7 @@
                 List.of(),
                 new Limits(3, true, true, false, false, true, 0, 5_000_000, 0),
                 new Rules(0, 0.2, RAMP_US, 3, windowUs, 0, 0, 0),
-                Reports.NONE,
+                LoadReporting.NONE,
                 false,
                 true,
                 0,
@@ -51,7 +51,7 @@
     }
 
     private static Server server() {
-        Server s = new Server(new Upstream("s", "a", "k", 0, STARTED, 1, UpstreamState.READY), new Kind(1), 0, 0);
+        Server s = new Server(new Upstream("s", "a", "k", 0, STARTED, 1, UpstreamState.READY), new ServerKind(1), 0, 0);
         s.startedAt = STARTED;
         return s;
     }
@@ -59,7 +59,7 @@
     /** Half a window, a slot, after the other: in some the turn is this sidecar's, in others not. */
     private long slotWith(boolean room, long from) {
         for (long at = from; at < STARTED + RAMP_US; at += WINDOW_US / 2) {
-            if (slowStart.hasRoom(at, server, WORK, WORK) == room) {
+            if (slowStart.canSend(at, server, WORK, WORK) == room) {
                 return at;
             }
         }
@@ -73,12 +73,12 @@
             for (int me = 0; me < SIDECARS; me++) {
                 SlowStart one = new SlowStart(settings(me), false);
                 Server own = server();
-                while (one.hasRoom(at, own, WORK, WORK)) {
-                    one.sent(at, own, WORK);
+                while (one.canSend(at, own, WORK, WORK)) {
+                    one.recordSend(at, own, WORK);
                     sent++;
                 }
             }
-            double capacity = slowStart.warmth(server, at) / server.slow();
+            double capacity = slowStart.capacityFraction(server, at) / server.slowness();
             assertTrue(sent * WORK <= 3 * capacity * WINDOW_US / 3, sent + " in the slot of " + (at - STARTED));
         }
     }
@@ -86,35 +86,37 @@
     @Test
     void whatBeginsInItsSlotOrAtOnceIsNotAskedAgain() {
         long at = slotWith(true, STARTED);
-        slowStart.sent(at, server, WORK);
-        assertTrue(slowStart.mayBegin(at + WINDOW_US / 3, server, at, WORK, WORK));
+        slowStart.recordSend(at, server, WORK);
+        assertTrue(slowStart.canStartAttempt(at + WINDOW_US / 3, server, at, WORK, WORK));
         long end = at + WINDOW_US / 2;
-        assertTrue(slowStart.mayBegin(end + 1_000, server, end - 1_000, WORK, WORK));
+        assertTrue(slowStart.canStartAttempt(end + 1_000, server, end - 1_000, WORK, WORK));
     }
 
     @Test
     void whatBeginsInALaterSlotNeedsRoomThereAndTakesIt() {
         long sentAt = slotWith(true, STARTED);
         long full = slotWith(false, sentAt + WINDOW_US / 2);
-        assertFalse(slowStart.mayBegin(full + WINDOW_US / 4, server, sentAt, WORK, WORK), "another sidecar's turn");
+        assertFalse(
+                slowStart.canStartAttempt(full + WINDOW_US / 4, server, sentAt, WORK, WORK), "another sidecar's turn");
         long free = slotWith(true, full);
-        assertTrue(slowStart.mayBegin(free + WINDOW_US / 4, server, sentAt, WORK, WORK));
-        double sent = server.coldSent;
+        assertTrue(slowStart.canStartAttempt(free + WINDOW_US / 4, server, sentAt, WORK, WORK));
+        double sent = server.slowStartWorkUs;
         assertEquals(WORK, sent);
-        assertFalse(slowStart.mayBegin(free + WINDOW_US / 4, server, sentAt, 10 * WORK, WORK), "its part is used");
+        assertFalse(
+                slowStart.canStartAttempt(free + WINDOW_US / 4, server, sentAt, 10 * WORK, WORK), "its part is used");
     }
 
     @Test
     void aWarmServerIsNotBounded() {
-        assertTrue(slowStart.mayBegin(STARTED + RAMP_US, server, STARTED, WORK, WORK));
-        assertTrue(slowStart.hasRoom(STARTED + RAMP_US, server, 100 * WORK, WORK));
+        assertTrue(slowStart.canStartAttempt(STARTED + RAMP_US, server, STARTED, WORK, WORK));
+        assertTrue(slowStart.canSend(STARTED + RAMP_US, server, 100 * WORK, WORK));
     }
 
     /** A window of a microsecond has no half: each request of such a sidecar failed, by a division by zero. */
     @Test
     void theShortestWindowIsOne() {
         SlowStart shortest = new SlowStart(settings(0, 1), false);
-        shortest.sent(STARTED + RAMP_US, server, WORK);
-        assertTrue(shortest.hasRoom(STARTED + RAMP_US, server, WORK, WORK));
+        shortest.recordSend(STARTED + RAMP_US, server, WORK);
+        assertTrue(shortest.canSend(STARTED + RAMP_US, server, WORK, WORK));
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/LimitsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/LimitsTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import rushproxy.Balancer.Scope;
-import rushproxy.Balancer.Share;
+import rushproxy.Balancer.LimitScope;
+import rushproxy.Balancer.LimitShare;
 import rushproxy.fleet.Envelope;
 import rushproxy.fleet.Group;
 import rushproxy.fleet.Host;
@@ -20,7 +20,7 @@
 class LimitsTest {
     private static final long S = 1_000_000;
     private static final double MOST = 100;
-    private static final Limits.Limit ALL = new Limits.Limit("all", Scope.ALL, "", false, MOST);
+    private static final Limits.Limit ALL = new Limits.Limit("all", LimitScope.ALL, "", false, MOST);
 
     private static double share(SharedSim.Node n) {
         return n.limits().shares(n.clock(), S).get(0).share();
@@ -115,15 +115,15 @@
         SharedSim sim = new SharedSim(6, 4, 1, 0.1, 0, 30_000).limits(ALL);
         sim.startAll();
         sim.until(4 * S);
-        sim.node(1).limits().set(sim.node(1).clock(), new Limits.Limit("all", Scope.ALL, "", false, 40));
-        sim.node(2).limits().set(sim.node(2).clock(), new Limits.Limit("orders", Scope.CLASS, "order", true, 8));
+        sim.node(1).limits().set(sim.node(1).clock(), new Limits.Limit("all", LimitScope.ALL, "", false, 40));
+        sim.node(2).limits().set(sim.node(2).clock(), new Limits.Limit("orders", LimitScope.CLASS, "order", true, 8));
         sim.until(10 * S);
         for (SharedSim.Node n : sim.nodes()) {
             assertEquals(10, share(n), 1e-6);
-            Share orders = n.limits().shares(n.clock(), S).get(1);
-            assertTrue(orders.inFlight()
-                    && orders.scope() == Scope.CLASS
-                    && orders.of().equals("order")
+            LimitShare orders = n.limits().shares(n.clock(), S).get(1);
+            assertTrue(orders.limitsInFlight()
+                    && orders.scope() == LimitScope.CLASS
+                    && orders.subject().equals("order")
                     && orders.share() == 2);
         }
         assertTrue(sim.node(3).limits().unset(sim.node(3).clock(), "all"));
@@ -133,7 +133,7 @@
         String text = "x".repeat(41);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Limits.checked(new Limits.Limit("n", Scope.TENANT, text, false, 1)));
+                () -> Limits.checked(new Limits.Limit("n", LimitScope.TENANT, text, false, 1)));
     }
 
     @Test
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -50,7 +50,7 @@
 
     private boolean holds(int member, String server) {
         Verdicts.Case c = of(member, server);
-        return c != null && c.verdict().holds();
+        return c != null && c.verdict().confirmed();
     }
 
     private List<Integer> whereHolds(String server) {
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.PeerWord;
+import rushproxy.PeerMessage;
 import rushproxy.fleet.Envelope;
 
 /** The fleet plane on the sidecar's sockets: what is whose, and what is said at the end. */
 @Timeout(60)
 class FleetPlaneTest {
-    private static final int WORD = PeerWord.length(1, 1);
+    private static final int WORD = PeerMessage.encodedLength(1, 1);
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -31,11 +31,11 @@
             rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
             rig.onRequest = (now, r, out) -> {
-                out.tell(1, new byte[5]);
-                out.tell(7, new byte[5]);
-                out.tell(1, new byte[257]);
-                out.tell(1, new byte[256]);
-                out.tell(-1, new byte[7]);
+                out.sendToPeer(1, new byte[5]);
+                out.sendToPeer(7, new byte[5]);
+                out.sendToPeer(1, new byte[257]);
+                out.sendToPeer(1, new byte[256]);
+                out.sendToPeer(-1, new byte[7]);
                 out.fail(r.id());
             };
             rig.start();
--- a/src/test/java/rushproxy/sidecar/RequestGuardTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestGuardTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Request;
 import rushproxy.Balancer.RequestClass;
@@ -34,7 +34,8 @@
     private boolean clientIsThere = true;
 
     private static RequestClass requestClass(String name, Semantics semantics) {
-        return new RequestClass(name, semantics, Group.ALL, 10 * SECOND_US, SECOND_US, 0, 2 * SECOND_US, 1, 0, false);
+        return new RequestClass(
+                name, semantics, DedupScope.ALL, 10 * SECOND_US, SECOND_US, 0, 2 * SECOND_US, 1, 0, false);
     }
 
     private Exchange exchange(String requestClass) {
--- a/src/test/java/rushproxy/sidecar/RequestLifeTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLifeTest.java
@@ -179,7 +179,7 @@
                 };
                 client.send(Rig.get("a2", 20_000));
                 assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.timer("break", 1);
+                rig.onRequest = (now, r, out) -> out.startTimer("break", 1);
                 client.send(Rig.get("a3", 20_000));
                 assertEquals(502, client.status());
             }
--- a/src/test/java/rushproxy/sidecar/Rig.java
+++ b/src/test/java/rushproxy/sidecar/Rig.java
@@ -229,7 +229,7 @@
 
     private final class Recorder implements Balancer {
         @Override
-        public void onList(long now, ListKind kind, List<Upstream> entries) {
+        public void onUpstreamList(long now, ListKind kind, List<Upstream> entries) {
             told.add("list " + kind + " "
                     + String.join(
                             ",",
@@ -274,63 +274,63 @@
         }
 
         @Override
-        public boolean mayBegin(long now, String request, int attempt) {
+        public boolean canStartAttempt(long now, String request, int attempt) {
             return mayBegin;
         }
 
         @Override
-        public void onSent(long now, String request, int attempt) {
+        public void onRequestSent(long now, String request, int attempt) {
             told.add("sent " + request + " " + attempt);
         }
 
         @Override
-        public void onProbe(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
+        public void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
             told.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
         }
 
         @Override
-        public void onExpired(long now, String request) {
+        public void onRequestExpired(long now, String request) {
             told.add("expired " + request);
         }
 
         @Override
-        public void onPeer(long now, int peer, byte[] message) {
+        public void onPeerMessage(long now, int peer, byte[] message) {
             told.add("peer " + peer + " " + message.length);
         }
 
         @Override
-        public void onFleet(long now, Fleet fleet) {
-            told.add("fleet " + fleet.here() + " " + fleet.standing());
+        public void onFleetStatus(long now, FleetStatus fleet) {
+            told.add("fleet " + fleet.liveSidecars() + " " + fleet.quorum());
         }
 
         @Override
         public void onVerdicts(long now, List<Verdict> verdicts) {
-            verdicts.forEach(v -> told.add("verdict " + v.upstream() + " " + v.kind() + " " + v.holds()));
+            verdicts.forEach(v -> told.add("verdict " + v.upstream() + " " + v.kind() + " " + v.confirmed()));
         }
 
         @Override
-        public void onShares(long now, List<Share> shares) {
+        public void onLimitShares(long now, List<LimitShare> shares) {
             shares.forEach(s -> told.add("share " + s.name() + " " + s.share()));
         }
 
         @Override
-        public void onWeights(long now, Weights weights) {
+        public void onServerWeights(long now, ServerWeights weights) {
             told.add("weights " + new java.util.TreeMap<>(weights.byServer()));
         }
 
         @Override
-        public byte[] know() {
+        public byte[] exportEstimates() {
             return new byte[] {1, 2, 3};
         }
 
         @Override
-        public int onKnow(long now, List<byte[]> all) {
+        public int importEstimates(long now, List<byte[]> all) {
             all.forEach(k -> told.add("know " + java.util.Arrays.toString(k)));
             return all.size();
         }
 
         @Override
-        public Map<String, Double> demands(long passedUs) {
+        public Map<String, Double> collectLimitDemands(long passedUs) {
             return Map.of();
         }
 
