--- a/src/main/java/rushproxy/SlowStart.java
+++ b/src/main/java/rushproxy/SlowStart.java
@@ -21,9 +21,9 @@
     /** Whether servers are asked for their load before they are sent anything. */
     private final boolean probesLoad;
 
-    SlowStart(Settings cfg, boolean sampling) {
-        this.settings = cfg;
-        this.probesLoad = sampling;
+    SlowStart(Settings settings, boolean probesLoad) {
+        this.settings = settings;
+        this.probesLoad = probesLoad;
     }
 
     /** The part of its full capacity that a server can surely do now: the slowest ramp the settings allow. */
--- a/src/main/java/rushproxy/sidecar/LoadReports.java
+++ b/src/main/java/rushproxy/sidecar/LoadReports.java
@@ -31,6 +31,6 @@
             }
             values.put(pair.substring(0, equals).trim(), value);
         }
-        return values.report();
+        return values.toLoadReport();
     }
 }
--- a/src/main/java/rushproxy/wire/LoadValues.java
+++ b/src/main/java/rushproxy/wire/LoadValues.java
@@ -18,7 +18,7 @@
         }
     }
 
-    public LoadReport report() {
+    public LoadReport toLoadReport() {
         return new LoadReport(inFlight, queued, utilisation);
     }
 }
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/rushproxy/wire/SettingsReader.java
@@ -29,8 +29,8 @@
 
     SettingsReader(Fields fields) {
         this(new HashMap<>());
-        while (fields.more()) {
-            String pair = fields.text();
+        while (fields.hasMore()) {
+            String pair = fields.nextText();
             int equals = pair.indexOf('=');
             if (equals <= 0) {
                 throw new WireException("setting '" + pair + "' is not of the form path=value");
@@ -41,78 +41,78 @@
 
     public Settings read() {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < (int) need("profiles.count"); i++) {
+        for (int i = 0; i < (int) requiredNumber("profiles.count"); i++) {
             String p = "profiles." + i + ".";
             classes.add(new RequestClass(
-                    word(p + "name"),
-                    semantics(word(p + "semantics")),
-                    group(values.getOrDefault(p + "group", "all")),
-                    (long) real(p + "window_us", 0),
-                    (long) need(p + "objective_us"),
-                    real(p + "aim_stretch", 0),
-                    (long) need(p + "give_up_us"),
-                    real(p + "importance", 1),
-                    real(p + "late_worth", 0),
-                    flag(p + "stream", false)));
+                    requiredText(p + "name"),
+                    parseSemantics(requiredText(p + "semantics")),
+                    parseDedupScope(values.getOrDefault(p + "group", "all")),
+                    (long) numberOr(p + "window_us", 0),
+                    (long) requiredNumber(p + "objective_us"),
+                    numberOr(p + "aim_stretch", 0),
+                    (long) requiredNumber(p + "give_up_us"),
+                    numberOr(p + "importance", 1),
+                    numberOr(p + "late_worth", 0),
+                    booleanOr(p + "stream", false)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < (int) real("accounts.count", 0); i++) {
+        for (int i = 0; i < (int) numberOr("accounts.count", 0); i++) {
             String p = "accounts." + i + ".";
-            tenants.add(new Tenant(word(p + "name"), real(p + "share", 0), real(p + "quota_rps", 0)));
+            tenants.add(new Tenant(requiredText(p + "name"), numberOr(p + "share", 0), numberOr(p + "quota_rps", 0)));
         }
         Limits limits = new Limits(
-                (int) real("limits.max_attempts", 1),
-                flag("limits.second_copies", false),
-                flag("limits.cancelling", false),
-                flag("limits.probing", false),
-                flag("limits.peers", false),
-                flag("limits.retry_after", false),
-                (long) real("limits.max_retry_after_us", 0),
-                (long) real("limits.conn_idle_us", 15_000_000),
-                real("limits.cpu_us_per_request", 0));
+                (int) numberOr("limits.max_attempts", 1),
+                booleanOr("limits.second_copies", false),
+                booleanOr("limits.cancelling", false),
+                booleanOr("limits.probing", false),
+                booleanOr("limits.peers", false),
+                booleanOr("limits.retry_after", false),
+                (long) numberOr("limits.max_retry_after_us", 0),
+                (long) numberOr("limits.conn_idle_us", 15_000_000),
+                numberOr("limits.cpu_us_per_request", 0));
         Rules rules = new Rules(
-                (long) need("rules.drain_grace_us"),
-                need("rules.cold_share"),
-                (long) need("rules.ramp_time_us"),
-                need("rules.fall_multiple"),
-                (long) need("rules.fall_us"),
-                (long) real("rules.ask_every_us", 0),
-                (long) real("rules.answer_slack_us", 0),
-                (long) real("rules.close_on_drain_within_us", 0));
+                (long) requiredNumber("rules.drain_grace_us"),
+                requiredNumber("rules.cold_share"),
+                (long) requiredNumber("rules.ramp_time_us"),
+                requiredNumber("rules.fall_multiple"),
+                (long) requiredNumber("rules.fall_us"),
+                (long) numberOr("rules.ask_every_us", 0),
+                (long) numberOr("rules.answer_slack_us", 0),
+                (long) numberOr("rules.close_on_drain_within_us", 0));
         Prices prices = new Prices(
-                real("tariffs.cross_zone", 0),
-                real("tariffs.peer", 0),
-                real("tariffs.probe", 0),
-                real("tariffs.connection", 0),
-                real("tariffs.handshake", 0));
+                numberOr("tariffs.cross_zone", 0),
+                numberOr("tariffs.peer", 0),
+                numberOr("tariffs.probe", 0),
+                numberOr("tariffs.connection", 0),
+                numberOr("tariffs.handshake", 0));
         return new Settings(
-                (int) need("me"),
-                (int) need("balancers"),
-                word("zone"),
-                Arrays.asList(values.getOrDefault("azs", word("zone")).split(",")),
+                (int) requiredNumber("me"),
+                (int) requiredNumber("balancers"),
+                requiredText("zone"),
+                Arrays.asList(values.getOrDefault("azs", requiredText("zone")).split(",")),
                 Arrays.asList(values.getOrDefault("kinds", "").split(",")),
                 classes,
                 tenants,
                 limits,
                 rules,
-                reports(values.getOrDefault("load_info.how", "off")),
+                parseLoadReporting(values.getOrDefault("load_info.how", "off")),
                 values.getOrDefault("discovery", "pushed").equals("on_request"),
                 values.getOrDefault("counted_by", "request").equals("work"),
-                real("over_share_worth", 1),
+                numberOr("over_share_worth", 1),
                 prices,
-                (long) real("period_us", 1000));
+                (long) numberOr("period_us", 1000));
     }
 
     /** A connection that is not up within this time never comes up. */
     public long dialTimeoutUs() {
-        return (long) real("limits.dial_timeout_us", 250_000);
+        return (long) numberOr("limits.dial_timeout_us", 250_000);
     }
 
-    List<String> reportFields() {
+    List<String> loadReportFields() {
         return Arrays.asList(values.getOrDefault("load_info.fields", "").split(","));
     }
 
-    private String word(String path) {
+    private String requiredText(String path) {
         String value = values.get(path);
         if (value == null) {
             throw new WireException("setting '" + path + "' is missing");
@@ -120,12 +120,12 @@
         return value;
     }
 
-    private double need(String path) {
-        word(path);
-        return real(path, 0);
+    private double requiredNumber(String path) {
+        requiredText(path);
+        return numberOr(path, 0);
     }
 
-    private double real(String path, double absent) {
+    private double numberOr(String path, double absent) {
         String value = values.get(path);
         if (value == null || value.equals("-")) {
             return absent;
@@ -137,12 +137,12 @@
         }
     }
 
-    private boolean flag(String path, boolean absent) {
+    private boolean booleanOr(String path, boolean absent) {
         String value = values.get(path);
         return value == null ? absent : value.equals("true") || value.equals("1");
     }
 
-    private static Semantics semantics(String word) {
+    private static Semantics parseSemantics(String word) {
         return switch (word) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
@@ -151,7 +151,7 @@
         };
     }
 
-    private static DedupScope group(String word) {
+    private static DedupScope parseDedupScope(String word) {
         return switch (word) {
             case "all", "-" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
@@ -160,7 +160,7 @@
         };
     }
 
-    private static LoadReporting reports(String word) {
+    private static LoadReporting parseLoadReporting(String word) {
         return switch (word) {
             case "inline" -> LoadReporting.INLINE;
             case "on_probe" -> LoadReporting.ON_PROBE;
--- a/src/main/java/rushproxy/wire/SimHost.java
+++ b/src/main/java/rushproxy/wire/SimHost.java
@@ -29,11 +29,11 @@
     private final StringBuilder reply = new StringBuilder(1 << 16);
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<Upstream>> pages = new ArrayList<>();
-    private String speaking;
-    private boolean died;
+    private String lastWrittenInstance;
+    private boolean moduleFailed;
 
     /** One hosted instance: its module and the order in which its reports name their values. */
-    private record Instance(Balancer balancer, List<String> reportFields) {}
+    private record Instance(Balancer balancer, List<String> loadReportFields) {}
 
     public SimHost(InputStream in, OutputStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
@@ -49,7 +49,7 @@
         try {
             String line;
             while ((line = in.readLine()) != null) {
-                batch(line);
+                handleBatch(line);
             }
             return 0;
         } catch (WireException e) {
@@ -58,14 +58,14 @@
         }
     }
 
-    private void batch(String first) throws IOException {
+    private void handleBatch(String first) throws IOException {
         Fields mark = new Fields(first);
-        if (!mark.text().equals("MARK")) {
+        if (!mark.nextText().equals("MARK")) {
             throw new WireException("a batch starts with MARK, not '" + first + "'");
         }
-        long now = mark.number();
+        long now = mark.nextLong();
         reply.setLength(0);
-        speaking = null;
+        lastWrittenInstance = null;
         String current = null;
         while (true) {
             String line = in.readLine();
@@ -76,15 +76,15 @@
                 break;
             }
             Fields fields = new Fields(line);
-            String name = fields.text();
+            String name = fields.nextText();
             if (name.equals("INSTANCE")) {
-                current = fields.text();
+                current = fields.nextText();
             } else if (name.equals("PAGE")) {
-                page(fields);
+                readPage(fields);
             } else if (current == null) {
                 throw new WireException("'" + name + "' comes before any INSTANCE");
             } else {
-                event(now, current, name, fields);
+                handleEvent(now, current, name, fields);
             }
         }
         reply.append("OK\n");
@@ -92,12 +92,12 @@
         out.flush();
     }
 
-    private void page(Fields fields) throws IOException {
-        int number = (int) fields.number();
+    private void readPage(Fields fields) throws IOException {
+        int number = (int) fields.nextLong();
         if (number < 0 || number >= pages.size()) {
             throw new WireException("PAGE number " + number + " is out of range");
         }
-        long count = fields.number();
+        long count = fields.nextLong();
         List<Upstream> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = in.readLine();
@@ -105,16 +105,16 @@
                 throw new WireException("the input ended within a PAGE");
             }
             Fields row = new Fields(line);
-            if (!row.text().equals("ROW")) {
+            if (!row.nextText().equals("ROW")) {
                 throw new WireException("a PAGE holds ROW lines, not '" + line + "'");
             }
-            String zone = row.text();
-            String id = row.text();
-            String kind = row.text();
-            int cell = (int) row.numberOr(-1);
-            long started = row.numberOr(0);
-            double weight = row.realOr(1);
-            int state = (int) row.number();
+            String zone = row.nextText();
+            String id = row.nextText();
+            String kind = row.nextText();
+            int cell = (int) row.nextLongOr(-1);
+            long started = row.nextLongOr(0);
+            double weight = row.nextDoubleOr(1);
+            int state = (int) row.nextLong();
             if (state < 0 || state > 2) {
                 throw new WireException("state " + state + " is unknown in '" + line + "'");
             }
@@ -123,7 +123,7 @@
         pages.set(number, entries);
     }
 
-    private void event(long now, String name, String event, Fields f) {
+    private void handleEvent(long now, String name, String event, Fields f) {
         Instance instance = instances.get(name);
         if (instance == null && !event.equals("ENLIST")) {
             if (event.equals("DOWN")) {
@@ -133,92 +133,93 @@
         }
         switch (event) {
             case "ENLIST" -> {
-                long seed = f.number();
+                long seed = f.nextLong();
                 SettingsReader reader = new SettingsReader(f);
                 Balancer.Settings settings = reader.read();
-                guarded(
+                callModule(
                         name,
                         () -> instances.put(
                                 name,
                                 new Instance(
-                                        new Policy(settings, seed, now, new Writer(name)), reader.reportFields())));
+                                        new Policy(settings, seed, now, new ActionWriter(name)),
+                                        reader.loadReportFields())));
             }
             case "DOWN" -> instances.remove(name);
             case "ANNOUNCE" -> {
-                ListKind kind = listKind(f.number());
-                f.numberOr(0);
-                int number = (int) f.numberOr(-1);
+                ListKind kind = parseListKind(f.nextLong());
+                f.nextLongOr(0);
+                int number = (int) f.nextLongOr(-1);
                 List<Upstream> entries = kind == ListKind.FAILED
                         ? List.of()
                         : number >= 0 && number < pages.size() ? pages.get(number) : null;
                 if (entries == null) {
                     throw new WireException("ANNOUNCE names PAGE " + number + ", which was never sent");
                 }
-                guarded(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
+                callModule(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
             }
             case "ACCEPT" -> {
-                String id = f.text();
-                long key = f.numberOr(-1);
-                boolean repeat = f.flag();
-                boolean write = f.flag();
-                double hint = f.realOr(0);
-                long remaining = f.number();
-                String tenant = f.textOrNull();
-                Request request = new Request(id, key, repeat, write, hint, remaining, tenant, f.text());
-                guarded(name, () -> instance.balancer.onRequest(now, request));
+                String id = f.nextText();
+                long key = f.nextLongOr(-1);
+                boolean repeat = f.nextBoolean();
+                boolean write = f.nextBoolean();
+                double hint = f.nextDoubleOr(0);
+                long remaining = f.nextLong();
+                String tenant = f.nextTextOrNull();
+                Request request = new Request(id, key, repeat, write, hint, remaining, tenant, f.nextText());
+                callModule(name, () -> instance.balancer.onRequest(now, request));
             }
             case "REPORT_BACK" -> {
-                String id = f.text();
-                int attempt = (int) f.number();
-                String upstream = f.text();
-                Outcome outcome = outcome(f.text());
-                long latency = f.numberOr(0);
-                boolean done = f.flag();
-                LoadReport report = report(f.textOrNull(), instance.reportFields);
-                guarded(
+                String id = f.nextText();
+                int attempt = (int) f.nextLong();
+                String upstream = f.nextText();
+                Outcome outcome = parseOutcome(f.nextText());
+                long latency = f.nextLongOr(0);
+                boolean done = f.nextBoolean();
+                LoadReport report = parseLoadReport(f.nextTextOrNull(), instance.loadReportFields);
+                callModule(
                         name,
                         () -> instance.balancer.onOutcome(now, id, attempt, upstream, outcome, latency, done, report));
             }
             case "OPENED" -> {
-                String id = f.text();
-                int attempt = (int) f.number();
-                long latency = f.numberOr(0);
-                String upstream = f.text();
-                guarded(name, () -> instance.balancer.onStreamStart(now, id, attempt, upstream, latency));
+                String id = f.nextText();
+                int attempt = (int) f.nextLong();
+                long latency = f.nextLongOr(0);
+                String upstream = f.nextText();
+                callModule(name, () -> instance.balancer.onStreamStart(now, id, attempt, upstream, latency));
             }
             case "PROBED" -> {
-                String upstream = f.text();
-                Outcome outcome = outcome(f.text());
-                long latency = f.numberOr(0);
-                LoadReport report = report(f.textOrNull(), instance.reportFields);
-                guarded(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
+                String upstream = f.nextText();
+                Outcome outcome = parseOutcome(f.nextText());
+                long latency = f.nextLongOr(0);
+                LoadReport report = parseLoadReport(f.nextTextOrNull(), instance.loadReportFields);
+                callModule(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
             }
             case "EXPIRED" -> {
-                String id = f.text();
-                guarded(name, () -> instance.balancer.onRequestExpired(now, id));
+                String id = f.nextText();
+                callModule(name, () -> instance.balancer.onRequestExpired(now, id));
             }
             case "MAIL" -> {
-                int peer = (int) f.number();
-                byte[] message = bytes(f.textOrNull());
-                guarded(name, () -> instance.balancer.onPeerMessage(now, peer, message));
+                int peer = (int) f.nextLong();
+                byte[] message = decodeBase64(f.nextTextOrNull());
+                callModule(name, () -> instance.balancer.onPeerMessage(now, peer, message));
             }
             case "DEADLINE_HIT" -> {
-                String mark = f.text();
-                guarded(name, () -> instance.balancer.onTimer(now, mark));
+                String mark = f.nextText();
+                callModule(name, () -> instance.balancer.onTimer(now, mark));
             }
             default -> throw new WireException("message '" + event + "' is unknown");
         }
     }
 
-    private void guarded(String name, Runnable call) {
-        if (died) {
+    private void callModule(String name, Runnable call) {
+        if (moduleFailed) {
             return;
         }
         try {
             call.run();
         } catch (RuntimeException e) {
-            died = true;
-            by(name);
+            moduleFailed = true;
+            writeInstance(name);
             StackTraceElement[] trace = e.getStackTrace();
             reply.append("DIE ")
                     .append(e.toString().replace('\n', ' '))
@@ -227,14 +228,14 @@
         }
     }
 
-    private void by(String name) {
-        if (!name.equals(speaking)) {
+    private void writeInstance(String name) {
+        if (!name.equals(lastWrittenInstance)) {
             reply.append("BY ").append(name).append('\n');
-            speaking = name;
+            lastWrittenInstance = name;
         }
     }
 
-    private static byte[] bytes(String base64) {
+    private static byte[] decodeBase64(String base64) {
         try {
             return base64 == null ? new byte[0] : Base64.getDecoder().decode(base64);
         } catch (IllegalArgumentException e) {
@@ -242,7 +243,7 @@
         }
     }
 
-    private static ListKind listKind(long mode) {
+    private static ListKind parseListKind(long mode) {
         return switch ((int) mode) {
             case 0 -> ListKind.FULL;
             case 2 -> ListKind.DELTA;
@@ -252,7 +253,7 @@
         };
     }
 
-    private static Outcome outcome(String word) {
+    private static Outcome parseOutcome(String word) {
         return switch (word) {
             case "GOOD" -> Outcome.OK;
             case "BAD" -> Outcome.ERROR;
@@ -266,7 +267,7 @@
         };
     }
 
-    private static LoadReport report(String row, List<String> names) {
+    private static LoadReport parseLoadReport(String row, List<String> names) {
         if (row == null) {
             return null;
         }
@@ -279,25 +280,25 @@
                 throw new WireException("load report '" + row + "' holds a value that is no number");
             }
         }
-        return values.report();
+        return values.toLoadReport();
     }
 
     /** Writes one instance's actions into the reply. */
-    private final class Writer implements Balancer.Actions {
+    private final class ActionWriter implements Balancer.Actions {
         private final String name;
 
-        Writer(String name) {
+        ActionWriter(String name) {
             this.name = name;
         }
 
-        private StringBuilder line(String action) {
-            by(name);
+        private StringBuilder beginLine(String action) {
+            writeInstance(name);
             return reply.append(action);
         }
 
         @Override
         public void send(String request, String upstream, long untilUs) {
-            line("ASSIGN ")
+            beginLine("ASSIGN ")
                     .append(request)
                     .append(' ')
                     .append(upstream)
@@ -308,32 +309,32 @@
 
         @Override
         public void refuse(String request, long retryAfterUs) {
-            line("DENY ").append(request).append(' ').append(retryAfterUs).append('\n');
+            beginLine("DENY ").append(request).append(' ').append(retryAfterUs).append('\n');
         }
 
         @Override
         public void fail(String request) {
-            line("FAIL ").append(request).append('\n');
+            beginLine("FAIL ").append(request).append('\n');
         }
 
         @Override
         public void cancel(String request, int attempt) {
-            line("REVOKE ").append(request).append(' ').append(attempt).append('\n');
+            beginLine("REVOKE ").append(request).append(' ').append(attempt).append('\n');
         }
 
         @Override
         public void probe(String upstream) {
-            line("SAMPLE ").append(upstream).append('\n');
+            beginLine("SAMPLE ").append(upstream).append('\n');
         }
 
         @Override
         public void subscribe() {
-            line("TRACK 1\n");
+            beginLine("TRACK 1\n");
         }
 
         @Override
         public void sendToPeer(int peer, byte[] message) {
-            line("WRITE_PEER ")
+            beginLine("WRITE_PEER ")
                     .append(peer)
                     .append(' ')
                     .append(Base64.getEncoder().encodeToString(message))
@@ -342,17 +343,17 @@
 
         @Override
         public void closeIdleConnections(String upstream) {
-            line("LET_GO ").append(upstream).append('\n');
+            beginLine("LET_GO ").append(upstream).append('\n');
         }
 
         @Override
         public void startTimer(String mark, long delayUs) {
-            line("SCHEDULE ").append(mark).append(' ').append(delayUs).append('\n');
+            beginLine("SCHEDULE ").append(mark).append(' ').append(delayUs).append('\n');
         }
 
         @Override
         public void log(String text) {
-            line("TRACE ").append(text).append('\n');
+            beginLine("TRACE ").append(text).append('\n');
         }
     }
 }
--- a/src/test/java/rushproxy/AffinityTest.java
+++ b/src/test/java/rushproxy/AffinityTest.java
@@ -19,20 +19,20 @@
     private static PolicyHarness rig(long seed, int me) {
         PolicyHarness rig = new PolicyHarness();
         rig.seed = seed;
-        rig.me = me;
+        rig.sidecarIndex = me;
         Upstream[] ups = new Upstream[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
-            ups[i] = PolicyHarness.up("s" + i, "za", i);
+            ups[i] = PolicyHarness.upstream("s" + i, "za", i);
         }
-        return rig.start().list(ups);
+        return rig.start().receiveList(ups);
     }
 
     private static String send(PolicyHarness rig, String id, long key, boolean answer) {
-        rig.after(3_000);
+        rig.advance(3_000);
         rig.policy.onRequest(rig.now, new Request(id, key, false, false, 0, 800_000, null, "c"));
         String at = rig.sentTo(id, 0);
         if (answer && at != null) {
-            rig.after(1_000).outcome(id, 0, at, Outcome.OK, 75_000);
+            rig.advance(1_000).outcome(id, 0, at, Outcome.OK, 75_000);
         }
         return at;
     }
--- a/src/test/java/rushproxy/ArchitectureTest.java
+++ b/src/test/java/rushproxy/ArchitectureTest.java
@@ -64,7 +64,7 @@
             .dependOnClassesThat()
             .resideInAnyPackage("rushproxy.lab..", "rushproxy.cli..");
 
-    /** A release counts latencies in histograms that add up; what serves loads none of it before one begins (StartTest). */
+    /** A release counts latencies in histograms that add up; what serves loads none of it before one begins (ServeClassLoadingTest). */
     @ArchTest
     static final ArchRule WHAT_SERVES_USES_NO_LIBRARY_OF_PEOPLES = noClasses()
             .that()
--- a/src/test/java/rushproxy/KnowledgeTest.java
+++ b/src/test/java/rushproxy/EstimatesTest.java
@@ -10,16 +10,17 @@
 import rushproxy.Balancer.Outcome;
 
 /** What one instance has learned is the beginning of another. */
-class KnowledgeTest {
+class EstimatesTest {
     /** Learns that servers are three times as slow as the settings' classes say. */
     private static PolicyHarness taught(double slower) {
-        PolicyHarness rig =
-                new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), PolicyHarness.up("s1", "za", 1));
+        PolicyHarness rig = new PolicyHarness()
+                .start()
+                .receiveList(PolicyHarness.upstream("s0", "za", 0), PolicyHarness.upstream("s1", "za", 1));
         for (int i = 0; i < 200; i++) {
-            rig.after(5_000).request("r" + i);
+            rig.advance(5_000).request("r" + i);
             if (rig.sentTo("r" + i, 0) != null) {
                 long us = (long) (75_000 * slower);
-                rig.after(us).outcome("r" + i, 0, rig.sentTo("r" + i, 0), Outcome.OK, us);
+                rig.advance(us).outcome("r" + i, 0, rig.sentTo("r" + i, 0), Outcome.OK, us);
             }
         }
         return rig;
--- a/src/test/java/rushproxy/ColdRampTest.java
+++ b/src/test/java/rushproxy/FleetSlowStartTest.java
@@ -35,7 +35,7 @@
  * sidecar's own estimates, from the few answers it sees; traffic is skewed.
  */
 @Timeout(900)
-class ColdRampTest {
+class FleetSlowStartTest {
     private static final long S = 1_000_000;
     private static final int SERVERS = 8;
     private static final int CORES = 3;
--- a/src/test/java/rushproxy/FleetFactsTest.java
+++ b/src/test/java/rushproxy/FleetStatusTest.java
@@ -11,10 +11,10 @@
 import rushproxy.Balancer.UpstreamState;
 
 /** What the module makes of word on the fleet: the table of docs/MEMBERSHIP.md. */
-class FleetFactsTest {
+class FleetStatusTest {
     private static PolicyHarness rig() {
         PolicyHarness rig = new PolicyHarness();
-        rig.balancers = 10;
+        rig.sidecarCount = 10;
         return rig.start();
     }
 
@@ -39,11 +39,11 @@
 
     /** All requests that a cold server gets in a while, at the rate of a crowd. */
     private static int sentToCold(PolicyHarness rig) {
-        rig.list(new Upstream("cold", "za", "k", 0, rig.now, 1, UpstreamState.READY));
+        rig.receiveList(new Upstream("cold", "za", "k", 0, rig.now, 1, UpstreamState.READY));
         for (int i = 0; i < 2_000; i++) {
-            rig.after(1_000).request("r" + i);
+            rig.advance(1_000).request("r" + i);
         }
-        return rig.take("send ").size();
+        return rig.actionsWith("send ").size();
     }
 
     @Test
--- a/src/test/java/rushproxy/ModuleLimitsTest.java
+++ b/src/test/java/rushproxy/ModuleSizeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** On-call reads the whole module at night: it stays short and narrow. */
-class ModuleLimitsTest {
+class ModuleSizeTest {
     private static final List<String> MODULE = List.of(
             "src/main/java/rushproxy/Policy.java",
             "src/main/java/rushproxy/State.java",
--- a/src/test/java/rushproxy/PolicyHarness.java
+++ b/src/test/java/rushproxy/PolicyHarness.java
@@ -24,41 +24,41 @@
     Policy policy;
 
     Semantics semantics = Semantics.SAFE;
-    DedupScope group = DedupScope.ALL;
-    long windowUs = 4_000_000;
+    DedupScope dedupScope = DedupScope.ALL;
+    long dedupWindowUs = 4_000_000;
     long aimUs = 300_000;
     boolean stream;
     int maxAttempts = 4;
     boolean secondCopies;
     boolean peers = true;
     boolean probing;
-    long closeOnDrainUs;
-    int me;
+    long closeOnDrainWithinUs;
+    int sidecarIndex;
     double connectionPrice;
-    boolean onRequest;
-    int balancers = 2;
+    boolean discoveryOnRequest;
+    int sidecarCount = 2;
     long seed = 7;
     double crossZonePrice;
-    LoadReporting reports = LoadReporting.INLINE;
+    LoadReporting loadReporting = LoadReporting.INLINE;
     List<Tenant> tenants = List.of();
     List<RequestClass> otherClasses = List.of();
 
     PolicyHarness start() {
-        RequestClass c = new RequestClass("c", semantics, group, windowUs, aimUs, 0, 800_000, 3, 0, stream);
+        RequestClass c = new RequestClass("c", semantics, dedupScope, dedupWindowUs, aimUs, 0, 800_000, 3, 0, stream);
         List<RequestClass> classes = new ArrayList<>(otherClasses);
         classes.add(c);
         Settings settings = new Settings(
-                me,
-                balancers,
+                sidecarIndex,
+                sidecarCount,
                 "za",
                 List.of("za", "zb", "zc"),
                 List.of("k"),
                 classes,
                 tenants,
                 new Limits(maxAttempts, secondCopies, true, probing, peers, true, 1_000_000, 15_000_000, 0),
-                new Rules(500_000, 0.13, 24_000_000, 3, 1_000_000, 10_000_000, 5_000, closeOnDrainUs),
-                reports,
-                onRequest,
+                new Rules(500_000, 0.13, 24_000_000, 3, 1_000_000, 10_000_000, 5_000, closeOnDrainWithinUs),
+                loadReporting,
+                discoveryOnRequest,
                 false,
                 0.1,
                 new Prices(crossZonePrice, 0.01, 0.002, connectionPrice, connectionPrice),
@@ -67,11 +67,11 @@
         return this;
     }
 
-    static Upstream up(String id, String zone, int cell) {
+    static Upstream upstream(String id, String zone, int cell) {
         return new Upstream(id, zone, "k", cell, 0, 1, UpstreamState.READY);
     }
 
-    PolicyHarness list(Upstream... entries) {
+    PolicyHarness receiveList(Upstream... entries) {
         policy.onUpstreamList(now, ListKind.FULL, List.of(entries));
         return this;
     }
@@ -90,24 +90,24 @@
         return this;
     }
 
-    PolicyHarness after(long us) {
+    PolicyHarness advance(long us) {
         now += us;
         return this;
     }
 
     /** Fires the timer, as the host would. */
-    PolicyHarness fire(String mark) {
+    PolicyHarness fireTimer(String mark) {
         policy.onTimer(now, mark);
         return this;
     }
 
-    List<String> take(String verb) {
+    List<String> actionsWith(String verb) {
         return actions.stream().filter(a -> a.startsWith(verb)).toList();
     }
 
     /** Where the attempt of this number of the request went, or null. */
     String sentTo(String id, int attempt) {
-        List<String> sends = take("send " + id + " ");
+        List<String> sends = actionsWith("send " + id + " ");
         return attempt < sends.size() ? sends.get(attempt).split(" ")[2] : null;
     }
 
--- a/src/test/java/rushproxy/StartTest.java
+++ b/src/test/java/rushproxy/ServeClassLoadingTest.java
@@ -13,7 +13,7 @@
 
 /** A sidecar's start loads nothing of what only people use. */
 @Timeout(120)
-class StartTest {
+class ServeClassLoadingTest {
     private static final String NOT_OF_SERVE =
             "rushproxy\\.(lab|cli)|picocli|com\\.fasterxml\\.jackson\\.(databind|dataformat)"
                     + "|org\\.HdrHistogram|org\\.apache\\.commons";
--- a/src/test/java/rushproxy/SilentServerTest.java
+++ b/src/test/java/rushproxy/SilentServerTest.java
@@ -44,16 +44,16 @@
         sim.startAll();
         for (int m = 0; m < sidecars; m++) {
             PolicyHarness rig = new PolicyHarness();
-            rig.me = m;
-            rig.balancers = Math.max(2, sidecars);
+            rig.sidecarIndex = m;
+            rig.sidecarCount = Math.max(2, sidecars);
             rig.connectionPrice = 0.05;
             rig.now = sim.node(m).clock();
             rigs.add(rig.start()
-                    .list(
-                            PolicyHarness.up("s0", "za", 0),
-                            PolicyHarness.up("s1", "zb", 1),
-                            PolicyHarness.up("s2", "za", 2),
-                            PolicyHarness.up("s3", "zb", 3)));
+                    .receiveList(
+                            PolicyHarness.upstream("s0", "za", 0),
+                            PolicyHarness.upstream("s1", "zb", 1),
+                            PolicyHarness.upstream("s2", "za", 2),
+                            PolicyHarness.upstream("s3", "zb", 3)));
             told.add(new ArrayList<>());
             ask(m, everyUs, 0);
             hear(m);
@@ -101,7 +101,7 @@
                 case "send" -> answer(m, word[1], word[2]);
                 case "timer" ->
                     sim.later(Long.parseLong(word[2]), () -> {
-                        rig(m).fire(word[1]);
+                        rig(m).fireTimer(word[1]);
                         act(m);
                     });
                 case "evidence" -> {
--- a/src/test/java/rushproxy/SplitTest.java
+++ b/src/test/java/rushproxy/SolveSharesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Eq. (4) against the paper's corollaries and cases worked out by hand. */
-class SplitTest {
+class SolveSharesTest {
     private static double[] d(double... v) {
         return v;
     }
--- a/src/test/java/rushproxy/SharedFactsTest.java
+++ b/src/test/java/rushproxy/VerdictsAndLimitsTest.java
@@ -22,16 +22,16 @@
 import rushproxy.Balancer.Verdict;
 
 /** What the module makes of word on servers and of limits: the tables of docs/SHARED.md. */
-class SharedFactsTest {
+class VerdictsAndLimitsTest {
     private static final long S = 1_000_000;
 
     private static PolicyHarness rig() {
         return new PolicyHarness()
                 .start()
-                .list(
-                        PolicyHarness.up("s0", "za", 0),
-                        PolicyHarness.up("s1", "za", 1),
-                        PolicyHarness.up("s2", "za", 2));
+                .receiveList(
+                        PolicyHarness.upstream("s0", "za", 0),
+                        PolicyHarness.upstream("s1", "za", 1),
+                        PolicyHarness.upstream("s2", "za", 2));
     }
 
     private static void told(PolicyHarness rig, String server, Evidence kind, double factor, boolean holds) {
@@ -40,15 +40,15 @@
 
     /** Answers each at once, so that all servers are free. */
     private static long sent(PolicyHarness rig, String server, int requests) {
-        int before = rig.take("send ").size();
+        int before = rig.actionsWith("send ").size();
         for (int i = 0; i < requests; i++) {
             String id = "r" + rig.now + "-" + i;
-            rig.after(2_000).request(id);
+            rig.advance(2_000).request(id);
             if (rig.sentTo(id, 0) != null) {
-                rig.after(20_000).outcome(id, 0, rig.sentTo(id, 0), Outcome.OK, 20_000);
+                rig.advance(20_000).outcome(id, 0, rig.sentTo(id, 0), Outcome.OK, 20_000);
             }
         }
-        return rig.take("send ").stream()
+        return rig.actionsWith("send ").stream()
                 .skip(before)
                 .filter(a -> a.split(" ")[2].equals(server))
                 .count();
@@ -59,7 +59,7 @@
         PolicyHarness rig = rig();
         told(rig, "s1", Evidence.SILENT, 1, true);
         assertEquals(0, sent(rig, "s1", 40));
-        rig.after(2 * S);
+        rig.advance(2 * S);
         assertTrue(sent(rig, "s1", 40) > 0);
     }
 
@@ -76,13 +76,13 @@
         assertTrue(sent(rig, "s1", 40) > 0);
         rig.actions.clear();
         told(rig, "s1", Evidence.FAILING, 1, true);
-        assertEquals(List.of("evidence s1 GOOD"), rig.take("evidence "));
+        assertEquals(List.of("evidence s1 GOOD"), rig.actionsWith("evidence "));
         assertTrue(sent(rig, "s1", 40) > 0);
         // Old ones don't.
-        rig.after(10 * S);
+        rig.advance(10 * S);
         rig.actions.clear();
         told(rig, "s1", Evidence.FAILING, 1, true);
-        assertEquals(List.of(), rig.take("evidence "));
+        assertEquals(List.of(), rig.actionsWith("evidence "));
         assertEquals(0, sent(rig, "s1", 40));
     }
 
@@ -90,9 +90,9 @@
     void noWordUndoesACordonOrADrain() {
         PolicyHarness rig = rig();
         rig.policy.onCordon(rig.now, "s1", true, rig.now);
-        rig.list(
-                PolicyHarness.up("s0", "za", 0),
-                PolicyHarness.up("s1", "za", 1),
+        rig.receiveList(
+                PolicyHarness.upstream("s0", "za", 0),
+                PolicyHarness.upstream("s1", "za", 1),
                 new Upstream("s2", "za", "k", 2, 0, 1, UpstreamState.DRAINING));
         told(rig, "s1", Evidence.GOOD, 1, true);
         told(rig, "s2", Evidence.GOOD, 1, true);
@@ -106,49 +106,49 @@
         PolicyHarness rig = rig();
         rig.request("a");
         String at = rig.sentTo("a", 0);
-        rig.after(1_000).outcome("a", 0, at, Outcome.CONNECT_FAILED, 1_000);
-        assertEquals(List.of("evidence " + at + " SILENT"), rig.take("evidence "));
-        rig.after(3 * S);
+        rig.advance(1_000).outcome("a", 0, at, Outcome.CONNECT_FAILED, 1_000);
+        assertEquals(List.of("evidence " + at + " SILENT"), rig.actionsWith("evidence "));
+        rig.advance(3 * S);
         sent(rig, at, 60);
         assertTrue(
-                rig.take("evidence ").contains("evidence " + at + " GOOD"),
-                rig.take("evidence ").toString());
+                rig.actionsWith("evidence ").contains("evidence " + at + " GOOD"),
+                rig.actionsWith("evidence ").toString());
     }
 
     @Test
     void errorsThatComeFasterThanAnAnswerCouldAreToldAsSuch() {
-        PolicyHarness rig = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0));
+        PolicyHarness rig = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0));
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            rig.after(1_000).request("a" + i);
+            rig.advance(1_000).request("a" + i);
             if (rig.sentTo("a" + i, 0) != null) {
                 ids.add("a" + i);
             }
         }
-        ids.forEach(id -> rig.after(200).outcome(id, 0, "s0", Outcome.ERROR, 200));
-        assertTrue(rig.take("evidence ").contains("evidence s0 FAILING_FAST"), rig.actions.toString());
+        ids.forEach(id -> rig.advance(200).outcome(id, 0, "s0", Outcome.ERROR, 200));
+        assertTrue(rig.actionsWith("evidence ").contains("evidence s0 FAILING_FAST"), rig.actions.toString());
     }
 
     @Test
     void aRestartThatTheListDoesNotTellMakesAServerCold() {
         PolicyHarness rig = rig();
         long warm = sent(rig, "s1", 60);
-        rig.after(10 * S);
+        rig.advance(10 * S);
         told(rig, "s1", Evidence.COLD, 0, true);
         long cold = sent(rig, "s1", 60);
         assertTrue(cold < warm, cold + " and " + warm);
         // Nobody's word makes it warm before its time.
         PolicyHarness other = new PolicyHarness()
                 .start()
-                .list(
-                        PolicyHarness.up("s0", "za", 0),
+                .receiveList(
+                        PolicyHarness.upstream("s0", "za", 0),
                         new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
         other.now = rig.now;
         told(other, "s1", Evidence.COLD, 1_000, true);
         PolicyHarness without = new PolicyHarness()
                 .start()
-                .list(
-                        PolicyHarness.up("s0", "za", 0),
+                .receiveList(
+                        PolicyHarness.upstream("s0", "za", 0),
                         new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
         without.now = rig.now;
         assertEquals(sent(without, "s1", 60), sent(other, "s1", 60));
@@ -160,15 +160,15 @@
     }
 
     private static int refusedOf(PolicyHarness rig, int requests, long everyUs) {
-        int before = rig.take("refuse ").size();
+        int before = rig.actionsWith("refuse ").size();
         for (int i = 0; i < requests; i++) {
             String id = "q" + rig.now;
-            rig.after(everyUs).request(id);
+            rig.advance(everyUs).request(id);
             if (rig.sentTo(id, 0) != null) {
                 rig.outcome(id, 0, rig.sentTo(id, 0), Outcome.OK, 1_000);
             }
         }
-        return rig.take("refuse ").size() - before;
+        return rig.actionsWith("refuse ").size() - before;
     }
 
     @Test
@@ -178,7 +178,7 @@
         int refused = refusedOf(rig, 100, 9_000);
         assertTrue(refused >= 75 && refused <= 82, "of 100 in 0.9 s, 18 and a burst of 5 pass: " + refused);
         assertEquals(100 / 0.9, rig.policy.collectLimitDemands(900_000).get("l"), 0.1);
-        rig.after(S);
+        rig.advance(S);
         refused = refusedOf(rig, 100, 10_000);
         assertTrue(refused >= 93 && refused <= 95, "5 a second: " + refused);
     }
@@ -188,14 +188,14 @@
         PolicyHarness rig = rig();
         share(rig, true, 2, 1);
         rig.request("a").request("b").request("c");
-        assertEquals(List.of("refuse c"), rig.take("refuse "));
+        assertEquals(List.of("refuse c"), rig.actionsWith("refuse "));
         assertEquals(3, rig.policy.collectLimitDemands(S).get("l"));
-        rig.after(5_000).outcome("a", 0, rig.sentTo("a", 0), Outcome.OK, 5_000);
+        rig.advance(5_000).outcome("a", 0, rig.sentTo("a", 0), Outcome.OK, 5_000);
         rig.request("d");
-        assertFalse(rig.take("refuse ").contains("refuse d"));
+        assertFalse(rig.actionsWith("refuse ").contains("refuse d"));
         rig.policy.onLimitShares(rig.now, List.of());
         rig.request("e").request("f");
-        assertEquals(1, rig.take("refuse ").size(), "no limit any more");
+        assertEquals(1, rig.actionsWith("refuse ").size(), "no limit any more");
     }
 
     private static void weigh(PolicyHarness rig, Map<String, Double> of) {
@@ -221,17 +221,17 @@
         PolicyHarness rig = rig();
         weigh(rig, Map.of("s0", 0.0, "s1", 0.0, "s2", 0.0));
         rig.request("a");
-        assertEquals(List.of(), rig.take("send "));
-        rig.after(1_000 * S).fire("hold").request("b");
-        assertEquals(1, rig.take("send b ").size(), "past its time it counts as never told");
+        assertEquals(List.of(), rig.actionsWith("send "));
+        rig.advance(1_000 * S).fireTimer("hold").request("b");
+        assertEquals(1, rig.actionsWith("send b ").size(), "past its time it counts as never told");
     }
 
     @Test
     void aColdServersTurnsGoByItsWeightToo() {
         Upstream cold = new Upstream("s1", "za", "k", 1, 1_000_000_000L, 1, UpstreamState.READY);
-        PolicyHarness with = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), cold);
+        PolicyHarness with = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0), cold);
         weigh(with, Map.of("s1", 0.05));
-        PolicyHarness without = new PolicyHarness().start().list(PolicyHarness.up("s0", "za", 0), cold);
+        PolicyHarness without = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0), cold);
         long few = sent(with, "s1", 600);
         long many = sent(without, "s1", 600);
         assertTrue(4 * few < many, few + " and " + many);
@@ -243,19 +243,20 @@
         rig.otherClasses = List.of(
                 new RequestClass("unsafe", Semantics.UNSAFE, DedupScope.ALL, 0, 300_000, 0, 800_000, 3, 0, false));
         Upstream[] all = new Upstream[40];
-        Arrays.setAll(all, i -> PolicyHarness.up("s" + i, "za", i));
-        rig.start().list(all);
+        Arrays.setAll(all, i -> PolicyHarness.upstream("s" + i, "za", i));
+        rig.start().receiveList(all);
         for (int i = 0;
-                rig.take("evidence s0 ").isEmpty() || rig.take("evidence s1 ").isEmpty();
+                rig.actionsWith("evidence s0 ").isEmpty()
+                        || rig.actionsWith("evidence s1 ").isEmpty();
                 i++) {
-            String to = rig.after(1_000).request("w" + i).sentTo("w" + i, 0);
+            String to = rig.advance(1_000).request("w" + i).sentTo("w" + i, 0);
             boolean down = to.equals("s0") || to.equals("s1");
             rig.outcome("w" + i, 0, to, down ? Outcome.CONNECT_FAILED : Outcome.OK, 20_000);
             if (down) {
                 rig.outcome("w" + i, 1, rig.sentTo("w" + i, 1), Outcome.OK, 20_000);
             }
         }
-        rig.after(S);
+        rig.advance(S);
         rig.policy.onVerdicts(
                 rig.now,
                 List.of(
@@ -287,12 +288,12 @@
     @Test
     void aProcessThatIsNewIsNotAccusedForTheOneBefore() {
         PolicyHarness rig = witness();
-        rig.list(new Upstream("s0", "za", "k", 0, rig.now - 100 * S, 1, UpstreamState.READY));
+        rig.receiveList(new Upstream("s0", "za", "k", 0, rig.now - 100 * S, 1, UpstreamState.READY));
         rig.actions.clear();
-        for (int i = 0; rig.take("send a" + (i - 1) + " s0 ").isEmpty(); i++) {
-            rig.after(1_000).request("a" + i).outcome("a" + i, 0, rig.sentTo("a" + i, 0), Outcome.TIMEOUT, 800_000);
+        for (int i = 0; rig.actionsWith("send a" + (i - 1) + " s0 ").isEmpty(); i++) {
+            rig.advance(1_000).request("a" + i).outcome("a" + i, 0, rig.sentTo("a" + i, 0), Outcome.TIMEOUT, 800_000);
         }
-        assertEquals(List.of(), rig.take("evidence s0 "));
+        assertEquals(List.of(), rig.actionsWith("evidence s0 "));
     }
 
     /** Guards against a second request that is lost to a silent server each time that it is tried. */
@@ -300,7 +301,7 @@
     void aTrialOfAServerThatStaysSilentLosesOneRequest() {
         PolicyHarness rig = witness().request("a");
         assertEquals("s0", rig.sentTo("a", 0));
-        rig.after(800_000).outcome("a", 0, "s0", Outcome.TIMEOUT, 800_000);
+        rig.advance(800_000).outcome("a", 0, "s0", Outcome.TIMEOUT, 800_000);
         assertEquals("s1", rig.request("b").sentTo("b", 0));
     }
 }
