--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -4,73 +4,73 @@
 import rushproxy.PolicyState.*;
 
 /**
- * All decisions of the balancer; its interface (events, actions, settings) is {@link Balancer} in
- * Balancer.java.
+ * Makes all load-balancing decisions of a sidecar. {@link Balancer} defines its events, actions and settings.
  *
- * <p>HALO Power-of-D, D = 2: Eq. (4) splits the fleet's rate over the server kinds, each request draws two
- * servers by p_i/k_i and goes to the one with fewer in flight. Servers that leave their kind are groups of
- * their own; full ones leave the draw and requests wait here; one gate each for sends, refusals and failures
- * keeps the rules.
+ * <p>Implements HALO Power-of-D with D = 2: Eq. (4) of the paper splits the fleet's request rate among the
+ * server kinds; each request draws two servers with probability p_i/k_i and goes to the less loaded one.
+ * Servers that are much faster or slower than their kind form groups of their own. Full servers are not drawn,
+ * and requests that find no server wait in a queue. Sends, refusals and failures each pass one method that
+ * enforces the protocol rules.
  */
 public final class Policy implements Balancer {
     // ---- constants ------------------------------------------------------------------------------
-    /** Eq. (4) is solved again this often: well under the seconds in which speeds and rates change. */
+    /** How often Eq. (4) is solved again: speeds and rates change within seconds. */
     private static final long SHARES_INTERVAL_US = 100_000;
-    /** Time over which the own request rate is averaged: a burst shows within a second or two. */
+    /** Averaging time of this sidecar's request rate: a burst shows within two seconds. */
     private static final double RATE_AVERAGING_US = 2_000_000;
-    /** Step of the speed estimates: about ten answers tell a server's speed. */
+    /** Gain of the speed estimates: about ten answers determine a server's speed. */
     private static final double ESTIMATE_GAIN = 0.1;
-    /** One answer counts as at most this many times slower than expected: costs have long tails. */
+    /** Upper bound of a latency relative to its expectation: request costs are heavy-tailed. */
     private static final double MAX_RELATIVE_LATENCY = 3;
-    /** A server so many times off its kind is a group of its own; beyond the estimates' noise. */
+    /** A server this many times faster or slower than its kind is an outlier; above estimation noise. */
     private static final double OUTLIER_RATIO = 1.6;
-    /** Without answers for this long an estimate starts to return, so that a server is tried again. */
+    /** Estimates without answers for this long decay to the default, so that the server is tried again. */
     private static final long ESTIMATE_EXPIRY_US = 3_000_000;
-    /** First guess of cores where nothing tells; answers and reports correct it. */
+    /** Initial estimate of a server's cores where load is not reported; answers correct it. */
     static final double INITIAL_CORES = 2;
-    /** Square-root staffing: a server holds at most cores + this times root of cores. */
+    /** Square-root staffing: a server takes up to cores + HEADROOM_FACTOR * sqrt(cores) requests. */
     private static final double HEADROOM_FACTOR = 1;
-    /** A waiting request starts no later than this many expected services before its aim. */
+    /** A queued request starts at least this many expected service times before its aim. */
     private static final double SLACK_SERVICES = 1.5;
-    /** Waiting requests are looked through this often, to give up in time those that find no room. */
+    /** How often the queue is swept for requests that can no longer be answered in time. */
     private static final long SWEEP_INTERVAL_US = 5_000;
-    /** Failures in a row after which a server is left alone for a while. */
+    /** Consecutive failures after which a server is ejected. */
     private static final int EJECT_AFTER_FAILURES = 2;
 
     private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
-    /** Each sidecar tells one other its rate this often. */
+    /** Interval of peer messages, each of which goes to one peer. */
     private static final long PEER_INTERVAL_US = 500_000;
-    /** As many answers tell a kind's speed well; more count no more. */
+    /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
     private static final int MAX_ANSWERS = 40;
-    /** Unserved requests remembered for their next try: some seconds of them in a crowd. */
+    /** Unserved requests remembered for their retries: a few seconds' worth under overload. */
     private static final int MAX_UNSERVED = 2_000;
-    /** The means of rates lean to the own rate by this at each message sent. */
+    /** Weight of this sidecar's own rate in the averaged zone rates, applied with each message sent. */
     private static final double OWN_RATE_GAIN = 0.03;
-    /** Where no load is told, requests are shed above this, and at half as much again nearly all. */
+    /** Congestion above which requests are shed where load is unknown; at 1.5 times that, nearly all are. */
     private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2;
-    /** The best is forgotten by this at each solution, so that a lucky start does not count for ever. */
+    /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
     private static final double BEST_SLOWNESS_GROWTH = 1.0005;
 
     private static final long INFORMATION_TTL_US = 5_000_000;
-    /** Own answers that are younger speak louder than peers. */
+    /** A success more recent than this outweighs the fleet's verdict on a server. */
     private static final long OWN_EVIDENCE_TTL_US = 2_000_000;
-    /** An error so many times faster than an answer draws requests to its server. */
+    /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
-    /** Seconds of a limit's share that may come at once. */
+    /** Burst of a rate limit, in seconds of its share. */
     private static final double LIMIT_BURST_S = 0.25;
-    /** Points of the result that the probes of one pair may cost at most. */
+    /** Highest price of probing one pair of servers, in points of the score. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005;
 
     private static final long MIN_DISCOVERY_RETRY_US = 500_000;
-    /** A probe not answered for this long may be sent again. */
+    /** A probe that is unanswered for this long may be repeated. */
     private static final long PROBE_TIMEOUT_US = 100_000;
-    /** Draws in want of room before all are looked through; pairs asked before a short queue will do. */
+    /** Random draws before the whole table is scanned; pairs probed before a short queue is accepted. */
     private static final int RANDOM_DRAWS = 4, PROBED_PAIRS = 3;
-    /** Sidecars that share one server where connections cost: enough that their streams even out. */
+    /** Sidecars that share a server where connections have a price: enough to even out their rates. */
     private static final int SIDECARS_PER_SERVER = 10;
-    /** Least number of servers in a sidecar's subset: two draws and one in reserve. */
+    /** Minimum number of servers in a sidecar's subset: the two drawn and one spare. */
     private static final int MIN_SUBSET_SIZE = 3;
-    /** A connection idle for less than this is not suspected of having been dropped meanwhile. */
+    /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_IDLE_LIMIT_US = 200_000;
 
     private static final long IDLE_LIMIT_TTL_US = 5_000_000;
@@ -80,13 +80,13 @@
     private final SplittableRandom random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private double maxWorth;
-    /** The two drawn servers are asked for their load by probes: the paper's sampled load itself. */
+    /** Both drawn servers are probed for their load before a send, as in the paper. */
     private final boolean probesLoad;
 
     private final SlowStart slowStart;
-    /** Connections and handshakes have a price: a sidecar keeps to a few servers of each kind. */
+    /** Connections and handshakes have a price: the sidecar uses only a few servers of each kind. */
     private final boolean usesSubset;
-    /** No load is told, and more sidecars than share a server: own requests say little of it. */
+    /** Load is not probed, and with this many sidecars own requests say little about a server's load. */
     private final boolean loadUnknown;
 
     private final double initialCores;
@@ -124,7 +124,7 @@
     // ---- membership -----------------------------------------------------------------------------
     final Map<String, Server> servers = new LinkedHashMap<>();
     final Map<String, ServerKind> kinds = new LinkedHashMap<>();
-    /** Ready servers; with a subset in the order that all sidecars share. */
+    /** Servers that are listed as ready and not cordoned; sorted by hash where a subset is used. */
     private final List<Server> readyServers = new ArrayList<>();
 
     private List<Server> subset = List.of();
@@ -138,116 +138,120 @@
         Set<String> named = new HashSet<>();
         for (Upstream u : entries) {
             named.add(u.id());
-            Server s = servers.get(u.id());
-            if (s == null) {
+            Server server = servers.get(u.id());
+            if (server == null) {
                 ServerKind kind = kinds.computeIfAbsent(u.kind(), k -> new ServerKind(initialCores));
-                s = new Server(u, kind, config.zones().indexOf(u.zone()), mixHash(u.id().hashCode(), 0));
-                servers.put(u.id(), s);
-            } else if (u.startedUs() != s.listing.startedUs()) {
-                resetAfterRestart(s);
+                server = new Server(u, kind, config.zones().indexOf(u.zone()), mixHash(u.id().hashCode(), 0));
+                servers.put(u.id(), server);
+            } else if (u.startedUs() != server.listing.startedUs()) {
+                resetAfterRestart(server);
             }
-            s.listing = u;
-            updateReadiness(s);
+            server.listing = u;
+            updateReadiness(server);
         }
-        for (Server s : servers.values()) {
-            if (listKind == ListKind.DELTA || named.contains(s.id)) continue;
-            s.ready = false;
-            closeIdleIfLeaving(s);
+        for (Server server : servers.values()) {
+            if (listKind == ListKind.DELTA || named.contains(server.id)) continue;
+            server.ready = false;
+            closeIdleIfLeaving(server);
         }
         onServersChanged(now);
     }
 
     private void onServersChanged(long now) {
         readyServers.clear();
-        servers.values().stream().filter(s -> s.ready).forEach(readyServers::add);
-        if (usesSubset)
-            readyServers.sort(Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
+        servers.values().stream().filter(server -> server.ready).forEach(readyServers::add);
+        if (usesSubset) {
+            readyServers.sort(
+                    Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
+        }
         sharesSolvedAt = now - SHARES_INTERVAL_US;
         subsetChosenAt = now - PEER_INTERVAL_US - 1;
         dispatchQueue(now, false);
     }
 
-    private static void resetAfterRestart(Server s) {
-        s.relativeSlowness = 1;
-        s.failures = s.ejections = s.rejections = 0;
-        s.ejectedUntil = s.fullUntil = s.lastUsedAt = 0;
-        s.lastFailureAt = Long.MIN_VALUE / 2;
-        s.idleDropSuspected = false;
+    private static void resetAfterRestart(Server server) {
+        server.relativeSlowness = 1;
+        server.failures = server.ejections = server.rejections = 0;
+        server.ejectedUntil = server.fullUntil = server.lastUsedAt = 0;
+        server.lastFailureAt = Long.MIN_VALUE / 2;
+        server.idleDropSuspected = false;
     }
 
-    /** What the operators leave out, and when they had the others back; ids need not be listed. */
+    /** Servers cordoned by the operators, and when others were uncordoned; neither need be listed. */
     private final Set<String> cordoned = new HashSet<>();
 
     private final Map<String, Long> uncordonedAt = new HashMap<>();
-    /** Back, and not yet heard of: a cold server may have no share for seconds, yet its users wait for it. */
+    /** Uncordoned, without a success since: operators expect traffic though a cold server's share may be 0. */
     private final Set<Server> awaitingFirstAnswer = new LinkedHashSet<>();
 
     @Override
     public void onCordon(long now, String upstream, boolean leftOut, long atUs) {
-        Server s = servers.get(upstream);
+        Server server = servers.get(upstream);
         if (leftOut) {
             cordoned.add(upstream);
-            if (s != null) awaitingFirstAnswer.remove(s);
+            if (server != null) awaitingFirstAnswer.remove(server);
         } else {
             cordoned.remove(upstream);
             uncordonedAt.put(upstream, Math.min(now, atUs));
-            if (s != null) {
-                resetAfterRestart(s);
-                awaitingFirstAnswer.add(s);
+            if (server != null) {
+                resetAfterRestart(server);
+                awaitingFirstAnswer.add(server);
             }
         }
-        if (s == null) return;
-        updateReadiness(s);
+        if (server == null) return;
+        updateReadiness(server);
         onServersChanged(now);
     }
 
-    /** Whether the list and the operators let it be used, and since when it runs. */
-    private void updateReadiness(Server s) {
-        s.startedAt = Math.max(s.listing.startedUs(), uncordonedAt.getOrDefault(s.id, 0L));
-        s.ready = s.listing.state() == UpstreamState.READY && !cordoned.contains(s.id);
-        closeIdleIfLeaving(s);
+    /** Derives from the list and the cordons whether the server may be used and when it started. */
+    private void updateReadiness(Server server) {
+        server.startedAt = Math.max(server.listing.startedUs(), uncordonedAt.getOrDefault(server.id, 0L));
+        server.ready = server.listing.state() == UpstreamState.READY && !cordoned.contains(server.id);
+        closeIdleIfLeaving(server);
     }
 
-    /** Fifth rule: idle connections to a server that leaves are closed at the notice and after each later
-     * outcome there. Also when it vanishes from the list, where a drain may have gone unseen. */
-    private void closeIdleIfLeaving(Server s) {
-        if (config.rules().closeOnDrainWithinUs() > 0 && !s.ready && s.lastUsedAt > 0)
-            actions.closeIdleConnections(s.id);
+    /** Rule 5: closes idle connections to a server that leaves, when that becomes known and after each later
+     * outcome there. Also when it vanishes from the list, since its drain may have gone unnoticed. */
+    private void closeIdleIfLeaving(Server server) {
+        if (config.rules().closeOnDrainWithinUs() > 0 && !server.ready && server.lastUsedAt > 0) {
+            actions.closeIdleConnections(server.id);
+        }
     }
 
     private boolean hasCrossZonePrice() {
         return config.prices().crossZone() >= 0.02;
     }
 
-    /** A hash that spreads neighbouring numbers; the same at every sidecar. */
+    /** Mixing hash that separates adjacent inputs; the same in every sidecar. */
     static int mixHash(int a, int b) {
         int x = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
         x = (x ^ x >>> 15) * 0xc2b2ae35;
         return x ^ x >>> 16;
     }
 
-    /** Where connections cost, the servers to keep to: of each kind an arc of an order that all share,
-     * from a point of the own number's: even over servers, and a change of the list moves one place at most.
-     * Its length follows the own part of the fleet's rate: a server has as many streams at all sizes. */
+    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of the ring that all
+     * sidecars share, from a start derived from the sidecar's index. It is even over servers, and a change of
+     * the list moves one server at most. The length follows this sidecar's part of the fleet's rate, so that
+     * a server has as many sidecars at all fleet sizes. */
     private List<Server> chooseSubset(long now) {
         zoneFraction = zoneFractions(now);
         if (!usesSubset) return readyServers;
         double arc = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
         subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arc), 0.9 * subsetTarget);
-        // Where idle connections are dropped, no more than are used often enough.
+        // Where idle connections are dropped, no more servers than are used often enough to avoid that.
         double hot = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
         Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
         int[] size = new int[zoneRate.length];
-        for (Server s : readyServers) {
-            parts.computeIfAbsent(List.of(s.zoneIndex, s.listing.kind()), k -> new ArrayList<>())
-                    .add(s);
-            size[s.zoneIndex]++;
+        for (Server server : readyServers) {
+            parts.computeIfAbsent(List.of(server.zoneIndex, server.listing.kind()), k -> new ArrayList<>())
+                    .add(server);
+            size[server.zoneIndex]++;
         }
         List<Server> chosen = new ArrayList<>();
         for (List<Server> of : parts.values()) {
             Server one = of.get(0);
             double n = zoneFraction[one.zoneIndex] * Math.min(hot, subsetTarget) * of.size() / size[one.zoneIndex];
-            // Parts of a server are rounded so that they come out right over many sidecars.
+            // Fractions are rounded by sidecar, so that the average over many sidecars is right.
             n = Math.max(
                     one.zoneIndex == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * 0.7548776662466927 % 1));
             for (int i = 0; i < Math.min(n, of.size()); i++) {
@@ -257,11 +261,11 @@
         return chosen;
     }
 
-    /** The parts of the own requests for each zone: in proportion, or, where crossing has a price, all for
-     * the own but for what it is asked beyond its part of the fleet. Without word of peers all stay. */
+    /** Fractions of this sidecar's requests by zone: in proportion to the servers, or, where crossing has a
+     * price, all to the own zone except its excess over its part of the fleet. Without peer data all stay. */
     private double[] zoneFractions(long now) {
         double[] part = new double[zoneRate.length];
-        for (Server s : readyServers) part[s.zoneIndex] += 1.0 / readyServers.size();
+        for (Server server : readyServers) part[server.zoneIndex] += 1.0 / readyServers.size();
         if (!hasCrossZonePrice() || !loadUnknown) return part;
         double total =
                 now - peerHeardAt < INFORMATION_TTL_US ? Arrays.stream(zoneRate).sum() : 0;
@@ -276,7 +280,7 @@
         return part;
     }
 
-    /** Points of successive numbers at the golden section's distance spread evenly over any circle. */
+    /** Successive multiples of the golden ratio spread evenly over a ring of any size. */
     private int subsetStart(int places) {
         return (int) (config.sidecarIndex() * 0.6180339887498949 % 1 * places);
     }
@@ -289,79 +293,82 @@
     private long rateUpdatedAt;
     private final long startedAt;
 
-    private double capacityFraction(Server s, long now) {
-        return slowStart.capacityFraction(s, now);
+    private double capacityFraction(Server server, long now) {
+        return slowStart.capacityFraction(server, now);
     }
 
-    /** Requests a server holds, as far as known: own, or its own word where that is fresh and higher. */
-    private double estimatedLoad(Server s, long now) {
-        double done = (now - s.loadReportedAt) * s.kind.cores / (s.slowness() * meanWorkUs);
-        double known = Math.max(s.inFlight, s.reportedLoad - done);
-        while (!s.inFlightAttempts.isEmpty() && !s.inFlightAttempts.peekFirst().running) s.inFlightAttempts.pollFirst();
-        Attempt oldest = s.inFlightAttempts.peekFirst();
+    /** Estimated requests at a server: own ones, or the reported load less the work done since, if higher. */
+    private double estimatedLoad(Server server, long now) {
+        double done = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
+        double known = Math.max(server.inFlight, server.reportedLoad - done);
+        while (!server.inFlightAttempts.isEmpty() && !server.inFlightAttempts.peekFirst().running) {
+            server.inFlightAttempts.pollFirst();
+        }
+        Attempt oldest = server.inFlightAttempts.peekFirst();
         if (oldest != null) {
-            // An answer that is overdue counts as more in flight: a stall shows in the own requests first.
-            // Costs have long tails, and half of the servers are a way off: several times over is no stall.
+            // An overdue answer adds to the load, so that a stalled server loses draws before any time-out.
+            // Costs are heavy-tailed and estimates rough: a few times the expected latency is no stall.
             double overdue = (now - oldest.sentAt) / oldest.expectedUs - 2 * MAX_RELATIVE_LATENCY;
             if (overdue > 0) known += overdue;
         }
         return known;
     }
 
-    /** Time that work would take on a server that holds {@code held} others, served first come first. */
-    private double expectedLatencyUs(Server s, double work, double held, long now) {
-        return s.slowness() * (work + queueingDelayUs(s, held)) / capacityFraction(s, now);
+    /** Expected latency on a server that holds {@code held} other requests, first come first served. */
+    private double expectedLatencyUs(Server server, double work, double held, long now) {
+        return server.slowness() * (work + queueingDelayUs(server, held)) / capacityFraction(server, now);
     }
 
-    private double queueingDelayUs(Server s, double held) {
-        double cores = Math.max(1, s.kind.cores);
+    private double queueingDelayUs(Server server, double held) {
+        double cores = Math.max(1, server.kind.cores);
         return Math.max(0, held + 1 - cores) / cores * meanWorkUs;
     }
 
-    private void updateEstimates(Server s, Attempt a, long latencyUs, boolean success, long now) {
-        double relative = latencyUs / Math.max(1, a.expectedStandardUs);
-        if (!success && relative < s.slowness()) return;
+    private void updateEstimates(Server server, Attempt attempt, long latencyUs, boolean success, long now) {
+        double relative = latencyUs / Math.max(1, attempt.expectedStandardUs);
+        if (!success && relative < server.slowness()) return;
         double gain = ESTIMATE_GAIN;
-        if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(s, now) >= 1) {
-            // What waited for a core tells of cores, what did not of speed; each answer teaches by its part.
-            double part = queueingDelayUs(s, a.loadAtSend) / (queueingDelayUs(s, a.loadAtSend) + a.owner.workUs);
-            double step = ESTIMATE_GAIN / 4 * part * (Math.min(MAX_RELATIVE_LATENCY, relative / s.slowness()) - 1);
-            s.kind.cores = Math.max(1, s.kind.cores * (1 - step));
+        if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
+            // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
+            double part = queueingDelayUs(server, attempt.loadAtSend)
+                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workUs);
+            double step = ESTIMATE_GAIN / 4 * part * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
+            server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
             gain *= 1 - part;
         }
-        // Of a server that is out, one more time-out tells nothing of a crowd.
-        if (success || s.ejections == 0) {
-            congestion +=
-                    ESTIMATE_GAIN * (Math.min(2 * MAX_RELATIVE_LATENCY, relative / s.kind.bestSlowness) - congestion);
+        // Further time-outs of an ejected server say nothing about congestion.
+        if (success || server.ejections == 0) {
+            congestion += ESTIMATE_GAIN
+                    * (Math.min(2 * MAX_RELATIVE_LATENCY, relative / server.kind.bestSlowness) - congestion);
         }
-        s.lastAnswerAt = now;
-        s.kind.lastAnswerAt = now;
-        if (success && !isOutlier(s)) {
-            // Towards what was seen: steps that only add up drift. Few answers tell of the kind alone.
-            double first = gain * Math.max(0.25, 1 / ESTIMATE_GAIN / (++s.kind.answers + 1));
-            s.kind.slowness *= 1 + first * (Math.min(MAX_RELATIVE_LATENCY, relative / s.kind.slowness) - 1);
-            s.kind.lastTypicalAnswerAt = now;
+        server.lastAnswerAt = now;
+        server.kind.lastAnswerAt = now;
+        if (success && !isOutlier(server)) {
+            // A step towards the observed value: mere sums of steps drift. Early answers teach the kind alone.
+            double first = gain * Math.max(0.25, 1 / ESTIMATE_GAIN / (++server.kind.answers + 1));
+            server.kind.slowness *= 1 + first * (Math.min(MAX_RELATIVE_LATENCY, relative / server.kind.slowness) - 1);
+            server.kind.lastTypicalAnswerAt = now;
         }
-        s.relativeSlowness *= 1 + gain * (Math.min(MAX_RELATIVE_LATENCY, relative / s.slowness()) - 1);
-        if (success && a.owner.request.costHintUs() <= 0) {
-            double step = ESTIMATE_GAIN / 4 * (Math.min(MAX_RELATIVE_LATENCY, relative / s.slowness()) - 1);
-            classWorkUs.computeIfPresent(a.owner.requestClass.name(), (c, work) -> work * (1 + step));
+        server.relativeSlowness *= 1 + gain * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
+        if (success && attempt.owner.request.costHintUs() <= 0) {
+            double step = ESTIMATE_GAIN / 4 * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
+            classWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, work) -> work * (1 + step));
         }
     }
 
-    private static boolean isOutlier(Server s) {
-        return s.relativeSlowness > OUTLIER_RATIO || s.relativeSlowness * OUTLIER_RATIO < 1;
+    private static boolean isOutlier(Server server) {
+        return server.relativeSlowness > OUTLIER_RATIO || server.relativeSlowness * OUTLIER_RATIO < 1;
     }
 
-    private void recordLoadReport(String upstream, LoadReport r, long now) {
-        Server s = servers.get(upstream);
-        if (s == null || r == null || r.inFlight() < 0) return;
-        s.reportedLoad = r.inFlight();
-        s.loadReportedAt = now;
-        lastReporter = s;
-        double running = r.inFlight() - Math.max(0, r.queued());
-        if (r.queued() >= 0.5 && running >= 0.5 || running > s.kind.cores + 0.5) {
-            s.kind.cores += 0.3 * (Math.max(1, running) - s.kind.cores);
+    private void recordLoadReport(String upstream, LoadReport active, long now) {
+        Server server = servers.get(upstream);
+        if (server == null || active == null || active.inFlight() < 0) return;
+        server.reportedLoad = active.inFlight();
+        server.loadReportedAt = now;
+        lastReporter = server;
+        double running = active.inFlight() - Math.max(0, active.queued());
+        if (active.queued() >= 0.5 && running >= 0.5 || running > server.kind.cores + 0.5) {
+            server.kind.cores += 0.3 * (Math.max(1, running) - server.kind.cores);
         }
     }
 
@@ -373,7 +380,7 @@
         rateUpdatedAt = now;
     }
 
-    /** The mean of the streams heard of, own one included, times their number. */
+    /** Estimated request rate of the fleet: the sidecars' average rate times their number. */
     private double fleetRate(long now) {
         double mean = Arrays.stream(zoneRate).sum();
         return effectiveSidecars(now) * (mean > 0 ? mean : ownRate);
@@ -386,53 +393,55 @@
         fleetStatus = told;
     }
 
-    /** Those whose streams add up: in a majority the ones here, else all. Whom a minority does not see may be
-     * cut off from it alone, and send on. A cold server's budget is not shared anew by this. */
+    /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see may
+     * only be cut off from it and still send. A cold server's budget is never divided anew by this. */
     int effectiveSidecars(long now) {
         boolean told =
                 fleetStatus != null && now < fleetStatus.validUntilUs() && fleetStatus.quorum() == QuorumState.MAJORITY;
         return told ? Math.max(1, Math.min(config.sidecarCount(), fleetStatus.liveSidecars())) : config.sidecarCount();
     }
 
-    /** What only own answers and the list show, told on while it is fresh; not of a server that was ejected
-     * and has not answered since, of which the failure is the word. */
-    private void reportSlowOrCold(long now, Server s) {
-        if (s.ejections > 0) return;
-        boolean slow = s.relativeSlowness > OUTLIER_RATIO && now - s.lastAnswerAt < PEER_INTERVAL_US,
-                cold = capacityFraction(s, now) < 1;
-        if (!slow && !cold || now - s.evidenceSentAt < INFORMATION_TTL_US) return;
-        s.evidenceSentAt = now;
-        if (slow) actions.reportEvidence(s.id, Evidence.SLOW, s.relativeSlowness);
-        else actions.reportEvidence(s.id, Evidence.COLD, (now - s.startedAt) / 1e6);
+    /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and has
+     * had no success since: its failures are the evidence. */
+    private void reportSlowOrCold(long now, Server server) {
+        if (server.ejections > 0) return;
+        boolean slow = server.relativeSlowness > OUTLIER_RATIO && now - server.lastAnswerAt < PEER_INTERVAL_US,
+                cold = capacityFraction(server, now) < 1;
+        if (!slow && !cold || now - server.evidenceSentAt < INFORMATION_TTL_US) return;
+        server.evidenceSentAt = now;
+        if (slow) actions.reportEvidence(server.id, Evidence.SLOW, server.relativeSlowness);
+        else actions.reportEvidence(server.id, Evidence.COLD, (now - server.startedAt) / 1e6);
     }
 
-    /** Out by words of which one is the own: tried when the ejection ends, so that the word stays true. */
+    /** Out by a verdict that this sidecar witnessed: tried when the ejection ends, to renew the evidence. */
     private final List<Server> witnessedOutages = new ArrayList<>();
 
-    /** Own fresh evidence goes before any word, and is told where a word says otherwise. What is out by word
-     * is tried again, one request at a time, when the word ends; by its witnesses when their own ejection
-     * ends, since a word that nobody renews lapses. A word never makes a cold server warmer. */
+    /** Recent own evidence outweighs a verdict and is reported where it contradicts one. A server that is out by
+     * a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their own
+     * ejection ends, since a verdict lapses without new evidence. None makes a cold server warmer. */
     @Override
     public void onVerdicts(long now, List<Verdict> verdicts) {
         witnessedOutages.clear();
         for (Verdict v : verdicts) {
-            Server s = servers.get(v.upstream());
-            if (s == null || now >= v.validUntilUs()) continue;
-            boolean answers = now - s.lastSuccessAt < OWN_EVIDENCE_TTL_US && s.failures == 0 && s.ejections == 0;
-            if (answers && v.kind().isUnavailable()) actions.reportEvidence(s.id, Evidence.GOOD, 1);
-            if (v.reportedHere() && v.kind().isUnavailable()) witnessedOutages.add(s);
-            boolean own = answers || v.reportedHere() || now - s.lastFailureAt < INFORMATION_TTL_US;
+            Server server = servers.get(v.upstream());
+            if (server == null || now >= v.validUntilUs()) continue;
+            boolean answers =
+                    now - server.lastSuccessAt < OWN_EVIDENCE_TTL_US && server.failures == 0 && server.ejections == 0;
+            if (answers && v.kind().isUnavailable()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+            if (v.reportedHere() && v.kind().isUnavailable()) witnessedOutages.add(server);
+            boolean own = answers || v.reportedHere() || now - server.lastFailureAt < INFORMATION_TTL_US;
             if (!v.confirmed() || v.kind().isUnavailable() && own) continue;
             switch (v.kind()) {
                 case SILENT, FAILING, FAILING_FAST -> {
-                    s.ejections = Math.max(1, s.ejections);
-                    s.ejectedUntil = Math.max(s.ejectedUntil, v.validUntilUs());
+                    server.ejections = Math.max(1, server.ejections);
+                    server.ejectedUntil = Math.max(server.ejectedUntil, v.validUntilUs());
                 }
                 case SLOW -> {
-                    if (now - s.lastAnswerAt <= ESTIMATE_EXPIRY_US) continue;
-                    s.relativeSlowness = Math.max(s.relativeSlowness, Math.min(2 * MAX_RELATIVE_LATENCY, v.factor()));
+                    if (now - server.lastAnswerAt <= ESTIMATE_EXPIRY_US) continue;
+                    server.relativeSlowness =
+                            Math.max(server.relativeSlowness, Math.min(2 * MAX_RELATIVE_LATENCY, v.factor()));
                 }
-                case COLD -> s.startedAt = Math.max(s.startedAt, now - (long) (v.factor() * 1e6));
+                case COLD -> server.startedAt = Math.max(server.startedAt, now - (long) (v.factor() * 1e6));
                 case DROPS_IDLE -> lowerIdleLimit(now, (long) (v.factor() * 1_000));
             }
         }
@@ -444,62 +453,64 @@
     public void onLimitShares(long now, List<LimitShare> shares) {
         Map<String, LimitUsage> before = new HashMap<>(limitUsages);
         limitUsages.clear();
-        for (LimitShare s : shares) {
-            LimitUsage q = before.getOrDefault(s.name(), new LimitUsage());
-            q.share = s;
-            limitUsages.put(s.name(), q);
+        for (LimitShare server : shares) {
+            LimitUsage usage = before.getOrDefault(server.name(), new LimitUsage());
+            usage.share = server;
+            limitUsages.put(server.name(), usage);
         }
     }
 
-    /** Since this was asked last: requests a second that each limit was asked for, or the most at once. */
+    /** By limit, the requests per second or the peak number in flight since the last call. */
     @Override
     public Map<String, Double> collectLimitDemands(long passedUs) {
         Map<String, Double> demands = new LinkedHashMap<>();
-        for (LimitUsage q : limitUsages.values()) {
+        for (LimitUsage usage : limitUsages.values()) {
             demands.put(
-                    q.share.name(),
-                    q.share.limitsInFlight() ? q.peakInFlight : q.requested * 1e6 / Math.max(1, passedUs));
-            q.requested = 0;
-            q.peakInFlight = q.inFlight;
+                    usage.share.name(),
+                    usage.share.limitsInFlight() ? usage.peakInFlight : usage.requested * 1e6 / Math.max(1, passedUs));
+            usage.requested = 0;
+            usage.peakInFlight = usage.inFlight;
         }
         return demands;
     }
 
-    /** 0 where all limits that count it have room, which it takes; else the time until they do. */
-    private long acquireLimits(long now, ActiveRequest r) {
+    /** Takes a place in each applicable limit and returns 0, or takes none and returns the time to wait. */
+    private long acquireLimits(long now, ActiveRequest active) {
         List<LimitUsage> counted = new ArrayList<>();
         long wait = 0;
-        for (LimitUsage q : limitUsages.values()) {
-            if (!q.share.appliesTo(r.request)) continue;
-            counted.add(q);
-            double most = now < q.share.validUntilUs() ? q.share.share() : q.share.fallbackShare();
-            q.requested++;
-            q.peakInFlight = Math.max(q.peakInFlight, q.inFlight + 1);
-            if (q.share.limitsInFlight() && q.inFlight + 1 > most) wait = Math.max(wait, r.requestClass.aimUs());
-            if (q.share.limitsInFlight()) continue;
-            q.tokens = Math.min(Math.max(1, most * LIMIT_BURST_S), q.tokens + most * (now - q.refilledAt) / 1e6);
-            q.refilledAt = now;
-            if (q.tokens < 1) wait = Math.max(wait, (long) ((1 - q.tokens) / Math.max(1e-3, most) * 1e6));
+        for (LimitUsage usage : limitUsages.values()) {
+            if (!usage.share.appliesTo(active.request)) continue;
+            counted.add(usage);
+            double most = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
+            usage.requested++;
+            usage.peakInFlight = Math.max(usage.peakInFlight, usage.inFlight + 1);
+            if (usage.share.limitsInFlight() && usage.inFlight + 1 > most)
+                wait = Math.max(wait, active.requestClass.aimUs());
+            if (usage.share.limitsInFlight()) continue;
+            usage.tokens =
+                    Math.min(Math.max(1, most * LIMIT_BURST_S), usage.tokens + most * (now - usage.refilledAt) / 1e6);
+            usage.refilledAt = now;
+            if (usage.tokens < 1) wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, most) * 1e6));
         }
         if (wait > 0) return wait;
-        r.limits = counted;
-        for (LimitUsage q : counted) {
-            if (!q.share.limitsInFlight()) q.tokens--;
-            q.inFlight++;
+        active.limits = counted;
+        for (LimitUsage usage : counted) {
+            if (!usage.share.limitsInFlight()) usage.tokens--;
+            usage.inFlight++;
         }
         return 0;
     }
 
     // ---- split ----------------------------------------------------------------------------------
     private long sharesSolvedAt;
-    /** Of the ready servers, the fastest one's {@link Server#slowness}. */
+    /** Lowest slowness of the servers in use, at their current capacity. */
     private double bestSlowness = 1;
 
-    /** How many times longer than at their best answers take, beyond what the own requests explain. */
+    /** Ratio of latencies to those of uncongested servers, beyond what own requests explain. */
     private double congestion = 1;
 
-    /** Eq. (4) over groups of {@code k} servers of speed {@code mu}; those with a negative share are
-     * dropped and the rest solved again. The shares sum to 1, or all are 0. */
+    /** Solves Eq. (4) for groups of {@code k} servers of speed {@code mu} at rate {@code lambda}. Groups with a
+     * negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
     static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
         double[] p = new double[n];
@@ -509,7 +520,7 @@
             in[i] = k[i] > 0 && mu[i] > 0;
             capacity += in[i] ? k[i] * mu[i] : 0;
         }
-        // Rate 0 has the limit of low rates; past capacity the split stays proportional (Corollary 3).
+        // Rate 0 takes the limit of low rates; above capacity the split stays proportional (Corollary 3).
         double rate = Math.max(capacity * 1e-6, Math.min(lambda, capacity));
         for (int round = 0; round < n; round++) {
             double roots = 0, sum = 0;
@@ -532,7 +543,7 @@
         return p;
     }
 
-    /** Keeps the rate and the shares current; called with every request. */
+    /** Updates rate, subset and shares if they are due; called with every request. */
     private void refreshShares(long now) {
         if (now - sharesSolvedAt < SHARES_INTERVAL_US) return;
         updateOwnRate(now);
@@ -546,44 +557,45 @@
         for (WeightedTable t : List.of(homeServers, remoteServers, allServers)) t.clear();
         warmingServers.clear();
         for (ServerKind k : kinds.values()) {
-            // A kind thought slow gets no requests that would tell otherwise: back towards its best.
+            // A kind estimated as slow gets no requests that could correct that: decay to its best.
             if (now - k.lastAnswerAt > ESTIMATE_EXPIRY_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
             k.bestSlowness =
                     k.answers < MAX_ANSWERS ? k.slowness : Math.min(k.slowness, k.bestSlowness * BEST_SLOWNESS_GROWTH);
         }
-        for (Server s : subset) {
-            reportSlowOrCold(now, s);
-            if (s.relativeSlowness * OUTLIER_RATIO < 1 && now - s.kind.lastTypicalAnswerAt > ESTIMATE_EXPIRY_US)
-                moveKindTowards(s);
-            if (now - s.lastAnswerAt > ESTIMATE_EXPIRY_US) s.relativeSlowness += 0.02 * (1 - s.relativeSlowness);
-            Object group = isOutlier(s) || capacityFraction(s, now) < 1 ? s : s.kind;
-            byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(s);
+        for (Server server : subset) {
+            reportSlowOrCold(now, server);
+            if (server.relativeSlowness * OUTLIER_RATIO < 1
+                    && now - server.kind.lastTypicalAnswerAt > ESTIMATE_EXPIRY_US) moveKindTowards(server);
+            if (now - server.lastAnswerAt > ESTIMATE_EXPIRY_US)
+                server.relativeSlowness += 0.02 * (1 - server.relativeSlowness);
+            Object group = isOutlier(server) || capacityFraction(server, now) < 1 ? server : server.kind;
+            byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(server);
         }
         List<List<Server>> groups = new ArrayList<>(byKind.values());
         double[] k = new double[groups.size()], mu = new double[groups.size()];
         for (int i = 0; i < k.length; i++) {
             Server first = groups.get(i).get(0);
             double slow = 0;
-            for (Server s : groups.get(i)) slow += s.slowness();
+            for (Server server : groups.get(i)) slow += server.slowness();
             k[i] = groups.get(i).size();
             mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (slow / k[i] * meanWorkUs);
         }
         double[] p = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
         for (int i = 0; i < k.length; i++) {
-            for (Server s : groups.get(i)) {
-                // The floor only matters when all servers with a share are full.
-                s.share = weightOf(now, s) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
-                bestSlowness = Math.min(bestSlowness, s.slowness() / capacityFraction(s, now));
-                allServers.add(s);
-                if (hasCrossZonePrice()) (s.zoneIndex == homeZone ? homeServers : remoteServers).add(s);
-                boolean turn = weightOf(now, s) >= 1 || random.nextDouble() < weightOf(now, s);
-                if (p[i] > 0 && capacityFraction(s, now) < 1 && turn) warmingServers.add(s);
+            for (Server server : groups.get(i)) {
+                // The lower bound only matters when all servers with a share are full.
+                server.share = weightOf(now, server) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
+                bestSlowness = Math.min(bestSlowness, server.slowness() / capacityFraction(server, now));
+                allServers.add(server);
+                if (hasCrossZonePrice()) (server.zoneIndex == homeZone ? homeServers : remoteServers).add(server);
+                boolean turn = weightOf(now, server) >= 1 || random.nextDouble() < weightOf(now, server);
+                if (p[i] > 0 && capacityFraction(server, now) < 1 && turn) warmingServers.add(server);
             }
         }
     }
 
-    /** A faster server has all requests of its kind, so nothing tells what the others can do by now: they are
-     * thought nearer to it until they are tried again. Its own estimate stays. */
+    /** A faster server attracts all requests of its kind, so the others' speed is unknown: their estimates move
+     * towards it until they are tried again. Its own estimate stays. */
     private static void moveKindTowards(Server fast) {
         double slow = fast.slowness();
         fast.kind.slowness += 0.02 * (slow - fast.kind.slowness);
@@ -591,87 +603,90 @@
     }
 
     // ---- pick -----------------------------------------------------------------------------------
-    /** The drawn-from servers with their cumulated shares; the own zone's where crossing has a price. */
+    /** The subset by cumulative shares; split into own zone and others where crossing has a price. */
     private final WeightedTable allServers = new WeightedTable(),
             homeServers = new WeightedTable(),
             remoteServers = new WeightedTable();
-    /** Warming servers with a share, for the turns of many sidecars. */
+    /** Warming servers with a share; each is preferred when it is this sidecar's turn to send there. */
     private final List<Server> warmingServers = new ArrayList<>();
 
-    /** Two draws by p_i/k_i among the servers with room, the less busy one wins. Where crossing zones has
-     * a price, all with room in the own zone are drawn from first (or, for the part that a crowded zone gives
-     * away, the others); then any with a free core; then any below their bound. Null: wait here. */
-    private Server pickServer(long now, ActiveRequest r) {
+    /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers of
+     * the own zone come first (or, for the part that a crowded zone gives away, the others); then any with a
+     * free core; then any below its bound. Null if the request has to wait. */
+    private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
         Server turn = null;
-        for (Server s : awaitingFirstAnswer) {
-            if (turn == null && s.inFlight == 0 && hasRoom(now, r, s, true)) turn = s;
+        for (Server server : awaitingFirstAnswer) {
+            if (turn == null && server.inFlight == 0 && hasRoom(now, active, server, true)) turn = server;
         }
-        for (Server s : canTryEjected(r) ? witnessedOutages : List.<Server>of()) {
-            if (turn == null && s.ejections > 0 && s.inFlight == 0 && hasRoom(now, r, s, true)) turn = s;
+        for (Server server : canTryEjected(active) ? witnessedOutages : List.<Server>of()) {
+            if (turn == null && server.ejections > 0 && server.inFlight == 0 && hasRoom(now, active, server, true))
+                turn = server;
         }
         for (int i = 0; i < warmingServers.size() && turn == null; i++) {
-            turn = hasRoom(now, r, warmingServers.get(i), true) ? warmingServers.get(i) : null;
+            turn = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
         }
-        if (probesLoad || turn != null) return probesLoad ? pickByProbes(now, r, turn) : turn;
+        if (probesLoad || turn != null) return probesLoad ? pickByProbes(now, active, turn) : turn;
         boolean stay = !loadUnknown || remoteServers.size() == 0 || random.nextDouble() < zoneFraction[homeZone];
-        Server s = pickOfTwo(now, r, stay ? homeServers : remoteServers, false);
-        s = s != null ? s : pickOfTwo(now, r, allServers, true);
-        return s != null ? s : pickOfTwo(now, r, allServers, false);
+        Server server = pickOfTwo(now, active, stay ? homeServers : remoteServers, false);
+        server = server != null ? server : pickOfTwo(now, active, allServers, true);
+        return server != null ? server : pickOfTwo(now, active, allServers, false);
     }
 
-    /** What tries a server that is out may well be lost: no request twice, and none of an unsafe class. */
-    private static boolean canTryEjected(ActiveRequest r) {
-        return r.attempts.isEmpty() && r.requestClass.semantics() != Semantics.UNSAFE;
+    /** A trial may lose its request: no request makes two, and no unsafe request makes any. */
+    private static boolean canTryEjected(ActiveRequest active) {
+        return active.attempts.isEmpty() && active.requestClass.semantics() != Semantics.UNSAFE;
     }
 
-    private Server pickOfTwo(long now, ActiveRequest r, WeightedTable table, boolean freeCore) {
-        Server first = drawServer(now, r, table, freeCore, null);
-        Server second = first == null ? null : drawServer(now, r, table, freeCore, first);
+    private Server pickOfTwo(long now, ActiveRequest active, WeightedTable table, boolean freeCore) {
+        Server first = drawServer(now, active, table, freeCore, null);
+        Server second = first == null ? null : drawServer(now, active, table, freeCore, first);
         return second == null ? first : lessBusy(now, first, second);
     }
 
     private Server lastReporter;
 
-    /** Many sidecars see too little of the fleet themselves: both of a pair are asked for their load. A free
-     * core takes the request; after some pairs without, the less busy with room. One without an answer by the
-     * next sweep loses. One that {@code lastReporter} of a free core just now takes what found none. */
-    private Server pickByProbes(long now, ActiveRequest r, Server turn) {
-        if (lastReporter != null && r.probedPairs > 0 && hasRoom(now, r, lastReporter, true)) {
-            r.first = null;
+    /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core takes
+     * the request; after some pairs without, the less loaded with room. A server without an answer by the next
+     * sweep is passed over. A request whose pairs had no free core goes to the next server that reports one. */
+    private Server pickByProbes(long now, ActiveRequest active, Server turn) {
+        if (lastReporter != null && active.probedPairs > 0 && hasRoom(now, active, lastReporter, true)) {
+            active.first = null;
             return lastReporter;
         }
-        if (r.first == null) {
-            r.first = now < r.nextProbeAt ? null : turn != null ? turn : drawServer(now, r, allServers, false, null);
-            if (r.first == null) return null;
-            r.second = drawServer(now, r, allServers, false, r.first);
-            r.probedAt = now;
-            probeLoad(now, r.first);
-            probeLoad(now, r.second);
+        if (active.first == null) {
+            active.first = now < active.nextProbeAt
+                    ? null
+                    : turn != null ? turn : drawServer(now, active, allServers, false, null);
+            if (active.first == null) return null;
+            active.second = drawServer(now, active, allServers, false, active.first);
+            active.probedAt = now;
+            probeLoad(now, active.first);
+            probeLoad(now, active.second);
             return null;
         }
-        boolean secondAnswered = r.second == null || r.second.loadReportedAt >= r.probedAt;
-        boolean answered = r.first.loadReportedAt >= r.probedAt && secondAnswered;
-        if (!answered && now - r.probedAt < SWEEP_INTERVAL_US) return null;
+        boolean secondAnswered = active.second == null || active.second.loadReportedAt >= active.probedAt;
+        boolean answered = active.first.loadReportedAt >= active.probedAt && secondAnswered;
+        if (!answered && now - active.probedAt < SWEEP_INTERVAL_US) return null;
         Server best = null;
-        for (Server s : new Server[] {r.first, r.second}) {
-            if (s != null && s.loadReportedAt >= r.probedAt && hasRoom(now, r, s, false)) {
-                best = best == null ? s : lessBusy(now, best, s);
+        for (Server server : new Server[] {active.first, active.second}) {
+            if (server != null && server.loadReportedAt >= active.probedAt && hasRoom(now, active, server, false)) {
+                best = best == null ? server : lessBusy(now, best, server);
             }
         }
-        r.first = null;
-        r.probedPairs++;
-        if (best != null && (r.probedPairs >= PROBED_PAIRS || hasRoom(now, r, best, true))) return best;
-        if (r.probedPairs < PROBED_PAIRS) return pickByProbes(now, r, turn);
-        // Ever rarer, so that a wait costs a bounded number of probes.
-        r.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(r.probedPairs - PROBED_PAIRS, 2));
+        active.first = null;
+        active.probedPairs++;
+        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) return best;
+        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, turn);
+        // Probes less and less often, to bound what a long wait costs.
+        active.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(active.probedPairs - PROBED_PAIRS, 2));
         return null;
     }
 
-    private void probeLoad(long now, Server s) {
-        if (s != null && now - s.probeSentAt > PROBE_TIMEOUT_US) {
-            s.probeSentAt = now;
-            actions.probe(s.id);
+    private void probeLoad(long now, Server server) {
+        if (server != null && now - server.probeSentAt > PROBE_TIMEOUT_US) {
+            server.probeSentAt = now;
+            actions.probe(server.id);
         }
     }
 
@@ -681,50 +696,51 @@
         return random.nextDouble() * (first.share + second.share) < first.share ? first : second;
     }
 
-    /** A server by its share among those with room: for a key always the same one, which met it before, and
-     * over all keys each by its share (weighted rendezvous: Schindelhauer, Schomaker 2005); else at random,
-     * by a few draws from the table and then a look at all of it. */
-    private Server drawServer(long now, ActiveRequest r, WeightedTable table, boolean freeCore, Server not) {
-        long key = r.request.key();
+    /** Draws a server with room by its share: with a key always the same one, which may have cached its data, and
+     * over all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at
+     * random, by a few draws from the table and then a scan of all of it. */
+    private Server drawServer(long now, ActiveRequest active, WeightedTable table, boolean freeCore, Server not) {
+        long key = active.request.key();
         for (int i = 0; i < RANDOM_DRAWS && key < 0 && table.size() > 0; i++) {
-            Server s = table.draw(random.nextDouble());
-            if (s != not && hasRoom(now, r, s, freeCore)) return s;
+            Server server = table.draw(random.nextDouble());
+            if (server != not && hasRoom(now, active, server, freeCore)) return server;
         }
         int hash = key < 0 ? random.nextInt() : Long.hashCode(key);
         double least = Double.MAX_VALUE;
         Server chosen = null;
         for (int i = 0; i < table.size(); i++) {
-            Server s = table.get(i);
-            double score = -Math.log(((mixHash(s.hash, hash) >>> 1) + 1.0) / (1L << 31)) / s.share;
-            if (s == not || score >= least || !hasRoom(now, r, s, freeCore)) continue;
+            Server server = table.get(i);
+            double score = -Math.log(((mixHash(server.hash, hash) >>> 1) + 1.0) / (1L << 31)) / server.share;
+            if (server == not || score >= least || !hasRoom(now, active, server, freeCore)) continue;
             least = score;
-            chosen = s;
+            chosen = server;
         }
         return chosen;
     }
 
     private ServerWeights serverWeights;
 
-    /** A standing order on the draw; none makes a server ready, warm or trusted that is not. */
+    /** Weights only scale the shares: none makes a server ready, warm or trusted. */
     @Override
     public void onServerWeights(long now, ServerWeights told) {
         serverWeights = told;
         sharesSolvedAt = now - SHARES_INTERVAL_US;
     }
 
-    private double weightOf(long now, Server s) {
-        return serverWeights == null || now >= serverWeights.validUntilUs() ? 1 : serverWeights.weightOf(s.id);
+    private double weightOf(long now, Server server) {
+        return serverWeights == null || now >= serverWeights.validUntilUs() ? 1 : serverWeights.weightOf(server.id);
     }
 
-    private boolean hasRoom(long now, ActiveRequest r, Server s, boolean freeCore) {
-        if (now < Math.max(s.ejectedUntil, s.fullUntil) || s.ejections > 0 && s.inFlight > 0) return false;
-        if (weightOf(now, s) <= 0 || !canSend(now, r, s)) return false;
-        double cores = Math.max(1, s.kind.cores) * capacityFraction(s, now);
-        double load = estimatedLoad(s, now);
+    private boolean hasRoom(long now, ActiveRequest active, Server server, boolean freeCore) {
+        if (now < Math.max(server.ejectedUntil, server.fullUntil) || server.ejections > 0 && server.inFlight > 0)
+            return false;
+        if (weightOf(now, server) <= 0 || !canSend(now, active, server)) return false;
+        double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
+        double load = estimatedLoad(server, now);
         if (freeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
         return load + 1 <= Math.max(1, cores + HEADROOM_FACTOR * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
-                && (!loadUnknown && load < 0.5 && capacityFraction(s, now) >= 1
-                        || now + expectedLatencyUs(s, r.workUs, load, now) <= r.usefulUntil);
+                && (!loadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
+                        || now + expectedLatencyUs(server, active.workUs, load, now) <= active.usefulUntil);
     }
 
     // ---- admission ------------------------------------------------------------------------------
@@ -735,38 +751,40 @@
     @Override
     public void onRequest(long now, Request request) {
         arrivals++;
-        ActiveRequest r = new ActiveRequest();
-        r.request = request;
-        r.requestClass = classes.get(request.requestClass());
-        if (r.requestClass == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        r.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(r.requestClass.name());
-        meanWorkUs += 0.01 * (Math.min(r.workUs, MAX_RELATIVE_LATENCY * meanWorkUs) - meanWorkUs);
-        r.deadlineAt = now + request.remainingUs();
-        long aim = (long) (r.requestClass.aimUs() + r.requestClass.aimStretch() * r.workUs);
-        r.firstTriedAt = firstTriedAt(now, r);
-        r.usefulUntil = Math.min(r.deadlineAt, r.requestClass.lateWorth() > 0 ? r.deadlineAt : r.firstTriedAt + aim);
-        r.queueOrder = now + (long) (aim * maxWorth / worthPerWork(r.requestClass));
-        activeRequests.put(request.id(), r);
-        long wait = limitUsages.isEmpty() ? 0 : acquireLimits(now, r);
+        ActiveRequest active = new ActiveRequest();
+        active.request = request;
+        active.requestClass = classes.get(request.requestClass());
+        if (active.requestClass == null)
+            throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
+        active.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
+        meanWorkUs += 0.01 * (Math.min(active.workUs, MAX_RELATIVE_LATENCY * meanWorkUs) - meanWorkUs);
+        active.deadlineAt = now + request.remainingUs();
+        long aim = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workUs);
+        active.firstTriedAt = firstTriedAt(now, active);
+        active.usefulUntil = Math.min(
+                active.deadlineAt, active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aim);
+        active.queueOrder = now + (long) (aim * maxWorth / worthPerWork(active.requestClass));
+        activeRequests.put(request.id(), active);
+        long wait = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
         if (wait > 0) {
-            refuse(r, Math.max(wait, r.requestClass.aimUs() / 2));
+            refuse(active, Math.max(wait, active.requestClass.aimUs() / 2));
             return;
         }
         if (loadUnknown && random.nextDouble() < Math.min(0.95, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
-            refuseOrFail(now, r);
+            refuseOrFail(now, active);
             return;
         }
-        Server s = queue.isEmpty() || probesLoad ? pickServer(now, r) : null;
-        if (s == null) enqueue(now, r);
-        else send(now, r, s);
+        Server server = queue.isEmpty() || probesLoad ? pickServer(now, active) : null;
+        if (server == null) enqueue(now, active);
+        else send(now, active, server);
     }
 
-    /** The worth of a unit of work: where little can be done, that of most worth is done first. */
+    /** Worth per unit of work: with too little capacity, the most valuable work goes first. */
     private double worthPerWork(RequestClass c) {
         return config.worthByWork() ? c.worth() : c.worth() * meanWorkUs / classWorkUs.get(c.name());
     }
 
-    /** What a client asked for and did not get, and when it first asked: its next try is the same request. */
+    /** First tries of unserved requests by class and key: a client's retry continues its request. */
     private final Map<List<Object>, Long> unserved = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -776,26 +794,27 @@
         }
     };
 
-    private long firstTriedAt(long now, ActiveRequest r) {
-        if (!r.request.clientRetry() || r.request.key() < 0) return now;
-        Long first = unserved.remove(List.of(r.requestClass.name(), r.request.key()));
-        return first != null && now - first < r.requestClass.deadlineUs() ? first : now;
+    private long firstTriedAt(long now, ActiveRequest active) {
+        if (!active.request.clientRetry() || active.request.key() < 0) return now;
+        Long first = unserved.remove(List.of(active.requestClass.name(), active.request.key()));
+        return first != null && now - first < active.requestClass.deadlineUs() ? first : now;
     }
 
-    private void rememberUnserved(ActiveRequest r) {
-        if (r.request.key() >= 0) unserved.put(List.of(r.requestClass.name(), r.request.key()), r.firstTriedAt);
+    private void rememberUnserved(ActiveRequest active) {
+        if (active.request.key() >= 0)
+            unserved.put(List.of(active.requestClass.name(), active.request.key()), active.firstTriedAt);
     }
 
-    private void enqueue(long now, ActiveRequest r) {
-        if (now >= latestStart(r)) {
-            // Little time left, as on a client's last try: the sweep would come after its deadline.
-            refuseOrFail(now, r);
+    private void enqueue(long now, ActiveRequest active) {
+        if (now >= latestStart(active)) {
+            // Too little time, as on a client's last try: the next sweep would come after the deadline.
+            refuseOrFail(now, active);
             return;
         }
-        r.queued = true;
+        active.queued = true;
         int at = queue.size();
-        while (at > 0 && queue.get(at - 1).queueOrder > r.queueOrder) at--;
-        queue.add(at, r);
+        while (at > 0 && queue.get(at - 1).queueOrder > active.queueOrder) at--;
+        queue.add(at, active);
         scheduleSweep();
     }
 
@@ -805,143 +824,149 @@
         actions.startTimer("hold", SWEEP_INTERVAL_US);
     }
 
-    /** Sends what waits, in order, while there is room; with {@code sweep} gives up what is too late. */
+    /** Sends queued requests in order while there is room; {@code sweep} also ends those too late. */
     private void dispatchQueue(long now, boolean sweep) {
         boolean room = true;
         for (int i = 0; i < queue.size() && (room || sweep); i++) {
-            ActiveRequest r = queue.get(i);
-            Server s = room || !r.attempts.isEmpty() ? pickServer(now, r) : null;
-            if (s != null || now >= latestStart(r)) {
+            ActiveRequest active = queue.get(i);
+            Server server = room || !active.attempts.isEmpty() ? pickServer(now, active) : null;
+            if (server != null || now >= latestStart(active)) {
                 queue.remove(i--);
-                r.queued = false;
-                if (s != null) send(now, r, s);
-                else refuseOrFail(now, r);
+                active.queued = false;
+                if (server != null) send(now, active, server);
+                else refuseOrFail(now, active);
             } else {
-                // What is free to go anywhere finds no room: the rest waits too, in its order.
-                room &= probesLoad || !r.attempts.isEmpty();
+                // A first attempt may go anywhere and found no room: those behind it wait too, in order.
+                room &= probesLoad || !active.attempts.isEmpty();
             }
         }
     }
 
-    /** The latest start from which an answer in time can be hoped for. */
-    private long latestStart(ActiveRequest r) {
-        // While a pair is asked for its load the request does not wait yet, and no slack is taken off.
-        long forAim = (long) (r.usefulUntil - (r.first != null ? 0 : SLACK_SERVICES * bestSlowness * r.workUs));
-        return Math.min(r.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
+    /** The latest start at which an answer in time can be expected. */
+    private long latestStart(ActiveRequest active) {
+        // A request whose servers are being probed is not waiting yet: no slack is subtracted.
+        long forAim = (long)
+                (active.usefulUntil - (active.first != null ? 0 : SLACK_SERVICES * bestSlowness * active.workUs));
+        return Math.min(active.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
     }
 
-    private void refuseOrFail(long now, ActiveRequest r) {
-        if (canRefuse(r)) refuse(r, config.limits().retryAfter() ? r.requestClass.aimUs() / 2 : 0);
-        else fail(r);
+    private void refuseOrFail(long now, ActiveRequest active) {
+        if (canRefuse(active)) refuse(active, config.limits().retryAfter() ? active.requestClass.aimUs() / 2 : 0);
+        else fail(active);
     }
 
     // ---- attempts -------------------------------------------------------------------------------
-    /** Whether the rules allow this send; every send passes here, whatever the rest of this file decides. */
-    boolean canSend(long now, ActiveRequest r, Server s) {
-        boolean spent = r.attempts.size() >= config.limits().maxAttempts();
-        if (r.finished || r.streaming || !s.ready || now >= r.deadlineAt || spent) return false;
-        for (Attempt a : r.attempts) {
-            if (!a.ended && !config.limits().secondCopies()) return false;
-            if (a.mayHaveRun && !canRepeat(r.requestClass, a, s, now)) return false;
+    /** Whether the protocol rules allow this attempt; checked at every send, whatever chose the server. */
+    boolean canSend(long now, ActiveRequest active, Server server) {
+        boolean spent = active.attempts.size() >= config.limits().maxAttempts();
+        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || spent) return false;
+        for (Attempt attempt : active.attempts) {
+            if (!attempt.ended && !config.limits().secondCopies()) return false;
+            if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
         }
-        return slowStart.canSend(now, s, r.workUs, meanWorkUs);
+        return slowStart.canSend(now, server, active.workUs, meanWorkUs);
     }
 
-    /** While a connection came up the window of what ran before may have closed, or a cold server's. */
+    /** During connection setup the deduplication window or the cold server's slot may have ended. */
     @Override
     public boolean canStartAttempt(long now, String id, int number) {
-        ActiveRequest r = activeRequests.get(id);
-        if (r == null || r.finished || number >= r.attempts.size()) return false;
-        Attempt begins = r.attempts.get(number);
-        Server s = begins.server;
-        for (Attempt a : r.attempts.subList(0, number)) {
-            if (a.mayHaveRun && !canRepeat(r.requestClass, a, s, now)) return false;
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null || active.finished || number >= active.attempts.size()) return false;
+        Attempt begins = active.attempts.get(number);
+        Server server = begins.server;
+        for (Attempt attempt : active.attempts.subList(0, number)) {
+            if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
         }
-        return s.ready && slowStart.canStartAttempt(now, s, begins.sentAt, r.workUs, meanWorkUs);
+        return server.ready && slowStart.canStartAttempt(now, server, begins.sentAt, active.workUs, meanWorkUs);
     }
 
-    private static boolean canRepeat(RequestClass c, Attempt earlier, Server s, long now) {
+    private static boolean canRepeat(RequestClass c, Attempt earlier, Server server, long now) {
         if (c.semantics() == Semantics.SAFE) return true;
         if (c.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= c.dedupWindowUs()) return false;
         return switch (c.dedupScope()) {
             case ALL -> true;
-            case ZONE -> s.listing.zone().equals(earlier.listing.zone());
-            case CELL -> s.listing.cell() == earlier.listing.cell();
+            case ZONE -> server.listing.zone().equals(earlier.listing.zone());
+            case CELL -> server.listing.cell() == earlier.listing.cell();
         };
     }
 
-    /** A refusal says that nothing has run, whatever the class: what may have is failed. */
-    private boolean canRefuse(ActiveRequest r) {
-        return !r.finished && !r.streaming && r.attempts.stream().noneMatch(a -> a.mayHaveRun);
-    }
-
-    private void send(long now, ActiveRequest r, Server s) {
-        if (!canSend(now, r, s)) throw new IllegalStateException("a send against the rules");
-        Attempt a = new Attempt();
-        a.owner = r;
-        a.server = s;
-        a.listing = s.listing;
-        a.sentAt = now;
-        a.loadAtSend = s.reportedLoad > s.inFlight ? estimatedLoad(s, now) : s.inFlight;
-        a.expectedUs = expectedLatencyUs(s, r.workUs, a.loadAtSend, now);
-        a.expectedStandardUs = a.expectedUs / s.slowness();
-        r.attempts.add(a);
-        // The body of a partial one may take long: its server begins when it has all.
-        if (!r.request.bodyIncomplete()) occupyServer(now, a);
-        slowStart.recordSend(now, s, r.workUs);
-        boolean others = s.inFlight > (a.running ? 1 : 0);
-        a.idleBeforeUs = others || now - s.lastUsedAt > config.limits().connectionIdleUs() ? 0 : now - s.lastUsedAt;
-        // What is tried after an ejection goes by a new connection: its end speaks of the server alone.
-        if (a.idleBeforeUs >= idleLimitUs || usesSubset && s.ejections > 0 && a.idleBeforeUs >= MIN_IDLE_LIMIT_US) {
-            actions.closeIdleConnections(s.id);
-            a.idleBeforeUs = 0;
+    /** A refusal states that nothing has run, in any class: requests that may have run are failed. */
+    private boolean canRefuse(ActiveRequest active) {
+        return !active.finished
+                && !active.streaming
+                && active.attempts.stream().noneMatch(attempt -> attempt.mayHaveRun);
+    }
+
+    private void send(long now, ActiveRequest active, Server server) {
+        if (!canSend(now, active, server)) throw new IllegalStateException("a send against the rules");
+        Attempt attempt = new Attempt();
+        attempt.owner = active;
+        attempt.server = server;
+        attempt.listing = server.listing;
+        attempt.sentAt = now;
+        attempt.loadAtSend = server.reportedLoad > server.inFlight ? estimatedLoad(server, now) : server.inFlight;
+        attempt.expectedUs = expectedLatencyUs(server, active.workUs, attempt.loadAtSend, now);
+        attempt.expectedStandardUs = attempt.expectedUs / server.slowness();
+        active.attempts.add(attempt);
+        // The rest of a body may take long to arrive: the server starts when it has all of it.
+        if (!active.request.bodyIncomplete()) occupyServer(now, attempt);
+        slowStart.recordSend(now, server, active.workUs);
+        boolean others = server.inFlight > (attempt.running ? 1 : 0);
+        attempt.idleBeforeUs =
+                others || now - server.lastUsedAt > config.limits().connectionIdleUs() ? 0 : now - server.lastUsedAt;
+        // A trial after an ejection uses a new connection, so that only the server can be at fault.
+        if (attempt.idleBeforeUs >= idleLimitUs
+                || usesSubset && server.ejections > 0 && attempt.idleBeforeUs >= MIN_IDLE_LIMIT_US) {
+            actions.closeIdleConnections(server.id);
+            attempt.idleBeforeUs = 0;
         }
-        s.lastUsedAt = now;
-        actions.send(r.request.id(), s.id, r.deadlineAt);
+        server.lastUsedAt = now;
+        actions.send(active.request.id(), server.id, active.deadlineAt);
     }
 
-    private void occupyServer(long now, Attempt a) {
-        a.running = true;
-        a.sentAt = now;
-        a.server.inFlightAttempts.addLast(a);
-        a.server.inFlight++;
+    private void occupyServer(long now, Attempt attempt) {
+        attempt.running = true;
+        attempt.sentAt = now;
+        attempt.server.inFlightAttempts.addLast(attempt);
+        attempt.server.inFlight++;
     }
 
-    private void releaseServer(long now, Attempt a) {
-        if (a.running) a.server.inFlight--;
-        a.running = false;
-        a.server.lastUsedAt = now;
+    private void releaseServer(long now, Attempt attempt) {
+        if (attempt.running) attempt.server.inFlight--;
+        attempt.running = false;
+        attempt.server.lastUsedAt = now;
     }
 
     @Override
     public void onRequestSent(long now, String id, int number) {
-        ActiveRequest r = activeRequests.get(id);
-        if (r == null || number >= r.attempts.size()) return;
-        Attempt a = r.attempts.get(number);
-        if (!a.ended && !a.running) occupyServer(now, a);
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null || number >= active.attempts.size()) return;
+        Attempt attempt = active.attempts.get(number);
+        if (!attempt.ended && !attempt.running) occupyServer(now, attempt);
     }
 
-    private void refuse(ActiveRequest r, long retryAfterUs) {
-        if (!canRefuse(r)) throw new IllegalStateException("a refusal against the rules");
-        finish(r);
-        rememberUnserved(r);
-        actions.refuse(r.request.id(), Math.min(retryAfterUs, config.limits().maxRetryAfterUs()));
+    private void refuse(ActiveRequest active, long retryAfterUs) {
+        if (!canRefuse(active)) throw new IllegalStateException("a refusal against the rules");
+        finish(active);
+        rememberUnserved(active);
+        actions.refuse(
+                active.request.id(), Math.min(retryAfterUs, config.limits().maxRetryAfterUs()));
     }
 
-    private void fail(ActiveRequest r) {
-        if (r.finished) return;
-        finish(r);
-        rememberUnserved(r);
-        actions.fail(r.request.id());
+    private void fail(ActiveRequest active) {
+        if (active.finished) return;
+        finish(active);
+        rememberUnserved(active);
+        actions.fail(active.request.id());
     }
 
-    private void finish(ActiveRequest r) {
-        r.finished = true;
-        for (LimitUsage q : r.limits) q.inFlight--;
-        r.limits = List.of();
-        if (r.queued) queue.remove(r);
-        r.queued = false;
-        if (r.attempts.stream().allMatch(a -> a.ended)) activeRequests.remove(r.request.id());
+    private void finish(ActiveRequest active) {
+        active.finished = true;
+        for (LimitUsage usage : active.limits) usage.inFlight--;
+        active.limits = List.of();
+        if (active.queued) queue.remove(active);
+        active.queued = false;
+        if (active.attempts.stream().allMatch(attempt -> attempt.ended)) activeRequests.remove(active.request.id());
     }
 
     @Override
@@ -954,62 +979,64 @@
             long latencyUs,
             boolean done,
             LoadReport report) {
-        ActiveRequest r = activeRequests.get(id);
+        ActiveRequest active = activeRequests.get(id);
         recordLoadReport(upstream, report, now);
-        lastReporter = r == null ? null : lastReporter;
-        if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).ended) return;
-        Attempt a = r.attempts.get(number);
-        Server s = a.server;
-        a.ended = true;
-        a.mayHaveRun = outcome.mayHaveRun;
-        releaseServer(now, a);
-        closeIdleIfLeaving(s);
-        // Of an answer that came in pieces the server's part was learnt when it began.
-        if (!r.streaming || r.requestClass.stream() || outcome != Outcome.OK)
-            recordHealth(now, s, a, outcome, latencyUs);
-        if (done || r.finished) finish(r);
-        else if (!r.streaming) retryOrFinish(now, r);
+        lastReporter = active == null ? null : lastReporter;
+        if (active == null || number < 0 || number >= active.attempts.size() || active.attempts.get(number).ended)
+            return;
+        Attempt attempt = active.attempts.get(number);
+        Server server = attempt.server;
+        attempt.ended = true;
+        attempt.mayHaveRun = outcome.mayHaveRun;
+        releaseServer(now, attempt);
+        closeIdleIfLeaving(server);
+        // The server's part of a streamed answer was recorded when the stream started.
+        if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK)
+            recordHealth(now, server, attempt, outcome, latencyUs);
+        if (done || active.finished) finish(active);
+        else if (!active.streaming) retryOrFinish(now, active);
         dispatchQueue(now, false);
         lastReporter = null;
     }
 
-    /** After an attempt without success: another where a rule and the time allow, else the final answer. */
-    private void retryOrFinish(long now, ActiveRequest r) {
-        if (r.attempts.stream().anyMatch(a -> !a.ended)) return;
-        Server s = now < latestStart(r) ? pickServer(now, r) : null;
-        if (s != null) send(now, r, s);
-        else if (readyServers.stream().anyMatch(other -> canSend(now, r, other))) enqueue(now, r);
-        else refuseOrFail(now, r);
+    /** After a failed attempt: retries where the rules and the time allow, else ends the request. */
+    private void retryOrFinish(long now, ActiveRequest active) {
+        if (active.attempts.stream().anyMatch(attempt -> !attempt.ended)) return;
+        Server server = now < latestStart(active) ? pickServer(now, active) : null;
+        if (server != null) send(now, active, server);
+        else if (readyServers.stream().anyMatch(other -> canSend(now, active, other))) enqueue(now, active);
+        else refuseOrFail(now, active);
     }
 
-    /** Idle connections are dropped unseen after about this long, as far as known. */
+    /** Idle time after which connections are taken to be dropped silently; MAX_VALUE if none are. */
     private long idleLimitUs = Long.MAX_VALUE;
 
     private long idleLimitSetAt, idleSurvivedUs, idleSurvivedAt;
-    /** Seen by own failures, which alone are told on: word of word would never end. */
+    /** Last drop seen here: only own observations go to peers, or they would circulate for ever. */
     private long ownIdleDropAt = Long.MIN_VALUE / 2;
 
-    /** An attempt that fails on a connection long idle speaks of the connection, not of the server: others
-     * idle as long are closed before use, from then on until no such failure was seen for a while. */
-    private boolean detectIdleDrop(long now, Attempt a, Outcome outcome) {
+    /** Whether a failure is attributed to a connection that was idle for long, not to its server. Connections idle
+     * about as long are then closed before use, until no such failure has been seen for a while. */
+    private boolean detectIdleDrop(long now, Attempt attempt, Outcome outcome) {
         if (idleLimitUs < Long.MAX_VALUE && now - idleLimitSetAt > IDLE_LIMIT_TTL_US) {
             idleLimitSetAt = now;
             idleLimitUs = idleLimitUs > config.limits().connectionIdleUs() ? Long.MAX_VALUE : idleLimitUs * 2;
         }
-        if (outcome == Outcome.OK && (a.idleBeforeUs >= idleSurvivedUs || now - idleSurvivedAt > ESTIMATE_EXPIRY_US)) {
-            idleSurvivedUs = a.idleBeforeUs;
+        if (outcome == Outcome.OK
+                && (attempt.idleBeforeUs >= idleSurvivedUs || now - idleSurvivedAt > ESTIMATE_EXPIRY_US)) {
+            idleSurvivedUs = attempt.idleBeforeUs;
             idleSurvivedAt = now;
         }
-        // A time-out alone may be a crowd; not so where none as long idle has answered of late.
-        boolean kept = now - idleSurvivedAt < ESTIMATE_EXPIRY_US && a.idleBeforeUs * 3 / 4 <= idleSurvivedUs;
-        // Nor where one was laid to the connection already, and no answer has come since.
-        boolean laid = a.server.idleDropSuspected;
+        // A time-out may mean overload if a connection idle about as long has worked recently,
+        boolean kept = now - idleSurvivedAt < ESTIMATE_EXPIRY_US && attempt.idleBeforeUs * 3 / 4 <= idleSurvivedUs;
+        // or an outage if one was attributed to the connection before and no success came since.
+        boolean laid = attempt.server.idleDropSuspected;
         boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !kept && !laid;
-        if (!usesSubset || !suspect || a.idleBeforeUs < MIN_IDLE_LIMIT_US) return false;
-        a.server.idleDropSuspected = true;
+        if (!usesSubset || !suspect || attempt.idleBeforeUs < MIN_IDLE_LIMIT_US) return false;
+        attempt.server.idleDropSuspected = true;
         ownIdleDropAt = now;
-        actions.reportEvidence(a.server.id, Evidence.DROPS_IDLE, a.idleBeforeUs * 3 / 4e3);
-        lowerIdleLimit(now, a.idleBeforeUs * 3 / 4);
+        actions.reportEvidence(attempt.server.id, Evidence.DROPS_IDLE, attempt.idleBeforeUs * 3 / 4e3);
+        lowerIdleLimit(now, attempt.idleBeforeUs * 3 / 4);
         return true;
     }
 
@@ -1018,109 +1045,110 @@
         idleLimitSetAt = now;
     }
 
-    private void recordHealth(long now, Server s, Attempt a, Outcome outcome, long latencyUs) {
-        if (detectIdleDrop(now, a, outcome)) return;
+    private void recordHealth(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
+        if (detectIdleDrop(now, attempt, outcome)) return;
         switch (outcome) {
             case OK -> {
-                if (s.ejections > 0) actions.reportEvidence(s.id, Evidence.GOOD, 1);
-                s.failures = s.ejections = s.rejections = 0;
-                s.lastFailureAt = Long.MIN_VALUE / 2;
-                s.idleDropSuspected = false;
-                s.lastSuccessAt = now;
-                awaitingFirstAnswer.remove(s);
-                updateEstimates(s, a, latencyUs, true, now);
+                if (server.ejections > 0) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+                server.failures = server.ejections = server.rejections = 0;
+                server.lastFailureAt = Long.MIN_VALUE / 2;
+                server.idleDropSuspected = false;
+                server.lastSuccessAt = now;
+                awaitingFirstAnswer.remove(server);
+                updateEstimates(server, attempt, latencyUs, true, now);
             }
             case TIMEOUT, CANCELLED -> {
-                // A server that has answered others meanwhile is slow; only silence is a fault.
-                boolean silent = outcome == Outcome.TIMEOUT && s.lastSuccessAt < a.sentAt;
-                updateEstimates(s, a, latencyUs, false, now);
-                // One that is tried for its verdict's sake needs no second request lost to it.
-                int weight = s.ejections > 0 && witnessedOutages.contains(s) ? EJECT_AFTER_FAILURES : 1;
-                recordFailure(now, s, silent ? weight : 0, Evidence.SILENT);
+                // A server that has answered others since the send is slow, not silent.
+                boolean silent = outcome == Outcome.TIMEOUT && server.lastSuccessAt < attempt.sentAt;
+                updateEstimates(server, attempt, latencyUs, false, now);
+                // A trial of a verdict ejects at its first time-out: no second request is lost.
+                int weight = server.ejections > 0 && witnessedOutages.contains(server) ? EJECT_AFTER_FAILURES : 1;
+                recordFailure(now, server, silent ? weight : 0, Evidence.SILENT);
             }
             case ERROR -> {
-                boolean fast = latencyUs < a.expectedUs / FAST_FAILURE_RATIO;
-                recordFailure(now, s, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
+                boolean fast = latencyUs < attempt.expectedUs / FAST_FAILURE_RATIO;
+                recordFailure(now, server, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
             }
-            case RESET -> recordFailure(now, s, 1, Evidence.FAILING);
-            case CONNECT_FAILED -> recordFailure(now, s, EJECT_AFTER_FAILURES, Evidence.SILENT);
+            case RESET -> recordFailure(now, server, 1, Evidence.FAILING);
+            case CONNECT_FAILED -> recordFailure(now, server, EJECT_AFTER_FAILURES, Evidence.SILENT);
             case REJECTED -> {
                 if (config.loadReporting() == LoadReporting.NONE) {
-                    backOff(s, now);
+                    backOff(server, now);
                 } else {
-                    // Refused while it holds little: not full but on its way out, or its room is broken.
-                    if (s.inFlight < s.kind.cores) {
-                        s.ejections = Math.max(2, s.ejections);
-                        recordFailure(now, s, EJECT_AFTER_FAILURES, Evidence.FAILING);
+                    // Rejects while nearly idle: it is shutting down, or its admission is broken.
+                    if (server.inFlight < server.kind.cores) {
+                        server.ejections = Math.max(2, server.ejections);
+                        recordFailure(now, server, EJECT_AFTER_FAILURES, Evidence.FAILING);
                     }
-                    markFull(s, now);
+                    markFull(server, now);
                 }
             }
         }
     }
 
-    /** Where no load is told, a server that turns away is full of others' requests, however few own ones it
-     * holds: no failure, and it has room again once it has ended one. Each refusal in a row doubles the wait,
-     * since one on its way out never has. */
-    private void backOff(Server s, long now) {
-        double place = s.slowness() * meanWorkUs / Math.max(1, s.kind.cores);
-        s.fullUntil = now + (long) Math.min(MIN_EJECTION_US, place * (1 << Math.min(s.rejections++, 10)));
+    /** Without load reports a rejecting server is full of others' requests, however few own ones it holds: no
+     * failure, and it has room once it has completed one. Each consecutive rejection doubles the wait, since a
+     * server that is shutting down never has room again. */
+    private void backOff(Server server, long now) {
+        double place = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.fullUntil = now + (long) Math.min(MIN_EJECTION_US, place * (1 << Math.min(server.rejections++, 10)));
     }
 
-    private void markFull(Server s, long now) {
-        s.reportedLoad = Math.max(estimatedLoad(s, now), s.kind.cores + HEADROOM_FACTOR * Math.sqrt(s.kind.cores));
-        s.loadReportedAt = now;
+    private void markFull(Server server, long now) {
+        server.reportedLoad = Math.max(
+                estimatedLoad(server, now), server.kind.cores + HEADROOM_FACTOR * Math.sqrt(server.kind.cores));
+        server.loadReportedAt = now;
     }
 
-    private void recordFailure(long now, Server s, int weight, Evidence kind) {
-        s.failures += weight;
-        if (now < s.ejectedUntil) return;
-        boolean ejected = s.failures >= EJECT_AFTER_FAILURES;
-        // Once it is known to fail, each further failure tells that it still does.
-        if (ejected || weight > 0 && s.lastFailureAt >= 0) {
-            s.lastFailureAt = now;
-            actions.reportEvidence(s.id, kind, s.failures);
+    private void recordFailure(long now, Server server, int weight, Evidence kind) {
+        server.failures += weight;
+        if (now < server.ejectedUntil) return;
+        boolean ejected = server.failures >= EJECT_AFTER_FAILURES;
+        // Once a server is known to fail, each further failure renews the evidence.
+        if (ejected || weight > 0 && server.lastFailureAt >= 0) {
+            server.lastFailureAt = now;
+            actions.reportEvidence(server.id, kind, server.failures);
         }
         if (!ejected) return;
-        s.failures = 0;
-        s.ejectedUntil = now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(s.ejections, 10));
-        s.ejections++;
+        server.failures = 0;
+        server.ejectedUntil = now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, 10));
+        server.ejections++;
     }
 
     @Override
     public void onStreamStart(long now, String id, int number, String upstream, long latencyUs) {
-        ActiveRequest r = activeRequests.get(id);
-        if (r == null || number >= r.attempts.size() || r.attempts.get(number).ended) return;
-        r.streaming = true;
-        if (r.queued) queue.remove(r);
-        r.queued = false;
-        // A server works on a stream to its end; a long answer was ready when it began.
-        if (r.requestClass.stream()) return;
-        releaseServer(now, r.attempts.get(number));
-        recordHealth(now, r.attempts.get(number).server, r.attempts.get(number), Outcome.OK, latencyUs);
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null || number >= active.attempts.size() || active.attempts.get(number).ended) return;
+        active.streaming = true;
+        if (active.queued) queue.remove(active);
+        active.queued = false;
+        // A stream occupies its server to the end; a long answer was complete when it started.
+        if (active.requestClass.stream()) return;
+        releaseServer(now, active.attempts.get(number));
+        recordHealth(now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
         dispatchQueue(now, false);
     }
 
     @Override
     public void onRequestExpired(long now, String id) {
-        ActiveRequest r = activeRequests.get(id);
-        if (r == null) return;
-        if (!r.finished) rememberUnserved(r);
-        finish(r);
+        ActiveRequest active = activeRequests.get(id);
+        if (active == null) return;
+        if (!active.finished) rememberUnserved(active);
+        finish(active);
     }
 
     @Override
     public void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
-        Server s = servers.get(upstream);
-        if (s == null) return;
-        s.probeSentAt = 0;
-        // A probe that was not sent, or not heard out, is this instance's own doing.
+        Server server = servers.get(upstream);
+        if (server == null) return;
+        server.probeSentAt = 0;
+        // A probe that was not sent or was cancelled says nothing about the server.
         boolean asked = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
         if (asked && outcome != Outcome.OK) {
-            recordFailure(now, s, outcome == Outcome.CONNECT_FAILED ? EJECT_AFTER_FAILURES : 1, Evidence.SILENT);
+            recordFailure(now, server, outcome == Outcome.CONNECT_FAILED ? EJECT_AFTER_FAILURES : 1, Evidence.SILENT);
         } else if (asked && report == null) {
-            // It answers but tells no load, as it did before: rather busy than idle.
-            markFull(s, now);
+            // It answers without its load: assumed busy rather than idle.
+            markFull(server, now);
         }
         recordLoadReport(upstream, report, now);
         dispatchQueue(now, false);
@@ -1154,7 +1182,7 @@
         if (!config.discoveryOnRequest() || kind == ListKind.CACHED) return;
         listRequested = false;
         subscribed = kind != ListKind.FAILED;
-        // Jittered, so that instances that failed together do not ask together again.
+        // Jittered, so that sidecars that failed together do not retry together.
         if (!subscribed) actions.startTimer("ask", discoveryRetryUs / 2 + random.nextLong(discoveryRetryUs));
         discoveryRetryUs = subscribed
                 ? MIN_DISCOVERY_RETRY_US
@@ -1162,15 +1190,15 @@
     }
 
     // ---- peers ----------------------------------------------------------------------------------
-    /** Mean rate of the fleet's sidecars, apart by their zone. */
+    /** Average request rate of the fleet's sidecars, as a sum of one part for each of their zones. */
     private final double[] zoneRate;
 
     private double[] zoneFraction;
     private long peerHeardAt = Long.MIN_VALUE / 2;
     private int peerMessagesSent;
 
-    /** To one peer at a time, so that the cost does not grow with the fleet. Each mixes the rates it hears in
-     * halves and leans to its own, so that all come near the mean of all streams. */
+    /** Gossip averaging, one peer at a time, so that the cost does not grow with the fleet. Received rates are
+     * averaged with the own state, which leans to the own rate, so that all come near the fleet's mean. */
     private void sendPeerMessage(long now) {
         updateOwnRate(now);
         peerMessagesSent++;
@@ -1193,7 +1221,7 @@
         actions.startTimer("tell", PEER_INTERVAL_US);
     }
 
-    /** Speeds weigh by the answers behind them. One false message moves little, and the next take it back. */
+    /** Speeds are weighted by their numbers of answers. A false message has little, passing effect. */
     @Override
     public void onPeerMessage(long now, int peer, byte[] message) {
         boolean known = peer >= 0 && peer < config.sidecarCount() && peer != config.sidecarIndex();
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/rushproxy/wire/SettingsReader.java
@@ -45,8 +45,8 @@
             String p = "profiles." + i + ".";
             classes.add(new RequestClass(
                     requiredText(p + "name"),
-                    parseSemantics(requiredText(p + "semantics")),
-                    parseDedupScope(values.getOrDefault(p + "group", "all")),
+                    semantics(requiredText(p + "semantics")),
+                    dedupScope(values.getOrDefault(p + "group", "all")),
                     (long) numberOr(p + "window_us", 0),
                     (long) requiredNumber(p + "objective_us"),
                     numberOr(p + "aim_stretch", 0),
@@ -95,7 +95,7 @@
                 tenants,
                 limits,
                 rules,
-                parseLoadReporting(values.getOrDefault("load_info.how", "off")),
+                loadReporting(values.getOrDefault("load_info.how", "off")),
                 values.getOrDefault("discovery", "pushed").equals("on_request"),
                 values.getOrDefault("counted_by", "request").equals("work"),
                 numberOr("over_share_worth", 1),
@@ -142,7 +142,7 @@
         return value == null ? absent : value.equals("true") || value.equals("1");
     }
 
-    private static Semantics parseSemantics(String word) {
+    private static Semantics semantics(String word) {
         return switch (word) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
@@ -151,7 +151,7 @@
         };
     }
 
-    private static DedupScope parseDedupScope(String word) {
+    private static DedupScope dedupScope(String word) {
         return switch (word) {
             case "all", "-" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
@@ -160,7 +160,7 @@
         };
     }
 
-    private static LoadReporting parseLoadReporting(String word) {
+    private static LoadReporting loadReporting(String word) {
         return switch (word) {
             case "inline" -> LoadReporting.INLINE;
             case "on_probe" -> LoadReporting.ON_PROBE;
