--- a/src/main/java/rushproxy/Balancer.java
+++ b/src/main/java/rushproxy/Balancer.java
@@ -201,7 +201,7 @@
      */
     record Verdict(
             String upstream,
-            Evidence kind,
+            Evidence evidence,
             double factor,
             int witnesses,
             boolean reportedHere,
@@ -216,7 +216,7 @@
             String name,
             LimitScope scope,
             String subject,
-            boolean limitsInFlight,
+            boolean inFlight,
             double share,
             double fallbackShare,
             long validUntilUs) {
--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -21,7 +21,7 @@
     /** Gain of the speed estimates: about ten answers determine a server's speed. */
     private static final double ESTIMATE_GAIN = 0.1;
     /** Upper bound of a latency relative to its expectation: request costs are heavy-tailed. */
-    private static final double MAX_RELATIVE_LATENCY = 3;
+    private static final double LATENCY_CLAMP = 3;
     /** A server this many times faster or slower than its kind is an outlier; above estimation noise. */
     private static final double OUTLIER_RATIO = 1.6;
     /** Estimates without answers for this long decay to the default, so that the server is tried again. */
@@ -35,7 +35,7 @@
     /** How often the queue is swept for requests that can no longer be answered in time. */
     private static final long SWEEP_INTERVAL_US = 5_000;
     /** Consecutive failures after which a server is ejected. */
-    private static final int EJECT_AFTER_FAILURES = 2;
+    private static final int MAX_FAILURES = 2;
 
     private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
     /** Interval of peer messages, each of which goes to one peer. */
@@ -49,15 +49,15 @@
     /** Congestion above which requests are shed where load is unknown; at 1.5 times that, nearly all are. */
     private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2;
     /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
-    private static final double BEST_SLOWNESS_GROWTH = 1.0005;
+    private static final double BEST_GROWTH = 1.0005;
 
     private static final long INFORMATION_TTL_US = 5_000_000;
     /** A success more recent than this outweighs the fleet's verdict on a server. */
-    private static final long OWN_EVIDENCE_TTL_US = 2_000_000;
+    private static final long OWN_EVIDENCE_MAX_AGE_US = 2_000_000;
     /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
-    private static final double LIMIT_BURST_S = 0.25;
+    private static final double BURST_S = 0.25;
     /** Highest price of probing one pair of servers, in points of the score. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005;
 
@@ -77,7 +77,7 @@
 
     private final Settings config;
     private final Actions actions;
-    private final SplittableRandom random;
+    private final SplittableRandom rng;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private double maxWorth;
     /** Both drawn servers are probed for their load before a send, as in the paper. */
@@ -95,9 +95,9 @@
     public Policy(Settings settings, long seed, long now, Actions actions) {
         config = settings;
         this.actions = actions;
-        random = new SplittableRandom(seed);
+        rng = new SplittableRandom(seed);
         for (RequestClass c : config.classes()) {
-            classWorkUs.put(c.name(), c.aimUs() / 4.0);
+            estimatedWorkUs.put(c.name(), c.aimUs() / 4.0);
             meanWorkUs += c.aimUs() / 4.0 / config.classes().size();
             classes.put(c.name(), c);
             maxWorth = Math.max(maxWorth, c.worth());
@@ -109,7 +109,7 @@
                 && 2 * config.prices().probe() <= MAX_PROBE_PAIR_PRICE;
         usesSubset = config.prices().connection() > 0 && config.prices().handshake() > 0;
         if (limits.peers() && config.sidecarCount() > 1) {
-            this.actions.startTimer("tell", PEER_INTERVAL_US / 2 + random.nextLong(PEER_INTERVAL_US));
+            this.actions.startTimer("tell", PEER_INTERVAL_US / 2 + rng.nextLong(PEER_INTERVAL_US));
         }
         slowStart = new SlowStart(config, probesLoad);
         loadUnknown = !probesLoad && config.sidecarCount() > SIDECARS_PER_SERVER;
@@ -135,22 +135,26 @@
     public void onUpstreamList(long now, ListKind listKind, List<Upstream> entries) {
         updateSubscription(now, listKind);
         if (listKind == ListKind.FAILED) return;
-        Set<String> named = new HashSet<>();
-        for (Upstream u : entries) {
-            named.add(u.id());
-            Server server = servers.get(u.id());
+        Set<String> listed = new HashSet<>();
+        for (Upstream upstream : entries) {
+            listed.add(upstream.id());
+            Server server = servers.get(upstream.id());
             if (server == null) {
-                ServerKind kind = kinds.computeIfAbsent(u.kind(), k -> new ServerKind(initialCores));
-                server = new Server(u, kind, config.zones().indexOf(u.zone()), mixHash(u.id().hashCode(), 0));
-                servers.put(u.id(), server);
-            } else if (u.startedUs() != server.listing.startedUs()) {
+                ServerKind kind = kinds.computeIfAbsent(upstream.kind(), k -> new ServerKind(initialCores));
+                server = new Server(
+                        upstream,
+                        kind,
+                        config.zones().indexOf(upstream.zone()),
+                        mixHash(upstream.id().hashCode(), 0));
+                servers.put(upstream.id(), server);
+            } else if (upstream.startedUs() != server.listing.startedUs()) {
                 resetAfterRestart(server);
             }
-            server.listing = u;
+            server.listing = upstream;
             updateReadiness(server);
         }
         for (Server server : servers.values()) {
-            if (listKind == ListKind.DELTA || named.contains(server.id)) continue;
+            if (listKind == ListKind.DELTA || listed.contains(server.id)) continue;
             server.ready = false;
             closeIdleIfLeaving(server);
         }
@@ -161,8 +165,7 @@
         readyServers.clear();
         servers.values().stream().filter(server -> server.ready).forEach(readyServers::add);
         if (usesSubset) {
-            readyServers.sort(
-                    Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
+            readyServers.sort(Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
         }
         sharesSolvedAt = now - SHARES_INTERVAL_US;
         subsetChosenAt = now - PEER_INTERVAL_US - 1;
@@ -185,9 +188,9 @@
     private final Set<Server> awaitingFirstAnswer = new LinkedHashSet<>();
 
     @Override
-    public void onCordon(long now, String upstream, boolean leftOut, long atUs) {
+    public void onCordon(long now, String upstream, boolean cordon, long atUs) {
         Server server = servers.get(upstream);
-        if (leftOut) {
+        if (cordon) {
             cordoned.add(upstream);
             if (server != null) awaitingFirstAnswer.remove(server);
         } else {
@@ -224,9 +227,9 @@
 
     /** Mixing hash that separates adjacent inputs; the same in every sidecar. */
     static int mixHash(int a, int b) {
-        int x = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
-        x = (x ^ x >>> 15) * 0xc2b2ae35;
-        return x ^ x >>> 16;
+        int hash = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
+        hash = (hash ^ hash >>> 15) * 0xc2b2ae35;
+        return hash ^ hash >>> 16;
     }
 
     /** Deterministic subsetting where connections have a price: of each zone and kind an arc of the ring that all
@@ -234,28 +237,32 @@
      * the list moves one server at most. The length follows this sidecar's part of the fleet's rate, so that
      * a server has as many sidecars at all fleet sizes. */
     private List<Server> chooseSubset(long now) {
-        zoneFraction = zoneFractions(now);
+        zoneShare = zoneShares(now);
         if (!usesSubset) return readyServers;
-        double arc = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
-        subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arc), 0.9 * subsetTarget);
+        double arcLength = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
+        subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arcLength), 0.9 * subsetTarget);
         // Where idle connections are dropped, no more servers than are used often enough to avoid that.
-        double hot = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
-        Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
-        int[] size = new int[zoneRate.length];
+        double usable = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
+        Map<List<Object>, List<Server>> groups = new LinkedHashMap<>();
+        int[] zoneSize = new int[zoneRate.length];
         for (Server server : readyServers) {
-            parts.computeIfAbsent(List.of(server.zoneIndex, server.listing.kind()), k -> new ArrayList<>())
+            groups.computeIfAbsent(List.of(server.zoneIndex, server.listing.kind()), k -> new ArrayList<>())
                     .add(server);
-            size[server.zoneIndex]++;
+            zoneSize[server.zoneIndex]++;
         }
         List<Server> chosen = new ArrayList<>();
-        for (List<Server> of : parts.values()) {
-            Server one = of.get(0);
-            double n = zoneFraction[one.zoneIndex] * Math.min(hot, subsetTarget) * of.size() / size[one.zoneIndex];
+        for (List<Server> group : groups.values()) {
+            Server first = group.get(0);
+            double count = zoneShare[first.zoneIndex]
+                    * Math.min(usable, subsetTarget)
+                    * group.size()
+                    / zoneSize[first.zoneIndex];
             // Fractions are rounded by sidecar, so that the average over many sidecars is right.
-            n = Math.max(
-                    one.zoneIndex == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * 0.7548776662466927 % 1));
-            for (int i = 0; i < Math.min(n, of.size()); i++) {
-                chosen.add(of.get((i + subsetStart(of.size())) % of.size()));
+            count = Math.max(
+                    first.zoneIndex == homeZone ? 1 : 0,
+                    Math.floor(count + config.sidecarIndex() * 0.7548776662466927 % 1));
+            for (int i = 0; i < Math.min(count, group.size()); i++) {
+                chosen.add(group.get((i + subsetStart(group.size())) % group.size()));
             }
         }
         return chosen;
@@ -263,21 +270,21 @@
 
     /** Fractions of this sidecar's requests by zone: in proportion to the servers, or, where crossing has a
      * price, all to the own zone except its excess over its part of the fleet. Without peer data all stay. */
-    private double[] zoneFractions(long now) {
-        double[] part = new double[zoneRate.length];
-        for (Server server : readyServers) part[server.zoneIndex] += 1.0 / readyServers.size();
-        if (!hasCrossZonePrice() || !loadUnknown) return part;
-        double total =
+    private double[] zoneShares(long now) {
+        double[] share = new double[zoneRate.length];
+        for (Server server : readyServers) share[server.zoneIndex] += 1.0 / readyServers.size();
+        if (!hasCrossZonePrice() || !loadUnknown) return share;
+        double sum =
                 now - peerHeardAt < INFORMATION_TTL_US ? Arrays.stream(zoneRate).sum() : 0;
-        double stay = total <= 0 ? 1 : Math.min(1, part[homeZone] * total / Math.max(1e-9, zoneRate[homeZone]));
-        double gaps = 0;
-        for (int z = 0; z < part.length; z++) {
-            part[z] = z == homeZone || total <= 0 ? 0 : Math.max(0, part[z] - zoneRate[z] / total);
-            gaps += part[z];
+        double stay = sum <= 0 ? 1 : Math.min(1, share[homeZone] * sum / Math.max(1e-9, zoneRate[homeZone]));
+        double deficits = 0;
+        for (int z = 0; z < share.length; z++) {
+            share[z] = z == homeZone || sum <= 0 ? 0 : Math.max(0, share[z] - zoneRate[z] / sum);
+            deficits += share[z];
         }
-        for (int z = 0; z < part.length; z++) part[z] *= (1 - stay) / Math.max(1e-9, gaps);
-        part[homeZone] = stay;
-        return part;
+        for (int z = 0; z < share.length; z++) share[z] *= (1 - stay) / Math.max(1e-9, deficits);
+        share[homeZone] = stay;
+        return share;
     }
 
     /** Successive multiples of the golden ratio spread evenly over a ring of any size. */
@@ -286,7 +293,7 @@
     }
 
     // ---- estimators -----------------------------------------------------------------------------
-    private final Map<String, Double> classWorkUs = new HashMap<>();
+    private final Map<String, Double> estimatedWorkUs = new HashMap<>();
     private double meanWorkUs;
     private double ownRate;
     private int arrivals;
@@ -298,9 +305,9 @@
     }
 
     /** Estimated requests at a server: own ones, or the reported load less the work done since, if higher. */
-    private double estimatedLoad(Server server, long now) {
-        double done = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
-        double known = Math.max(server.inFlight, server.reportedLoad - done);
+    private double loadOf(Server server, long now) {
+        double completed = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
+        double load = Math.max(server.inFlight, server.reportedLoad - completed);
         while (!server.inFlightAttempts.isEmpty() && !server.inFlightAttempts.peekFirst().running) {
             server.inFlightAttempts.pollFirst();
         }
@@ -308,10 +315,10 @@
         if (oldest != null) {
             // An overdue answer adds to the load, so that a stalled server loses draws before any time-out.
             // Costs are heavy-tailed and estimates rough: a few times the expected latency is no stall.
-            double overdue = (now - oldest.sentAt) / oldest.expectedUs - 2 * MAX_RELATIVE_LATENCY;
-            if (overdue > 0) known += overdue;
+            double overdue = (now - oldest.sentAt) / oldest.expectedUs - 2 * LATENCY_CLAMP;
+            if (overdue > 0) load += overdue;
         }
-        return known;
+        return load;
     }
 
     /** Expected latency on a server that holds {@code held} other requests, first come first served. */
@@ -325,34 +332,33 @@
     }
 
     private void updateEstimates(Server server, Attempt attempt, long latencyUs, boolean success, long now) {
-        double relative = latencyUs / Math.max(1, attempt.expectedStandardUs);
-        if (!success && relative < server.slowness()) return;
+        double ratio = latencyUs / Math.max(1, attempt.expectedStandardUs);
+        if (!success && ratio < server.slowness()) return;
         double gain = ESTIMATE_GAIN;
         if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
             // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
-            double part = queueingDelayUs(server, attempt.loadAtSend)
+            double queueingPart = queueingDelayUs(server, attempt.loadAtSend)
                     / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workUs);
-            double step = ESTIMATE_GAIN / 4 * part * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
+            double step = ESTIMATE_GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
             server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
-            gain *= 1 - part;
+            gain *= 1 - queueingPart;
         }
         // Further time-outs of an ejected server say nothing about congestion.
         if (success || server.ejections == 0) {
-            congestion += ESTIMATE_GAIN
-                    * (Math.min(2 * MAX_RELATIVE_LATENCY, relative / server.kind.bestSlowness) - congestion);
+            congestion += ESTIMATE_GAIN * (Math.min(2 * LATENCY_CLAMP, ratio / server.kind.bestSlowness) - congestion);
         }
         server.lastAnswerAt = now;
         server.kind.lastAnswerAt = now;
         if (success && !isOutlier(server)) {
             // A step towards the observed value: mere sums of steps drift. Early answers teach the kind alone.
-            double first = gain * Math.max(0.25, 1 / ESTIMATE_GAIN / (++server.kind.answers + 1));
-            server.kind.slowness *= 1 + first * (Math.min(MAX_RELATIVE_LATENCY, relative / server.kind.slowness) - 1);
+            double kindGain = gain * Math.max(0.25, 1 / ESTIMATE_GAIN / (++server.kind.answers + 1));
+            server.kind.slowness *= 1 + kindGain * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
             server.kind.lastTypicalAnswerAt = now;
         }
-        server.relativeSlowness *= 1 + gain * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
+        server.relativeSlowness *= 1 + gain * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
         if (success && attempt.owner.request.costHintUs() <= 0) {
-            double step = ESTIMATE_GAIN / 4 * (Math.min(MAX_RELATIVE_LATENCY, relative / server.slowness()) - 1);
-            classWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, work) -> work * (1 + step));
+            double step = ESTIMATE_GAIN / 4 * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+            estimatedWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, work) -> work * (1 + step));
         }
     }
 
@@ -360,14 +366,14 @@
         return server.relativeSlowness > OUTLIER_RATIO || server.relativeSlowness * OUTLIER_RATIO < 1;
     }
 
-    private void recordLoadReport(String upstream, LoadReport active, long now) {
+    private void recordLoadReport(String upstream, LoadReport report, long now) {
         Server server = servers.get(upstream);
-        if (server == null || active == null || active.inFlight() < 0) return;
-        server.reportedLoad = active.inFlight();
+        if (server == null || report == null || report.inFlight() < 0) return;
+        server.reportedLoad = report.inFlight();
         server.loadReportedAt = now;
         lastReporter = server;
-        double running = active.inFlight() - Math.max(0, active.queued());
-        if (active.queued() >= 0.5 && running >= 0.5 || running > server.kind.cores + 0.5) {
+        double running = report.inFlight() - Math.max(0, report.queued());
+        if (report.queued() >= 0.5 && running >= 0.5 || running > server.kind.cores + 0.5) {
             server.kind.cores += 0.3 * (Math.max(1, running) - server.kind.cores);
         }
     }
@@ -386,19 +392,18 @@
         return effectiveSidecars(now) * (mean > 0 ? mean : ownRate);
     }
 
-    private FleetStatus fleetStatus;
+    private FleetStatus fleet;
 
     @Override
-    public void onFleetStatus(long now, FleetStatus told) {
-        fleetStatus = told;
+    public void onFleetStatus(long now, FleetStatus status) {
+        fleet = status;
     }
 
     /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see may
      * only be cut off from it and still send. A cold server's budget is never divided anew by this. */
     int effectiveSidecars(long now) {
-        boolean told =
-                fleetStatus != null && now < fleetStatus.validUntilUs() && fleetStatus.quorum() == QuorumState.MAJORITY;
-        return told ? Math.max(1, Math.min(config.sidecarCount(), fleetStatus.liveSidecars())) : config.sidecarCount();
+        boolean majority = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
+        return majority ? Math.max(1, Math.min(config.sidecarCount(), fleet.liveSidecars())) : config.sidecarCount();
     }
 
     /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and has
@@ -422,27 +427,28 @@
     @Override
     public void onVerdicts(long now, List<Verdict> verdicts) {
         witnessedOutages.clear();
-        for (Verdict v : verdicts) {
-            Server server = servers.get(v.upstream());
-            if (server == null || now >= v.validUntilUs()) continue;
-            boolean answers =
-                    now - server.lastSuccessAt < OWN_EVIDENCE_TTL_US && server.failures == 0 && server.ejections == 0;
-            if (answers && v.kind().isUnavailable()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
-            if (v.reportedHere() && v.kind().isUnavailable()) witnessedOutages.add(server);
-            boolean own = answers || v.reportedHere() || now - server.lastFailureAt < INFORMATION_TTL_US;
-            if (!v.confirmed() || v.kind().isUnavailable() && own) continue;
-            switch (v.kind()) {
+        for (Verdict verdict : verdicts) {
+            Server server = servers.get(verdict.upstream());
+            if (server == null || now >= verdict.validUntilUs()) continue;
+            boolean succeeds = now - server.lastSuccessAt < OWN_EVIDENCE_MAX_AGE_US
+                    && server.failures == 0
+                    && server.ejections == 0;
+            if (succeeds && verdict.evidence().isUnavailable()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+            if (verdict.reportedHere() && verdict.evidence().isUnavailable()) witnessedOutages.add(server);
+            boolean knowsBetter = succeeds || verdict.reportedHere() || now - server.lastFailureAt < INFORMATION_TTL_US;
+            if (!verdict.confirmed() || verdict.evidence().isUnavailable() && knowsBetter) continue;
+            switch (verdict.evidence()) {
                 case SILENT, FAILING, FAILING_FAST -> {
                     server.ejections = Math.max(1, server.ejections);
-                    server.ejectedUntil = Math.max(server.ejectedUntil, v.validUntilUs());
+                    server.ejectedUntil = Math.max(server.ejectedUntil, verdict.validUntilUs());
                 }
                 case SLOW -> {
                     if (now - server.lastAnswerAt <= ESTIMATE_EXPIRY_US) continue;
                     server.relativeSlowness =
-                            Math.max(server.relativeSlowness, Math.min(2 * MAX_RELATIVE_LATENCY, v.factor()));
+                            Math.max(server.relativeSlowness, Math.min(2 * LATENCY_CLAMP, verdict.factor()));
                 }
-                case COLD -> server.startedAt = Math.max(server.startedAt, now - (long) (v.factor() * 1e6));
-                case DROPS_IDLE -> lowerIdleLimit(now, (long) (v.factor() * 1_000));
+                case COLD -> server.startedAt = Math.max(server.startedAt, now - (long) (verdict.factor() * 1e6));
+                case DROPS_IDLE -> lowerIdleLimit(now, (long) (verdict.factor() * 1_000));
             }
         }
     }
@@ -453,22 +459,22 @@
     public void onLimitShares(long now, List<LimitShare> shares) {
         Map<String, LimitUsage> before = new HashMap<>(limitUsages);
         limitUsages.clear();
-        for (LimitShare server : shares) {
-            LimitUsage usage = before.getOrDefault(server.name(), new LimitUsage());
-            usage.share = server;
-            limitUsages.put(server.name(), usage);
+        for (LimitShare share : shares) {
+            LimitUsage usage = before.getOrDefault(share.name(), new LimitUsage());
+            usage.share = share;
+            limitUsages.put(share.name(), usage);
         }
     }
 
     /** By limit, the requests per second or the peak number in flight since the last call. */
     @Override
-    public Map<String, Double> collectLimitDemands(long passedUs) {
+    public Map<String, Double> collectLimitDemands(long elapsedUs) {
         Map<String, Double> demands = new LinkedHashMap<>();
         for (LimitUsage usage : limitUsages.values()) {
             demands.put(
                     usage.share.name(),
-                    usage.share.limitsInFlight() ? usage.peakInFlight : usage.requested * 1e6 / Math.max(1, passedUs));
-            usage.requested = 0;
+                    usage.share.inFlight() ? usage.peakInFlight : usage.arrivals * 1e6 / Math.max(1, elapsedUs));
+            usage.arrivals = 0;
             usage.peakInFlight = usage.inFlight;
         }
         return demands;
@@ -476,26 +482,25 @@
 
     /** Takes a place in each applicable limit and returns 0, or takes none and returns the time to wait. */
     private long acquireLimits(long now, ActiveRequest active) {
-        List<LimitUsage> counted = new ArrayList<>();
-        long wait = 0;
+        List<LimitUsage> applicable = new ArrayList<>();
+        long waitUs = 0;
         for (LimitUsage usage : limitUsages.values()) {
             if (!usage.share.appliesTo(active.request)) continue;
-            counted.add(usage);
-            double most = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
-            usage.requested++;
+            applicable.add(usage);
+            double cap = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
+            usage.arrivals++;
             usage.peakInFlight = Math.max(usage.peakInFlight, usage.inFlight + 1);
-            if (usage.share.limitsInFlight() && usage.inFlight + 1 > most)
-                wait = Math.max(wait, active.requestClass.aimUs());
-            if (usage.share.limitsInFlight()) continue;
-            usage.tokens =
-                    Math.min(Math.max(1, most * LIMIT_BURST_S), usage.tokens + most * (now - usage.refilledAt) / 1e6);
+            if (usage.share.inFlight() && usage.inFlight + 1 > cap)
+                waitUs = Math.max(waitUs, active.requestClass.aimUs());
+            if (usage.share.inFlight()) continue;
+            usage.tokens = Math.min(Math.max(1, cap * BURST_S), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
             usage.refilledAt = now;
-            if (usage.tokens < 1) wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, most) * 1e6));
+            if (usage.tokens < 1) waitUs = Math.max(waitUs, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
         }
-        if (wait > 0) return wait;
-        active.limits = counted;
-        for (LimitUsage usage : counted) {
-            if (!usage.share.limitsInFlight()) usage.tokens--;
+        if (waitUs > 0) return waitUs;
+        active.limits = applicable;
+        for (LimitUsage usage : applicable) {
+            if (!usage.share.inFlight()) usage.tokens--;
             usage.inFlight++;
         }
         return 0;
@@ -513,34 +518,34 @@
      * negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
     static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
-        double[] p = new double[n];
-        boolean[] in = new boolean[n];
+        double[] share = new double[n];
+        boolean[] included = new boolean[n];
         double capacity = 0;
         for (int i = 0; i < n; i++) {
-            in[i] = k[i] > 0 && mu[i] > 0;
-            capacity += in[i] ? k[i] * mu[i] : 0;
+            included[i] = k[i] > 0 && mu[i] > 0;
+            capacity += included[i] ? k[i] * mu[i] : 0;
         }
         // Rate 0 takes the limit of low rates; above capacity the split stays proportional (Corollary 3).
         double rate = Math.max(capacity * 1e-6, Math.min(lambda, capacity));
         for (int round = 0; round < n; round++) {
-            double roots = 0, sum = 0;
+            double rootSum = 0, sum = 0;
             for (int i = 0; i < n; i++) {
-                roots += in[i] ? k[i] * Math.sqrt(mu[i]) : 0;
-                sum += in[i] ? k[i] * mu[i] : 0;
+                rootSum += included[i] ? k[i] * Math.sqrt(mu[i]) : 0;
+                sum += included[i] ? k[i] * mu[i] : 0;
             }
             boolean dropped = false;
             for (int i = 0; i < n; i++) {
-                double root = Math.sqrt(mu[i]);
-                p[i] = in[i] ? k[i] * (mu[i] * roots - root * sum + rate * root) / (rate * roots) : 0;
-                if (p[i] < 0) {
-                    in[i] = false;
+                double rootMu = Math.sqrt(mu[i]);
+                share[i] = included[i] ? k[i] * (mu[i] * rootSum - rootMu * sum + rate * rootMu) / (rate * rootSum) : 0;
+                if (share[i] < 0) {
+                    included[i] = false;
                     dropped = true;
                 }
             }
             if (!dropped) break;
         }
-        for (int i = 0; i < n; i++) p[i] = Math.max(0, Math.min(1, p[i]));
-        return p;
+        for (int i = 0; i < n; i++) share[i] = Math.max(0, Math.min(1, share[i]));
+        return share;
     }
 
     /** Updates rate, subset and shares if they are due; called with every request. */
@@ -559,8 +564,7 @@
         for (ServerKind k : kinds.values()) {
             // A kind estimated as slow gets no requests that could correct that: decay to its best.
             if (now - k.lastAnswerAt > ESTIMATE_EXPIRY_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
-            k.bestSlowness =
-                    k.answers < MAX_ANSWERS ? k.slowness : Math.min(k.slowness, k.bestSlowness * BEST_SLOWNESS_GROWTH);
+            k.bestSlowness = k.answers < MAX_ANSWERS ? k.slowness : Math.min(k.slowness, k.bestSlowness * BEST_GROWTH);
         }
         for (Server server : subset) {
             reportSlowOrCold(now, server);
@@ -575,21 +579,21 @@
         double[] k = new double[groups.size()], mu = new double[groups.size()];
         for (int i = 0; i < k.length; i++) {
             Server first = groups.get(i).get(0);
-            double slow = 0;
-            for (Server server : groups.get(i)) slow += server.slowness();
+            double totalSlowness = 0;
+            for (Server server : groups.get(i)) totalSlowness += server.slowness();
             k[i] = groups.get(i).size();
-            mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (slow / k[i] * meanWorkUs);
+            mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (totalSlowness / k[i] * meanWorkUs);
         }
-        double[] p = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
+        double[] share = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
         for (int i = 0; i < k.length; i++) {
             for (Server server : groups.get(i)) {
                 // The lower bound only matters when all servers with a share are full.
-                server.share = weightOf(now, server) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
+                server.share = weightOf(now, server) * Math.max(share[i] / k[i], 1e-6 * mu[i]);
                 bestSlowness = Math.min(bestSlowness, server.slowness() / capacityFraction(server, now));
                 allServers.add(server);
                 if (hasCrossZonePrice()) (server.zoneIndex == homeZone ? homeServers : remoteServers).add(server);
-                boolean turn = weightOf(now, server) >= 1 || random.nextDouble() < weightOf(now, server);
-                if (p[i] > 0 && capacityFraction(server, now) < 1 && turn) warmingServers.add(server);
+                boolean eligible = weightOf(now, server) >= 1 || rng.nextDouble() < weightOf(now, server);
+                if (share[i] > 0 && capacityFraction(server, now) < 1 && eligible) warmingServers.add(server);
             }
         }
     }
@@ -597,9 +601,9 @@
     /** A faster server attracts all requests of its kind, so the others' speed is unknown: their estimates move
      * towards it until they are tried again. Its own estimate stays. */
     private static void moveKindTowards(Server fast) {
-        double slow = fast.slowness();
-        fast.kind.slowness += 0.02 * (slow - fast.kind.slowness);
-        fast.relativeSlowness = slow / fast.kind.slowness;
+        double slowness = fast.slowness();
+        fast.kind.slowness += 0.02 * (slowness - fast.kind.slowness);
+        fast.relativeSlowness = slowness / fast.kind.slowness;
     }
 
     // ---- pick -----------------------------------------------------------------------------------
@@ -615,20 +619,20 @@
      * free core; then any below its bound. Null if the request has to wait. */
     private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
-        Server turn = null;
+        Server preferred = null;
         for (Server server : awaitingFirstAnswer) {
-            if (turn == null && server.inFlight == 0 && hasRoom(now, active, server, true)) turn = server;
+            if (preferred == null && server.inFlight == 0 && hasRoom(now, active, server, true)) preferred = server;
         }
         for (Server server : canTryEjected(active) ? witnessedOutages : List.<Server>of()) {
-            if (turn == null && server.ejections > 0 && server.inFlight == 0 && hasRoom(now, active, server, true))
-                turn = server;
+            if (preferred == null && server.ejections > 0 && server.inFlight == 0 && hasRoom(now, active, server, true))
+                preferred = server;
         }
-        for (int i = 0; i < warmingServers.size() && turn == null; i++) {
-            turn = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
+        for (int i = 0; i < warmingServers.size() && preferred == null; i++) {
+            preferred = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
         }
-        if (probesLoad || turn != null) return probesLoad ? pickByProbes(now, active, turn) : turn;
-        boolean stay = !loadUnknown || remoteServers.size() == 0 || random.nextDouble() < zoneFraction[homeZone];
-        Server server = pickOfTwo(now, active, stay ? homeServers : remoteServers, false);
+        if (probesLoad || preferred != null) return probesLoad ? pickByProbes(now, active, preferred) : preferred;
+        boolean home = !loadUnknown || remoteServers.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
+        Server server = pickOfTwo(now, active, home ? homeServers : remoteServers, false);
         server = server != null ? server : pickOfTwo(now, active, allServers, true);
         return server != null ? server : pickOfTwo(now, active, allServers, false);
     }
@@ -638,9 +642,9 @@
         return active.attempts.isEmpty() && active.requestClass.semantics() != Semantics.UNSAFE;
     }
 
-    private Server pickOfTwo(long now, ActiveRequest active, WeightedTable table, boolean freeCore) {
-        Server first = drawServer(now, active, table, freeCore, null);
-        Server second = first == null ? null : drawServer(now, active, table, freeCore, first);
+    private Server pickOfTwo(long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore) {
+        Server first = drawServer(now, active, table, needsFreeCore, null);
+        Server second = first == null ? null : drawServer(now, active, table, needsFreeCore, first);
         return second == null ? first : lessBusy(now, first, second);
     }
 
@@ -649,35 +653,38 @@
     /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core takes
      * the request; after some pairs without, the less loaded with room. A server without an answer by the next
      * sweep is passed over. A request whose pairs had no free core goes to the next server that reports one. */
-    private Server pickByProbes(long now, ActiveRequest active, Server turn) {
+    private Server pickByProbes(long now, ActiveRequest active, Server preferred) {
         if (lastReporter != null && active.probedPairs > 0 && hasRoom(now, active, lastReporter, true)) {
-            active.first = null;
+            active.firstCandidate = null;
             return lastReporter;
         }
-        if (active.first == null) {
-            active.first = now < active.nextProbeAt
+        if (active.firstCandidate == null) {
+            active.firstCandidate = now < active.nextProbeAt
                     ? null
-                    : turn != null ? turn : drawServer(now, active, allServers, false, null);
-            if (active.first == null) return null;
-            active.second = drawServer(now, active, allServers, false, active.first);
+                    : preferred != null ? preferred : drawServer(now, active, allServers, false, null);
+            if (active.firstCandidate == null) return null;
+            active.secondCandidate = drawServer(now, active, allServers, false, active.firstCandidate);
             active.probedAt = now;
-            probeLoad(now, active.first);
-            probeLoad(now, active.second);
+            probeLoad(now, active.firstCandidate);
+            probeLoad(now, active.secondCandidate);
             return null;
         }
-        boolean secondAnswered = active.second == null || active.second.loadReportedAt >= active.probedAt;
-        boolean answered = active.first.loadReportedAt >= active.probedAt && secondAnswered;
+        boolean secondAnswered =
+                active.secondCandidate == null || active.secondCandidate.loadReportedAt >= active.probedAt;
+        boolean answered = active.firstCandidate.loadReportedAt >= active.probedAt && secondAnswered;
         if (!answered && now - active.probedAt < SWEEP_INTERVAL_US) return null;
-        Server best = null;
-        for (Server server : new Server[] {active.first, active.second}) {
-            if (server != null && server.loadReportedAt >= active.probedAt && hasRoom(now, active, server, false)) {
-                best = best == null ? server : lessBusy(now, best, server);
+        Server chosen = null;
+        for (Server candidate : new Server[] {active.firstCandidate, active.secondCandidate}) {
+            if (candidate != null
+                    && candidate.loadReportedAt >= active.probedAt
+                    && hasRoom(now, active, candidate, false)) {
+                chosen = chosen == null ? candidate : lessBusy(now, chosen, candidate);
             }
         }
-        active.first = null;
+        active.firstCandidate = null;
         active.probedPairs++;
-        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) return best;
-        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, turn);
+        if (chosen != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, chosen, true))) return chosen;
+        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, preferred);
         // Probes less and less often, to bound what a long wait costs.
         active.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(active.probedPairs - PROBED_PAIRS, 2));
         return null;
@@ -691,53 +698,54 @@
     }
 
     private Server lessBusy(long now, Server first, Server second) {
-        double less = estimatedLoad(first, now) / first.kind.cores - estimatedLoad(second, now) / second.kind.cores;
-        if (Math.abs(less) > (probesLoad ? 0.5 : 1e-9)) return less < 0 ? first : second;
-        return random.nextDouble() * (first.share + second.share) < first.share ? first : second;
+        double difference = loadOf(first, now) / first.kind.cores - loadOf(second, now) / second.kind.cores;
+        if (Math.abs(difference) > (probesLoad ? 0.5 : 1e-9)) return difference < 0 ? first : second;
+        return rng.nextDouble() * (first.share + second.share) < first.share ? first : second;
     }
 
     /** Draws a server with room by its share: with a key always the same one, which may have cached its data, and
      * over all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at
      * random, by a few draws from the table and then a scan of all of it. */
-    private Server drawServer(long now, ActiveRequest active, WeightedTable table, boolean freeCore, Server not) {
+    private Server drawServer(
+            long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore, Server excluded) {
         long key = active.request.key();
         for (int i = 0; i < RANDOM_DRAWS && key < 0 && table.size() > 0; i++) {
-            Server server = table.draw(random.nextDouble());
-            if (server != not && hasRoom(now, active, server, freeCore)) return server;
+            Server server = table.draw(rng.nextDouble());
+            if (server != excluded && hasRoom(now, active, server, needsFreeCore)) return server;
         }
-        int hash = key < 0 ? random.nextInt() : Long.hashCode(key);
+        int hash = key < 0 ? rng.nextInt() : Long.hashCode(key);
         double least = Double.MAX_VALUE;
         Server chosen = null;
         for (int i = 0; i < table.size(); i++) {
             Server server = table.get(i);
             double score = -Math.log(((mixHash(server.hash, hash) >>> 1) + 1.0) / (1L << 31)) / server.share;
-            if (server == not || score >= least || !hasRoom(now, active, server, freeCore)) continue;
+            if (server == excluded || score >= least || !hasRoom(now, active, server, needsFreeCore)) continue;
             least = score;
             chosen = server;
         }
         return chosen;
     }
 
-    private ServerWeights serverWeights;
+    private ServerWeights weights;
 
     /** Weights only scale the shares: none makes a server ready, warm or trusted. */
     @Override
     public void onServerWeights(long now, ServerWeights told) {
-        serverWeights = told;
+        weights = told;
         sharesSolvedAt = now - SHARES_INTERVAL_US;
     }
 
     private double weightOf(long now, Server server) {
-        return serverWeights == null || now >= serverWeights.validUntilUs() ? 1 : serverWeights.weightOf(server.id);
+        return weights == null || now >= weights.validUntilUs() ? 1 : weights.weightOf(server.id);
     }
 
-    private boolean hasRoom(long now, ActiveRequest active, Server server, boolean freeCore) {
+    private boolean hasRoom(long now, ActiveRequest active, Server server, boolean needsFreeCore) {
         if (now < Math.max(server.ejectedUntil, server.fullUntil) || server.ejections > 0 && server.inFlight > 0)
             return false;
         if (weightOf(now, server) <= 0 || !canSend(now, active, server)) return false;
         double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
-        double load = estimatedLoad(server, now);
-        if (freeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
+        double load = loadOf(server, now);
+        if (needsFreeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
         return load + 1 <= Math.max(1, cores + HEADROOM_FACTOR * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
                 && (!loadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
                         || now + expectedLatencyUs(server, active.workUs, load, now) <= active.usefulUntil);
@@ -756,21 +764,23 @@
         active.requestClass = classes.get(request.requestClass());
         if (active.requestClass == null)
             throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        active.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
-        meanWorkUs += 0.01 * (Math.min(active.workUs, MAX_RELATIVE_LATENCY * meanWorkUs) - meanWorkUs);
+        active.workUs =
+                request.costHintUs() > 0 ? request.costHintUs() : estimatedWorkUs.get(active.requestClass.name());
+        meanWorkUs += 0.01 * (Math.min(active.workUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
         active.deadlineAt = now + request.remainingUs();
-        long aim = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workUs);
+        long aimUs = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workUs);
         active.firstTriedAt = firstTriedAt(now, active);
         active.usefulUntil = Math.min(
-                active.deadlineAt, active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aim);
-        active.queueOrder = now + (long) (aim * maxWorth / worthPerWork(active.requestClass));
+                active.deadlineAt,
+                active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aimUs);
+        active.queueOrder = now + (long) (aimUs * maxWorth / worthPerWork(active.requestClass));
         activeRequests.put(request.id(), active);
-        long wait = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
-        if (wait > 0) {
-            refuse(active, Math.max(wait, active.requestClass.aimUs() / 2));
+        long waitUs = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
+        if (waitUs > 0) {
+            refuse(active, Math.max(waitUs, active.requestClass.aimUs() / 2));
             return;
         }
-        if (loadUnknown && random.nextDouble() < Math.min(0.95, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
+        if (loadUnknown && rng.nextDouble() < Math.min(0.95, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
             refuseOrFail(now, active);
             return;
         }
@@ -780,8 +790,10 @@
     }
 
     /** Worth per unit of work: with too little capacity, the most valuable work goes first. */
-    private double worthPerWork(RequestClass c) {
-        return config.worthByWork() ? c.worth() : c.worth() * meanWorkUs / classWorkUs.get(c.name());
+    private double worthPerWork(RequestClass requestClass) {
+        return config.worthByWork()
+                ? requestClass.worth()
+                : requestClass.worth() * meanWorkUs / estimatedWorkUs.get(requestClass.name());
     }
 
     /** First tries of unserved requests by class and key: a client's retry continues its request. */
@@ -826,10 +838,10 @@
 
     /** Sends queued requests in order while there is room; {@code sweep} also ends those too late. */
     private void dispatchQueue(long now, boolean sweep) {
-        boolean room = true;
-        for (int i = 0; i < queue.size() && (room || sweep); i++) {
+        boolean hasRoom = true;
+        for (int i = 0; i < queue.size() && (hasRoom || sweep); i++) {
             ActiveRequest active = queue.get(i);
-            Server server = room || !active.attempts.isEmpty() ? pickServer(now, active) : null;
+            Server server = hasRoom || !active.attempts.isEmpty() ? pickServer(now, active) : null;
             if (server != null || now >= latestStart(active)) {
                 queue.remove(i--);
                 active.queued = false;
@@ -837,7 +849,7 @@
                 else refuseOrFail(now, active);
             } else {
                 // A first attempt may go anywhere and found no room: those behind it wait too, in order.
-                room &= probesLoad || !active.attempts.isEmpty();
+                hasRoom &= probesLoad || !active.attempts.isEmpty();
             }
         }
     }
@@ -845,8 +857,8 @@
     /** The latest start at which an answer in time can be expected. */
     private long latestStart(ActiveRequest active) {
         // A request whose servers are being probed is not waiting yet: no slack is subtracted.
-        long forAim = (long)
-                (active.usefulUntil - (active.first != null ? 0 : SLACK_SERVICES * bestSlowness * active.workUs));
+        long forAim = (long) (active.usefulUntil
+                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.workUs));
         return Math.min(active.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
     }
 
@@ -858,8 +870,8 @@
     // ---- attempts -------------------------------------------------------------------------------
     /** Whether the protocol rules allow this attempt; checked at every send, whatever chose the server. */
     boolean canSend(long now, ActiveRequest active, Server server) {
-        boolean spent = active.attempts.size() >= config.limits().maxAttempts();
-        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || spent) return false;
+        boolean exhausted = active.attempts.size() >= config.limits().maxAttempts();
+        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || exhausted) return false;
         for (Attempt attempt : active.attempts) {
             if (!attempt.ended && !config.limits().secondCopies()) return false;
             if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
@@ -869,21 +881,22 @@
 
     /** During connection setup the deduplication window or the cold server's slot may have ended. */
     @Override
-    public boolean canStartAttempt(long now, String id, int number) {
-        ActiveRequest active = activeRequests.get(id);
+    public boolean canStartAttempt(long now, String requestId, int number) {
+        ActiveRequest active = activeRequests.get(requestId);
         if (active == null || active.finished || number >= active.attempts.size()) return false;
-        Attempt begins = active.attempts.get(number);
-        Server server = begins.server;
-        for (Attempt attempt : active.attempts.subList(0, number)) {
-            if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
+        Attempt attempt = active.attempts.get(number);
+        Server server = attempt.server;
+        for (Attempt earlier : active.attempts.subList(0, number)) {
+            if (earlier.mayHaveRun && !canRepeat(active.requestClass, earlier, server, now)) return false;
         }
-        return server.ready && slowStart.canStartAttempt(now, server, begins.sentAt, active.workUs, meanWorkUs);
+        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.workUs, meanWorkUs);
     }
 
-    private static boolean canRepeat(RequestClass c, Attempt earlier, Server server, long now) {
-        if (c.semantics() == Semantics.SAFE) return true;
-        if (c.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= c.dedupWindowUs()) return false;
-        return switch (c.dedupScope()) {
+    private static boolean canRepeat(RequestClass requestClass, Attempt earlier, Server server, long now) {
+        if (requestClass.semantics() == Semantics.SAFE) return true;
+        if (requestClass.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= requestClass.dedupWindowUs())
+            return false;
+        return switch (requestClass.dedupScope()) {
             case ALL -> true;
             case ZONE -> server.listing.zone().equals(earlier.listing.zone());
             case CELL -> server.listing.cell() == earlier.listing.cell();
@@ -904,21 +917,22 @@
         attempt.server = server;
         attempt.listing = server.listing;
         attempt.sentAt = now;
-        attempt.loadAtSend = server.reportedLoad > server.inFlight ? estimatedLoad(server, now) : server.inFlight;
+        attempt.loadAtSend = server.reportedLoad > server.inFlight ? loadOf(server, now) : server.inFlight;
         attempt.expectedUs = expectedLatencyUs(server, active.workUs, attempt.loadAtSend, now);
         attempt.expectedStandardUs = attempt.expectedUs / server.slowness();
         active.attempts.add(attempt);
         // The rest of a body may take long to arrive: the server starts when it has all of it.
         if (!active.request.bodyIncomplete()) occupyServer(now, attempt);
         slowStart.recordSend(now, server, active.workUs);
-        boolean others = server.inFlight > (attempt.running ? 1 : 0);
-        attempt.idleBeforeUs =
-                others || now - server.lastUsedAt > config.limits().connectionIdleUs() ? 0 : now - server.lastUsedAt;
+        boolean serverBusy = server.inFlight > (attempt.running ? 1 : 0);
+        attempt.idleUs = serverBusy || now - server.lastUsedAt > config.limits().connectionIdleUs()
+                ? 0
+                : now - server.lastUsedAt;
         // A trial after an ejection uses a new connection, so that only the server can be at fault.
-        if (attempt.idleBeforeUs >= idleLimitUs
-                || usesSubset && server.ejections > 0 && attempt.idleBeforeUs >= MIN_IDLE_LIMIT_US) {
+        if (attempt.idleUs >= idleLimitUs
+                || usesSubset && server.ejections > 0 && attempt.idleUs >= MIN_IDLE_LIMIT_US) {
             actions.closeIdleConnections(server.id);
-            attempt.idleBeforeUs = 0;
+            attempt.idleUs = 0;
         }
         server.lastUsedAt = now;
         actions.send(active.request.id(), server.id, active.deadlineAt);
@@ -938,8 +952,8 @@
     }
 
     @Override
-    public void onRequestSent(long now, String id, int number) {
-        ActiveRequest active = activeRequests.get(id);
+    public void onRequestSent(long now, String requestId, int number) {
+        ActiveRequest active = activeRequests.get(requestId);
         if (active == null || number >= active.attempts.size()) return;
         Attempt attempt = active.attempts.get(number);
         if (!attempt.ended && !attempt.running) occupyServer(now, attempt);
@@ -972,14 +986,14 @@
     @Override
     public void onOutcome(
             long now,
-            String id,
+            String requestId,
             int number,
             String upstream,
             Outcome outcome,
             long latencyUs,
             boolean done,
             LoadReport report) {
-        ActiveRequest active = activeRequests.get(id);
+        ActiveRequest active = activeRequests.get(requestId);
         recordLoadReport(upstream, report, now);
         lastReporter = active == null ? null : lastReporter;
         if (active == null || number < 0 || number >= active.attempts.size() || active.attempts.get(number).ended)
@@ -992,7 +1006,7 @@
         closeIdleIfLeaving(server);
         // The server's part of a streamed answer was recorded when the stream started.
         if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK)
-            recordHealth(now, server, attempt, outcome, latencyUs);
+            recordAttemptOutcome(now, server, attempt, outcome, latencyUs);
         if (done || active.finished) finish(active);
         else if (!active.streaming) retryOrFinish(now, active);
         dispatchQueue(now, false);
@@ -1022,30 +1036,29 @@
             idleLimitSetAt = now;
             idleLimitUs = idleLimitUs > config.limits().connectionIdleUs() ? Long.MAX_VALUE : idleLimitUs * 2;
         }
-        if (outcome == Outcome.OK
-                && (attempt.idleBeforeUs >= idleSurvivedUs || now - idleSurvivedAt > ESTIMATE_EXPIRY_US)) {
-            idleSurvivedUs = attempt.idleBeforeUs;
+        if (outcome == Outcome.OK && (attempt.idleUs >= idleSurvivedUs || now - idleSurvivedAt > ESTIMATE_EXPIRY_US)) {
+            idleSurvivedUs = attempt.idleUs;
             idleSurvivedAt = now;
         }
         // A time-out may mean overload if a connection idle about as long has worked recently,
-        boolean kept = now - idleSurvivedAt < ESTIMATE_EXPIRY_US && attempt.idleBeforeUs * 3 / 4 <= idleSurvivedUs;
+        boolean worked = now - idleSurvivedAt < ESTIMATE_EXPIRY_US && attempt.idleUs * 3 / 4 <= idleSurvivedUs;
         // or an outage if one was attributed to the connection before and no success came since.
-        boolean laid = attempt.server.idleDropSuspected;
-        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !kept && !laid;
-        if (!usesSubset || !suspect || attempt.idleBeforeUs < MIN_IDLE_LIMIT_US) return false;
+        boolean attributed = attempt.server.idleDropSuspected;
+        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !worked && !attributed;
+        if (!usesSubset || !suspect || attempt.idleUs < MIN_IDLE_LIMIT_US) return false;
         attempt.server.idleDropSuspected = true;
         ownIdleDropAt = now;
-        actions.reportEvidence(attempt.server.id, Evidence.DROPS_IDLE, attempt.idleBeforeUs * 3 / 4e3);
-        lowerIdleLimit(now, attempt.idleBeforeUs * 3 / 4);
+        actions.reportEvidence(attempt.server.id, Evidence.DROPS_IDLE, attempt.idleUs * 3 / 4e3);
+        lowerIdleLimit(now, attempt.idleUs * 3 / 4);
         return true;
     }
 
-    private void lowerIdleLimit(long now, long us) {
-        idleLimitUs = Math.min(idleLimitUs, Math.max(MIN_IDLE_LIMIT_US, us));
+    private void lowerIdleLimit(long now, long limitUs) {
+        idleLimitUs = Math.min(idleLimitUs, Math.max(MIN_IDLE_LIMIT_US, limitUs));
         idleLimitSetAt = now;
     }
 
-    private void recordHealth(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
+    private void recordAttemptOutcome(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
         if (detectIdleDrop(now, attempt, outcome)) return;
         switch (outcome) {
             case OK -> {
@@ -1062,7 +1075,7 @@
                 boolean silent = outcome == Outcome.TIMEOUT && server.lastSuccessAt < attempt.sentAt;
                 updateEstimates(server, attempt, latencyUs, false, now);
                 // A trial of a verdict ejects at its first time-out: no second request is lost.
-                int weight = server.ejections > 0 && witnessedOutages.contains(server) ? EJECT_AFTER_FAILURES : 1;
+                int weight = server.ejections > 0 && witnessedOutages.contains(server) ? MAX_FAILURES : 1;
                 recordFailure(now, server, silent ? weight : 0, Evidence.SILENT);
             }
             case ERROR -> {
@@ -1070,7 +1083,7 @@
                 recordFailure(now, server, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
             }
             case RESET -> recordFailure(now, server, 1, Evidence.FAILING);
-            case CONNECT_FAILED -> recordFailure(now, server, EJECT_AFTER_FAILURES, Evidence.SILENT);
+            case CONNECT_FAILED -> recordFailure(now, server, MAX_FAILURES, Evidence.SILENT);
             case REJECTED -> {
                 if (config.loadReporting() == LoadReporting.NONE) {
                     backOff(server, now);
@@ -1078,7 +1091,7 @@
                     // Rejects while nearly idle: it is shutting down, or its admission is broken.
                     if (server.inFlight < server.kind.cores) {
                         server.ejections = Math.max(2, server.ejections);
-                        recordFailure(now, server, EJECT_AFTER_FAILURES, Evidence.FAILING);
+                        recordFailure(now, server, MAX_FAILURES, Evidence.FAILING);
                     }
                     markFull(server, now);
                 }
@@ -1090,24 +1103,25 @@
      * failure, and it has room once it has completed one. Each consecutive rejection doubles the wait, since a
      * server that is shutting down never has room again. */
     private void backOff(Server server, long now) {
-        double place = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
-        server.fullUntil = now + (long) Math.min(MIN_EJECTION_US, place * (1 << Math.min(server.rejections++, 10)));
+        double completionUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.fullUntil =
+                now + (long) Math.min(MIN_EJECTION_US, completionUs * (1 << Math.min(server.rejections++, 10)));
     }
 
     private void markFull(Server server, long now) {
-        server.reportedLoad = Math.max(
-                estimatedLoad(server, now), server.kind.cores + HEADROOM_FACTOR * Math.sqrt(server.kind.cores));
+        server.reportedLoad =
+                Math.max(loadOf(server, now), server.kind.cores + HEADROOM_FACTOR * Math.sqrt(server.kind.cores));
         server.loadReportedAt = now;
     }
 
-    private void recordFailure(long now, Server server, int weight, Evidence kind) {
+    private void recordFailure(long now, Server server, int weight, Evidence evidence) {
         server.failures += weight;
         if (now < server.ejectedUntil) return;
-        boolean ejected = server.failures >= EJECT_AFTER_FAILURES;
+        boolean ejected = server.failures >= MAX_FAILURES;
         // Once a server is known to fail, each further failure renews the evidence.
         if (ejected || weight > 0 && server.lastFailureAt >= 0) {
             server.lastFailureAt = now;
-            actions.reportEvidence(server.id, kind, server.failures);
+            actions.reportEvidence(server.id, evidence, server.failures);
         }
         if (!ejected) return;
         server.failures = 0;
@@ -1116,8 +1130,8 @@
     }
 
     @Override
-    public void onStreamStart(long now, String id, int number, String upstream, long latencyUs) {
-        ActiveRequest active = activeRequests.get(id);
+    public void onStreamStart(long now, String requestId, int number, String upstream, long latencyUs) {
+        ActiveRequest active = activeRequests.get(requestId);
         if (active == null || number >= active.attempts.size() || active.attempts.get(number).ended) return;
         active.streaming = true;
         if (active.queued) queue.remove(active);
@@ -1125,13 +1139,14 @@
         // A stream occupies its server to the end; a long answer was complete when it started.
         if (active.requestClass.stream()) return;
         releaseServer(now, active.attempts.get(number));
-        recordHealth(now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
+        recordAttemptOutcome(
+                now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
         dispatchQueue(now, false);
     }
 
     @Override
-    public void onRequestExpired(long now, String id) {
-        ActiveRequest active = activeRequests.get(id);
+    public void onRequestExpired(long now, String requestId) {
+        ActiveRequest active = activeRequests.get(requestId);
         if (active == null) return;
         if (!active.finished) rememberUnserved(active);
         finish(active);
@@ -1143,10 +1158,10 @@
         if (server == null) return;
         server.probeSentAt = 0;
         // A probe that was not sent or was cancelled says nothing about the server.
-        boolean asked = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
-        if (asked && outcome != Outcome.OK) {
-            recordFailure(now, server, outcome == Outcome.CONNECT_FAILED ? EJECT_AFTER_FAILURES : 1, Evidence.SILENT);
-        } else if (asked && report == null) {
+        boolean answerExpected = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
+        if (answerExpected && outcome != Outcome.OK) {
+            recordFailure(now, server, outcome == Outcome.CONNECT_FAILED ? MAX_FAILURES : 1, Evidence.SILENT);
+        } else if (answerExpected && report == null) {
             // It answers without its load: assumed busy rather than idle.
             markFull(server, now);
         }
@@ -1183,7 +1198,7 @@
         listRequested = false;
         subscribed = kind != ListKind.FAILED;
         // Jittered, so that sidecars that failed together do not retry together.
-        if (!subscribed) actions.startTimer("ask", discoveryRetryUs / 2 + random.nextLong(discoveryRetryUs));
+        if (!subscribed) actions.startTimer("ask", discoveryRetryUs / 2 + rng.nextLong(discoveryRetryUs));
         discoveryRetryUs = subscribed
                 ? MIN_DISCOVERY_RETRY_US
                 : Math.min(discoveryRetryUs * 2, config.rules().discoveryRetryUs() / 2 + 1);
@@ -1193,7 +1208,7 @@
     /** Average request rate of the fleet's sidecars, as a sum of one part for each of their zones. */
     private final double[] zoneRate;
 
-    private double[] zoneFraction;
+    private double[] zoneShare;
     private long peerHeardAt = Long.MIN_VALUE / 2;
     private int peerMessagesSent;
 
@@ -1206,71 +1221,77 @@
             double own = z == homeZone ? ownRate : 0;
             zoneRate[z] += (own - zoneRate[z]) * Math.max(OWN_RATE_GAIN, 1.0 / peerMessagesSent);
         }
-        PeerMessage word = new PeerMessage(zoneRate.length, config.kinds().size());
-        System.arraycopy(zoneRate, 0, word.zoneRates, 0, zoneRate.length);
-        for (int i = 0; i < word.slowness.length; i++) {
-            ServerKind k = kinds.get(config.kinds().get(i));
-            word.slowness[i] = k.slowness;
-            word.answers[i] = Math.min(MAX_ANSWERS, k.answers);
+        PeerMessage message = new PeerMessage(zoneRate.length, config.kinds().size());
+        System.arraycopy(zoneRate, 0, message.zoneRates, 0, zoneRate.length);
+        for (int i = 0; i < message.slowness.length; i++) {
+            ServerKind kind = kinds.get(config.kinds().get(i));
+            message.slowness[i] = kind.slowness;
+            message.answers[i] = Math.min(MAX_ANSWERS, kind.answers);
         }
-        word.congestion = congestion;
-        word.idleLimitUs = now - ownIdleDropAt < IDLE_LIMIT_TTL_US ? idleLimitUs : 0;
+        message.congestion = congestion;
+        message.idleLimitUs = now - ownIdleDropAt < IDLE_LIMIT_TTL_US ? idleLimitUs : 0;
         actions.sendToPeer(
-                (config.sidecarIndex() + 1 + random.nextInt(config.sidecarCount() - 1)) % config.sidecarCount(),
-                word.encode());
+                (config.sidecarIndex() + 1 + rng.nextInt(config.sidecarCount() - 1)) % config.sidecarCount(),
+                message.encode());
         actions.startTimer("tell", PEER_INTERVAL_US);
     }
 
     /** Speeds are weighted by their numbers of answers. A false message has little, passing effect. */
     @Override
-    public void onPeerMessage(long now, int peer, byte[] message) {
+    public void onPeerMessage(long now, int peer, byte[] bytes) {
         boolean known = peer >= 0 && peer < config.sidecarCount() && peer != config.sidecarIndex();
-        PeerMessage word = new PeerMessage(zoneRate.length, config.kinds().size());
-        if (!known || !word.decode(message)) return;
+        PeerMessage message = new PeerMessage(zoneRate.length, config.kinds().size());
+        if (!known || !message.decode(bytes)) return;
         peerHeardAt = now;
-        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (word.zoneRates[z] - zoneRate[z]) / 2;
-        for (int i = 0; i < word.slowness.length; i++) {
-            ServerKind k = kinds.get(config.kinds().get(i));
-            int answers = Math.min(MAX_ANSWERS, word.answers[i]);
-            if (word.slowness[i] <= 0 || answers == 0) continue;
-            k.slowness += (word.slowness[i] - k.slowness) / 2 * answers / (answers + Math.min(MAX_ANSWERS, k.answers));
-            k.answers = Math.max(k.answers, answers / 2);
+        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (message.zoneRates[z] - zoneRate[z]) / 2;
+        for (int i = 0; i < message.slowness.length; i++) {
+            ServerKind kind = kinds.get(config.kinds().get(i));
+            int answers = Math.min(MAX_ANSWERS, message.answers[i]);
+            if (message.slowness[i] <= 0 || answers == 0) continue;
+            kind.slowness += (message.slowness[i] - kind.slowness)
+                    / 2
+                    * answers
+                    / (answers + Math.min(MAX_ANSWERS, kind.answers));
+            kind.answers = Math.max(kind.answers, answers / 2);
         }
-        congestion += (Math.min(2 * MAX_RELATIVE_LATENCY, word.congestion) - congestion) / 2;
-        if (word.idleLimitUs > 0) lowerIdleLimit(now, word.idleLimitUs);
+        congestion += (Math.min(2 * LATENCY_CLAMP, message.congestion) - congestion) / 2;
+        if (message.idleLimitUs > 0) lowerIdleLimit(now, message.idleLimitUs);
     }
 
     @Override
     public byte[] exportEstimates() {
-        Estimates k = new Estimates(config);
-        for (int i = 0; i < k.slowness.length; i++) {
-            k.copyFrom(i, kinds.get(config.kinds().get(i)), MAX_ANSWERS);
+        Estimates estimates = new Estimates(config);
+        for (int i = 0; i < estimates.slowness.length; i++) {
+            estimates.copyFrom(i, kinds.get(config.kinds().get(i)), MAX_ANSWERS);
         }
         Arrays.setAll(
-                k.classWorkUs, i -> classWorkUs.get(config.classes().get(i).name()));
-        System.arraycopy(zoneRate, 0, k.zoneRates, 0, zoneRate.length);
-        k.meanWorkUs = meanWorkUs;
-        k.congestion = congestion;
-        return k.encode();
+                estimates.classWorkUs,
+                i -> estimatedWorkUs.get(config.classes().get(i).name()));
+        System.arraycopy(zoneRate, 0, estimates.zoneRates, 0, zoneRate.length);
+        estimates.meanWorkUs = meanWorkUs;
+        estimates.congestion = congestion;
+        return estimates.encode();
     }
 
     @Override
-    public int importEstimates(long now, List<byte[]> told) {
-        int read = (int) told.stream().filter(new Estimates(config)::decode).count();
-        Estimates k = Estimates.median(config, told);
-        if (k == null || kinds.values().stream().anyMatch(kind -> kind.answers >= MAX_ANSWERS)) return read;
-        for (int i = 0; i < k.slowness.length; i++) {
+    public int importEstimates(long now, List<byte[]> exports) {
+        int decoded =
+                (int) exports.stream().filter(new Estimates(config)::decode).count();
+        Estimates estimates = Estimates.median(config, exports);
+        if (estimates == null || kinds.values().stream().anyMatch(kind -> kind.answers >= MAX_ANSWERS)) return decoded;
+        for (int i = 0; i < estimates.slowness.length; i++) {
             ServerKind kind = kinds.get(config.kinds().get(i));
-            if (k.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= k.answers[i]) k.copyTo(i, kind);
+            if (estimates.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= estimates.answers[i])
+                estimates.copyTo(i, kind);
         }
-        for (int i = 0; i < k.classWorkUs.length; i++) {
-            classWorkUs.put(config.classes().get(i).name(), Math.max(1, k.classWorkUs[i]));
+        for (int i = 0; i < estimates.classWorkUs.length; i++) {
+            estimatedWorkUs.put(config.classes().get(i).name(), Math.max(1, estimates.classWorkUs[i]));
         }
-        System.arraycopy(k.zoneRates, 0, zoneRate, 0, zoneRate.length);
-        meanWorkUs = k.meanWorkUs;
-        congestion = k.congestion;
+        System.arraycopy(estimates.zoneRates, 0, zoneRate, 0, zoneRate.length);
+        meanWorkUs = estimates.meanWorkUs;
+        congestion = estimates.congestion;
         peerHeardAt = now;
         peerMessagesSent = Math.max(peerMessagesSent, MAX_ANSWERS);
-        return read;
+        return decoded;
     }
 }
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -100,7 +100,7 @@
 
         boolean queued, finished, streaming;
         /** The pair asked for its load, when, and how many pairs were. */
-        Server first, second;
+        Server firstCandidate, secondCandidate;
 
         long probedAt, nextProbeAt;
         int probedPairs;
@@ -116,7 +116,7 @@
         long refilledAt;
         int inFlight;
         /** Since the demand was last looked at: all that came, and of those in flight's the most at once. */
-        int requested, peakInFlight;
+        int arrivals, peakInFlight;
     }
 
     static final class Attempt {
@@ -130,7 +130,7 @@
         /** What was expected of a server of slowness 1. */
         double expectedStandardUs;
         /** How long the connection had been idle at the send; 0 where it was in use or new. */
-        long idleBeforeUs;
+        long idleUs;
 
         boolean ended, mayHaveRun = true;
         /** It occupies its server: from when that has the whole request until its answer comes. */
--- a/src/main/java/rushproxy/SlowStart.java
+++ b/src/main/java/rushproxy/SlowStart.java
@@ -65,7 +65,7 @@
      * Whether what was sent then may begin only now, its connection having taken its time: it counts
      * in the slot in which it begins.
      */
-    boolean canStartAttempt(long now, Server s, long sentAt, double work, double meanWork) {
+    boolean canStart(long now, Server s, long sentAt, double work, double meanWork) {
         boolean late = now - sentAt > settings.rules().overloadWindowUs() / SAME_SLOT_DIVISOR;
         if (!late || capacityFraction(s, now) >= 1 || slotAt(s, sentAt) == slotAt(s, now)) return true;
         if (!canSend(now, s, work, meanWork)) return false;
--- a/src/main/java/rushproxy/fleet/shared/Verdicts.java
+++ b/src/main/java/rushproxy/fleet/shared/Verdicts.java
@@ -116,7 +116,7 @@
         write(nowUs, said);
         List<Case> cases = judge(nowUs, said);
         long out = cases.stream()
-                .filter(c -> c.verdict.confirmed() && c.verdict.kind().isUnavailable())
+                .filter(c -> c.verdict.confirmed() && c.verdict.evidence().isUnavailable())
                 .count();
         boolean past = out > Math.max(1, (int) (MOST_OUT * servers.size()));
         if (past != panic) {
@@ -130,9 +130,11 @@
         if (panic) {
             cases.replaceAll(c -> new Case(
                     c.server,
-                    holds(c.verdict, c.verdict.confirmed() && !c.verdict.kind().isUnavailable()),
+                    holds(
+                            c.verdict,
+                            c.verdict.confirmed() && !c.verdict.evidence().isUnavailable()),
                     c.words,
-                    c.verdict.kind().isUnavailable() ? "too many at once" : c.why));
+                    c.verdict.evidence().isUnavailable() ? "too many at once" : c.why));
         }
         tell(cases);
         return cases;
@@ -140,7 +142,7 @@
 
     private static Verdict holds(Verdict v, boolean holds) {
         return new Verdict(
-                v.upstream(), v.kind(), v.factor(), v.witnesses(), v.reportedHere(), holds, v.validUntilUs());
+                v.upstream(), v.evidence(), v.factor(), v.witnesses(), v.reportedHere(), holds, v.validUntilUs());
     }
 
     /** All words that count, by server, the own ones with them. */
@@ -299,7 +301,7 @@
             if (c.verdict.confirmed()) {
                 now.add(c.server);
                 if (!held.contains(c.server)) {
-                    host.note(c.server + " is " + name(c.verdict.kind()) + " by word of "
+                    host.note(c.server + " is " + name(c.verdict.evidence()) + " by word of "
                             + String.join(
                                     ", ",
                                     c.words.stream()
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -332,7 +332,7 @@
                         .map(c -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("server", c.server());
-                            one.put("kind", word(c.verdict().kind()));
+                            one.put("kind", word(c.verdict().evidence()));
                             one.put("factor", c.verdict().factor());
                             one.put("holds", c.verdict().confirmed());
                             one.put("why", c.why());
--- a/src/test/java/rushproxy/SilentServerTest.java
+++ b/src/test/java/rushproxy/SilentServerTest.java
@@ -83,7 +83,7 @@
         act(m);
         boolean out = cases.stream()
                 .map(Verdicts.Case::verdict)
-                .anyMatch(v -> v.upstream().equals("s0") && v.kind() == Evidence.SILENT && v.confirmed());
+                .anyMatch(v -> v.upstream().equals("s0") && v.evidence() == Evidence.SILENT && v.confirmed());
         boolean due = sim.us() > SILENT_FROM + FOUND && sim.us() < SILENT_TO;
         if (due && !out || sim.us() > SILENT_TO + FOUND_BACK && out) {
             wrong.add("n" + m + " at " + sim.us() / S + " s: " + cases);
--- a/src/test/java/rushproxy/SlowStartTest.java
+++ b/src/test/java/rushproxy/SlowStartTest.java
@@ -87,28 +87,26 @@
     void whatBeginsInItsSlotOrAtOnceIsNotAskedAgain() {
         long at = slotWith(true, STARTED);
         slowStart.recordSend(at, server, WORK);
-        assertTrue(slowStart.canStartAttempt(at + WINDOW_US / 3, server, at, WORK, WORK));
+        assertTrue(slowStart.canStart(at + WINDOW_US / 3, server, at, WORK, WORK));
         long end = at + WINDOW_US / 2;
-        assertTrue(slowStart.canStartAttempt(end + 1_000, server, end - 1_000, WORK, WORK));
+        assertTrue(slowStart.canStart(end + 1_000, server, end - 1_000, WORK, WORK));
     }
 
     @Test
     void whatBeginsInALaterSlotNeedsRoomThereAndTakesIt() {
         long sentAt = slotWith(true, STARTED);
         long full = slotWith(false, sentAt + WINDOW_US / 2);
-        assertFalse(
-                slowStart.canStartAttempt(full + WINDOW_US / 4, server, sentAt, WORK, WORK), "another sidecar's turn");
+        assertFalse(slowStart.canStart(full + WINDOW_US / 4, server, sentAt, WORK, WORK), "another sidecar's turn");
         long free = slotWith(true, full);
-        assertTrue(slowStart.canStartAttempt(free + WINDOW_US / 4, server, sentAt, WORK, WORK));
+        assertTrue(slowStart.canStart(free + WINDOW_US / 4, server, sentAt, WORK, WORK));
         double sent = server.slowStartWorkUs;
         assertEquals(WORK, sent);
-        assertFalse(
-                slowStart.canStartAttempt(free + WINDOW_US / 4, server, sentAt, 10 * WORK, WORK), "its part is used");
+        assertFalse(slowStart.canStart(free + WINDOW_US / 4, server, sentAt, 10 * WORK, WORK), "its part is used");
     }
 
     @Test
     void aWarmServerIsNotBounded() {
-        assertTrue(slowStart.canStartAttempt(STARTED + RAMP_US, server, STARTED, WORK, WORK));
+        assertTrue(slowStart.canStart(STARTED + RAMP_US, server, STARTED, WORK, WORK));
         assertTrue(slowStart.canSend(STARTED + RAMP_US, server, 100 * WORK, WORK));
     }
 
--- a/src/test/java/rushproxy/fleet/shared/LimitsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/LimitsTest.java
@@ -121,7 +121,7 @@
         for (SharedSim.Node n : sim.nodes()) {
             assertEquals(10, share(n), 1e-6);
             LimitShare orders = n.limits().shares(n.clock(), S).get(1);
-            assertTrue(orders.limitsInFlight()
+            assertTrue(orders.inFlight()
                     && orders.scope() == LimitScope.CLASS
                     && orders.subject().equals("order")
                     && orders.share() == 2);
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -150,7 +150,7 @@
         sees("s3", Evidence.SLOW, 2.5, 20 * S, 1);
         sim.until(10 * S);
         assertEquals(2.5, of(6, "s3").verdict().factor(), 0.1);
-        assertEquals(Evidence.SLOW, of(6, "s3").verdict().kind());
+        assertEquals(Evidence.SLOW, of(6, "s3").verdict().evidence());
     }
 
     @Test
--- a/src/test/java/rushproxy/sidecar/Rig.java
+++ b/src/test/java/rushproxy/sidecar/Rig.java
@@ -305,7 +305,7 @@
 
         @Override
         public void onVerdicts(long now, List<Verdict> verdicts) {
-            verdicts.forEach(v -> told.add("verdict " + v.upstream() + " " + v.kind() + " " + v.confirmed()));
+            verdicts.forEach(v -> told.add("verdict " + v.upstream() + " " + v.evidence() + " " + v.confirmed()));
         }
 
         @Override
