--- a/src/main/java/rushproxy/Balancer.java
+++ b/src/main/java/rushproxy/Balancer.java
@@ -167,9 +167,9 @@
         NOBODY
     }
 
-    /** Word of the fleet plane: {@code liveSidecars} sidecars, itself included, by zone in {@code liveByZone}. From {@code validUntilUs} on it
+    /** Word of the fleet plane: {@code live} sidecars, itself included, by zone in {@code liveByZone}. From {@code validUntilUs} on it
      * counts as never told. */
-    record FleetStatus(int liveSidecars, List<Integer> liveByZone, QuorumState quorum, long validUntilUs) {}
+    record FleetStatus(int live, List<Integer> liveByZone, QuorumState quorum, long validUntilUs) {}
 
     /** What a sidecar has seen of an upstream. All but {@code GOOD} speak against it. */
     enum Evidence {
@@ -188,7 +188,7 @@
         DROPS_IDLE;
 
         /** No request should go there. */
-        public boolean isUnavailable() {
+        public boolean isOutage() {
             return this == SILENT || this == FAILING || this == FAILING_FAST;
         }
     }
--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -19,17 +19,17 @@
     /** Averaging time of this sidecar's request rate: a burst shows within two seconds. */
     private static final double RATE_AVERAGING_US = 2_000_000;
     /** Gain of the speed estimates: about ten answers determine a server's speed. */
-    private static final double ESTIMATE_GAIN = 0.1;
+    private static final double GAIN = 0.1;
     /** Upper bound of a latency relative to its expectation: request costs are heavy-tailed. */
     private static final double LATENCY_CLAMP = 3;
     /** A server this many times faster or slower than its kind is an outlier; above estimation noise. */
     private static final double OUTLIER_RATIO = 1.6;
     /** Estimates without answers for this long decay to the default, so that the server is tried again. */
-    private static final long ESTIMATE_EXPIRY_US = 3_000_000;
+    private static final long ESTIMATE_TTL_US = 3_000_000;
     /** Initial estimate of a server's cores where load is not reported; answers correct it. */
     static final double INITIAL_CORES = 2;
-    /** Square-root staffing: a server takes up to cores + HEADROOM_FACTOR * sqrt(cores) requests. */
-    private static final double HEADROOM_FACTOR = 1;
+    /** Square-root staffing: a server takes up to cores + HEADROOM * sqrt(cores) requests. */
+    private static final double HEADROOM = 1;
     /** A queued request starts at least this many expected service times before its aim. */
     private static final double SLACK_SERVICES = 1.5;
     /** How often the queue is swept for requests that can no longer be answered in time. */
@@ -57,7 +57,7 @@
     /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
-    private static final double BURST_S = 0.25;
+    private static final double LIMIT_BURST_S = 0.25;
     /** Highest price of probing one pair of servers, in points of the score. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005;
 
@@ -97,7 +97,7 @@
         this.actions = actions;
         rng = new SplittableRandom(seed);
         for (RequestClass c : config.classes()) {
-            estimatedWorkUs.put(c.name(), c.aimUs() / 4.0);
+            classWorkUs.put(c.name(), c.aimUs() / 4.0);
             meanWorkUs += c.aimUs() / 4.0 / config.classes().size();
             classes.put(c.name(), c);
             maxWorth = Math.max(maxWorth, c.worth());
@@ -176,7 +176,7 @@
         server.relativeSlowness = 1;
         server.failures = server.ejections = server.rejections = 0;
         server.ejectedUntil = server.fullUntil = server.lastUsedAt = 0;
-        server.lastFailureAt = Long.MIN_VALUE / 2;
+        server.failedAt = Long.MIN_VALUE / 2;
         server.idleDropSuspected = false;
     }
 
@@ -239,10 +239,10 @@
     private List<Server> chooseSubset(long now) {
         zoneShare = zoneShares(now);
         if (!usesSubset) return readyServers;
-        double arcLength = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
-        subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arcLength), 0.9 * subsetTarget);
+        double arc = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
+        subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arc), 0.9 * subsetTarget);
         // Where idle connections are dropped, no more servers than are used often enough to avoid that.
-        double usable = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
+        double busy = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
         Map<List<Object>, List<Server>> groups = new LinkedHashMap<>();
         int[] zoneSize = new int[zoneRate.length];
         for (Server server : readyServers) {
@@ -254,7 +254,7 @@
         for (List<Server> group : groups.values()) {
             Server first = group.get(0);
             double count = zoneShare[first.zoneIndex]
-                    * Math.min(usable, subsetTarget)
+                    * Math.min(busy, subsetTarget)
                     * group.size()
                     / zoneSize[first.zoneIndex];
             // Fractions are rounded by sidecar, so that the average over many sidecars is right.
@@ -293,7 +293,7 @@
     }
 
     // ---- estimators -----------------------------------------------------------------------------
-    private final Map<String, Double> estimatedWorkUs = new HashMap<>();
+    private final Map<String, Double> classWorkUs = new HashMap<>();
     private double meanWorkUs;
     private double ownRate;
     private int arrivals;
@@ -306,8 +306,8 @@
 
     /** Estimated requests at a server: own ones, or the reported load less the work done since, if higher. */
     private double loadOf(Server server, long now) {
-        double completed = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
-        double load = Math.max(server.inFlight, server.reportedLoad - completed);
+        double done = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
+        double load = Math.max(server.inFlight, server.reportedLoad - done);
         while (!server.inFlightAttempts.isEmpty() && !server.inFlightAttempts.peekFirst().running) {
             server.inFlightAttempts.pollFirst();
         }
@@ -334,31 +334,31 @@
     private void updateEstimates(Server server, Attempt attempt, long latencyUs, boolean success, long now) {
         double ratio = latencyUs / Math.max(1, attempt.expectedStandardUs);
         if (!success && ratio < server.slowness()) return;
-        double gain = ESTIMATE_GAIN;
+        double gain = GAIN;
         if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
             // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
             double queueingPart = queueingDelayUs(server, attempt.loadAtSend)
                     / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workUs);
-            double step = ESTIMATE_GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+            double step = GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
             server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
             gain *= 1 - queueingPart;
         }
         // Further time-outs of an ejected server say nothing about congestion.
         if (success || server.ejections == 0) {
-            congestion += ESTIMATE_GAIN * (Math.min(2 * LATENCY_CLAMP, ratio / server.kind.bestSlowness) - congestion);
+            congestion += GAIN * (Math.min(2 * LATENCY_CLAMP, ratio / server.kind.bestSlowness) - congestion);
         }
-        server.lastAnswerAt = now;
-        server.kind.lastAnswerAt = now;
+        server.answeredAt = now;
+        server.kind.answeredAt = now;
         if (success && !isOutlier(server)) {
             // A step towards the observed value: mere sums of steps drift. Early answers teach the kind alone.
-            double kindGain = gain * Math.max(0.25, 1 / ESTIMATE_GAIN / (++server.kind.answers + 1));
-            server.kind.slowness *= 1 + kindGain * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
+            double weight = gain * Math.max(0.25, 1 / GAIN / (++server.kind.answers + 1));
+            server.kind.slowness *= 1 + weight * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
             server.kind.lastTypicalAnswerAt = now;
         }
         server.relativeSlowness *= 1 + gain * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
         if (success && attempt.owner.request.costHintUs() <= 0) {
-            double step = ESTIMATE_GAIN / 4 * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
-            estimatedWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, work) -> work * (1 + step));
+            double step = GAIN / 4 * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+            classWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, w) -> w * (1 + step));
         }
     }
 
@@ -402,15 +402,15 @@
     /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see may
      * only be cut off from it and still send. A cold server's budget is never divided anew by this. */
     int effectiveSidecars(long now) {
-        boolean majority = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
-        return majority ? Math.max(1, Math.min(config.sidecarCount(), fleet.liveSidecars())) : config.sidecarCount();
+        boolean valid = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
+        return valid ? Math.max(1, Math.min(config.sidecarCount(), fleet.live())) : config.sidecarCount();
     }
 
     /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and has
      * had no success since: its failures are the evidence. */
     private void reportSlowOrCold(long now, Server server) {
         if (server.ejections > 0) return;
-        boolean slow = server.relativeSlowness > OUTLIER_RATIO && now - server.lastAnswerAt < PEER_INTERVAL_US,
+        boolean slow = server.relativeSlowness > OUTLIER_RATIO && now - server.answeredAt < PEER_INTERVAL_US,
                 cold = capacityFraction(server, now) < 1;
         if (!slow && !cold || now - server.evidenceSentAt < INFORMATION_TTL_US) return;
         server.evidenceSentAt = now;
@@ -430,20 +430,19 @@
         for (Verdict verdict : verdicts) {
             Server server = servers.get(verdict.upstream());
             if (server == null || now >= verdict.validUntilUs()) continue;
-            boolean succeeds = now - server.lastSuccessAt < OWN_EVIDENCE_MAX_AGE_US
-                    && server.failures == 0
-                    && server.ejections == 0;
-            if (succeeds && verdict.evidence().isUnavailable()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
-            if (verdict.reportedHere() && verdict.evidence().isUnavailable()) witnessedOutages.add(server);
-            boolean knowsBetter = succeeds || verdict.reportedHere() || now - server.lastFailureAt < INFORMATION_TTL_US;
-            if (!verdict.confirmed() || verdict.evidence().isUnavailable() && knowsBetter) continue;
+            boolean works =
+                    now - server.succeededAt < OWN_EVIDENCE_MAX_AGE_US && server.failures == 0 && server.ejections == 0;
+            if (works && verdict.evidence().isOutage()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+            if (verdict.reportedHere() && verdict.evidence().isOutage()) witnessedOutages.add(server);
+            boolean hasOwn = works || verdict.reportedHere() || now - server.failedAt < INFORMATION_TTL_US;
+            if (!verdict.confirmed() || verdict.evidence().isOutage() && hasOwn) continue;
             switch (verdict.evidence()) {
                 case SILENT, FAILING, FAILING_FAST -> {
                     server.ejections = Math.max(1, server.ejections);
                     server.ejectedUntil = Math.max(server.ejectedUntil, verdict.validUntilUs());
                 }
                 case SLOW -> {
-                    if (now - server.lastAnswerAt <= ESTIMATE_EXPIRY_US) continue;
+                    if (now - server.answeredAt <= ESTIMATE_TTL_US) continue;
                     server.relativeSlowness =
                             Math.max(server.relativeSlowness, Math.min(2 * LATENCY_CLAMP, verdict.factor()));
                 }
@@ -473,9 +472,9 @@
         for (LimitUsage usage : limitUsages.values()) {
             demands.put(
                     usage.share.name(),
-                    usage.share.inFlight() ? usage.peakInFlight : usage.arrivals * 1e6 / Math.max(1, elapsedUs));
+                    usage.share.inFlight() ? usage.peak : usage.arrivals * 1e6 / Math.max(1, elapsedUs));
             usage.arrivals = 0;
-            usage.peakInFlight = usage.inFlight;
+            usage.peak = usage.inFlight;
         }
         return demands;
     }
@@ -483,21 +482,21 @@
     /** Takes a place in each applicable limit and returns 0, or takes none and returns the time to wait. */
     private long acquireLimits(long now, ActiveRequest active) {
         List<LimitUsage> applicable = new ArrayList<>();
-        long waitUs = 0;
+        long wait = 0;
         for (LimitUsage usage : limitUsages.values()) {
             if (!usage.share.appliesTo(active.request)) continue;
             applicable.add(usage);
             double cap = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
             usage.arrivals++;
-            usage.peakInFlight = Math.max(usage.peakInFlight, usage.inFlight + 1);
-            if (usage.share.inFlight() && usage.inFlight + 1 > cap)
-                waitUs = Math.max(waitUs, active.requestClass.aimUs());
+            usage.peak = Math.max(usage.peak, usage.inFlight + 1);
+            if (usage.share.inFlight() && usage.inFlight + 1 > cap) wait = Math.max(wait, active.requestClass.aimUs());
             if (usage.share.inFlight()) continue;
-            usage.tokens = Math.min(Math.max(1, cap * BURST_S), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
+            usage.tokens =
+                    Math.min(Math.max(1, cap * LIMIT_BURST_S), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
             usage.refilledAt = now;
-            if (usage.tokens < 1) waitUs = Math.max(waitUs, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
+            if (usage.tokens < 1) wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
         }
-        if (waitUs > 0) return waitUs;
+        if (wait > 0) return wait;
         active.limits = applicable;
         for (LimitUsage usage : applicable) {
             if (!usage.share.inFlight()) usage.tokens--;
@@ -518,7 +517,7 @@
      * negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
     static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
-        double[] share = new double[n];
+        double[] p = new double[n];
         boolean[] included = new boolean[n];
         double capacity = 0;
         for (int i = 0; i < n; i++) {
@@ -528,24 +527,24 @@
         // Rate 0 takes the limit of low rates; above capacity the split stays proportional (Corollary 3).
         double rate = Math.max(capacity * 1e-6, Math.min(lambda, capacity));
         for (int round = 0; round < n; round++) {
-            double rootSum = 0, sum = 0;
+            double roots = 0, sum = 0;
             for (int i = 0; i < n; i++) {
-                rootSum += included[i] ? k[i] * Math.sqrt(mu[i]) : 0;
+                roots += included[i] ? k[i] * Math.sqrt(mu[i]) : 0;
                 sum += included[i] ? k[i] * mu[i] : 0;
             }
             boolean dropped = false;
             for (int i = 0; i < n; i++) {
-                double rootMu = Math.sqrt(mu[i]);
-                share[i] = included[i] ? k[i] * (mu[i] * rootSum - rootMu * sum + rate * rootMu) / (rate * rootSum) : 0;
-                if (share[i] < 0) {
+                double root = Math.sqrt(mu[i]);
+                p[i] = included[i] ? k[i] * (mu[i] * roots - root * sum + rate * root) / (rate * roots) : 0;
+                if (p[i] < 0) {
                     included[i] = false;
                     dropped = true;
                 }
             }
             if (!dropped) break;
         }
-        for (int i = 0; i < n; i++) share[i] = Math.max(0, Math.min(1, share[i]));
-        return share;
+        for (int i = 0; i < n; i++) p[i] = Math.max(0, Math.min(1, p[i]));
+        return p;
     }
 
     /** Updates rate, subset and shares if they are due; called with every request. */
@@ -559,18 +558,18 @@
             subset = chooseSubset(now);
         }
         Map<Object, List<Server>> byKind = new LinkedHashMap<>();
-        for (WeightedTable t : List.of(homeServers, remoteServers, allServers)) t.clear();
+        for (WeightedTable t : List.of(homeTable, awayTable, allTable)) t.clear();
         warmingServers.clear();
         for (ServerKind k : kinds.values()) {
             // A kind estimated as slow gets no requests that could correct that: decay to its best.
-            if (now - k.lastAnswerAt > ESTIMATE_EXPIRY_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
+            if (now - k.answeredAt > ESTIMATE_TTL_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
             k.bestSlowness = k.answers < MAX_ANSWERS ? k.slowness : Math.min(k.slowness, k.bestSlowness * BEST_GROWTH);
         }
         for (Server server : subset) {
             reportSlowOrCold(now, server);
-            if (server.relativeSlowness * OUTLIER_RATIO < 1
-                    && now - server.kind.lastTypicalAnswerAt > ESTIMATE_EXPIRY_US) moveKindTowards(server);
-            if (now - server.lastAnswerAt > ESTIMATE_EXPIRY_US)
+            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.lastTypicalAnswerAt > ESTIMATE_TTL_US)
+                moveKindTowards(server);
+            if (now - server.answeredAt > ESTIMATE_TTL_US)
                 server.relativeSlowness += 0.02 * (1 - server.relativeSlowness);
             Object group = isOutlier(server) || capacityFraction(server, now) < 1 ? server : server.kind;
             byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(server);
@@ -579,21 +578,21 @@
         double[] k = new double[groups.size()], mu = new double[groups.size()];
         for (int i = 0; i < k.length; i++) {
             Server first = groups.get(i).get(0);
-            double totalSlowness = 0;
-            for (Server server : groups.get(i)) totalSlowness += server.slowness();
+            double slowness = 0;
+            for (Server server : groups.get(i)) slowness += server.slowness();
             k[i] = groups.get(i).size();
-            mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (totalSlowness / k[i] * meanWorkUs);
+            mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (slowness / k[i] * meanWorkUs);
         }
-        double[] share = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
+        double[] p = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
         for (int i = 0; i < k.length; i++) {
             for (Server server : groups.get(i)) {
                 // The lower bound only matters when all servers with a share are full.
-                server.share = weightOf(now, server) * Math.max(share[i] / k[i], 1e-6 * mu[i]);
+                server.share = weightOf(now, server) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
                 bestSlowness = Math.min(bestSlowness, server.slowness() / capacityFraction(server, now));
-                allServers.add(server);
-                if (hasCrossZonePrice()) (server.zoneIndex == homeZone ? homeServers : remoteServers).add(server);
+                allTable.add(server);
+                if (hasCrossZonePrice()) (server.zoneIndex == homeZone ? homeTable : awayTable).add(server);
                 boolean eligible = weightOf(now, server) >= 1 || rng.nextDouble() < weightOf(now, server);
-                if (share[i] > 0 && capacityFraction(server, now) < 1 && eligible) warmingServers.add(server);
+                if (p[i] > 0 && capacityFraction(server, now) < 1 && eligible) warmingServers.add(server);
             }
         }
     }
@@ -608,9 +607,9 @@
 
     // ---- pick -----------------------------------------------------------------------------------
     /** The subset by cumulative shares; split into own zone and others where crossing has a price. */
-    private final WeightedTable allServers = new WeightedTable(),
-            homeServers = new WeightedTable(),
-            remoteServers = new WeightedTable();
+    private final WeightedTable allTable = new WeightedTable(),
+            homeTable = new WeightedTable(),
+            awayTable = new WeightedTable();
     /** Warming servers with a share; each is preferred when it is this sidecar's turn to send there. */
     private final List<Server> warmingServers = new ArrayList<>();
 
@@ -619,22 +618,21 @@
      * free core; then any below its bound. Null if the request has to wait. */
     private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
-        Server preferred = null;
-        for (Server server : awaitingFirstAnswer) {
-            if (preferred == null && server.inFlight == 0 && hasRoom(now, active, server, true)) preferred = server;
+        Server due = null;
+        for (Server s : awaitingFirstAnswer) {
+            if (due == null && s.inFlight == 0 && hasRoom(now, active, s, true)) due = s;
         }
-        for (Server server : canTryEjected(active) ? witnessedOutages : List.<Server>of()) {
-            if (preferred == null && server.ejections > 0 && server.inFlight == 0 && hasRoom(now, active, server, true))
-                preferred = server;
+        for (Server s : canTryEjected(active) ? witnessedOutages : List.<Server>of()) {
+            if (due == null && s.ejections > 0 && s.inFlight == 0 && hasRoom(now, active, s, true)) due = s;
         }
-        for (int i = 0; i < warmingServers.size() && preferred == null; i++) {
-            preferred = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
+        for (int i = 0; i < warmingServers.size() && due == null; i++) {
+            due = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
         }
-        if (probesLoad || preferred != null) return probesLoad ? pickByProbes(now, active, preferred) : preferred;
-        boolean home = !loadUnknown || remoteServers.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
-        Server server = pickOfTwo(now, active, home ? homeServers : remoteServers, false);
-        server = server != null ? server : pickOfTwo(now, active, allServers, true);
-        return server != null ? server : pickOfTwo(now, active, allServers, false);
+        if (probesLoad || due != null) return probesLoad ? pickByProbes(now, active, due) : due;
+        boolean home = !loadUnknown || awayTable.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
+        Server s = pickOfTwo(now, active, home ? homeTable : awayTable, false);
+        s = s != null ? s : pickOfTwo(now, active, allTable, true);
+        return s != null ? s : pickOfTwo(now, active, allTable, false);
     }
 
     /** A trial may lose its request: no request makes two, and no unsafe request makes any. */
@@ -653,7 +651,7 @@
     /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core takes
      * the request; after some pairs without, the less loaded with room. A server without an answer by the next
      * sweep is passed over. A request whose pairs had no free core goes to the next server that reports one. */
-    private Server pickByProbes(long now, ActiveRequest active, Server preferred) {
+    private Server pickByProbes(long now, ActiveRequest active, Server due) {
         if (lastReporter != null && active.probedPairs > 0 && hasRoom(now, active, lastReporter, true)) {
             active.firstCandidate = null;
             return lastReporter;
@@ -661,9 +659,9 @@
         if (active.firstCandidate == null) {
             active.firstCandidate = now < active.nextProbeAt
                     ? null
-                    : preferred != null ? preferred : drawServer(now, active, allServers, false, null);
+                    : due != null ? due : drawServer(now, active, allTable, false, null);
             if (active.firstCandidate == null) return null;
-            active.secondCandidate = drawServer(now, active, allServers, false, active.firstCandidate);
+            active.secondCandidate = drawServer(now, active, allTable, false, active.firstCandidate);
             active.probedAt = now;
             probeLoad(now, active.firstCandidate);
             probeLoad(now, active.secondCandidate);
@@ -673,18 +671,18 @@
                 active.secondCandidate == null || active.secondCandidate.loadReportedAt >= active.probedAt;
         boolean answered = active.firstCandidate.loadReportedAt >= active.probedAt && secondAnswered;
         if (!answered && now - active.probedAt < SWEEP_INTERVAL_US) return null;
-        Server chosen = null;
+        Server best = null;
         for (Server candidate : new Server[] {active.firstCandidate, active.secondCandidate}) {
             if (candidate != null
                     && candidate.loadReportedAt >= active.probedAt
                     && hasRoom(now, active, candidate, false)) {
-                chosen = chosen == null ? candidate : lessBusy(now, chosen, candidate);
+                best = best == null ? candidate : lessBusy(now, best, candidate);
             }
         }
         active.firstCandidate = null;
         active.probedPairs++;
-        if (chosen != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, chosen, true))) return chosen;
-        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, preferred);
+        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) return best;
+        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, due);
         // Probes less and less often, to bound what a long wait costs.
         active.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(active.probedPairs - PROBED_PAIRS, 2));
         return null;
@@ -714,13 +712,13 @@
             if (server != excluded && hasRoom(now, active, server, needsFreeCore)) return server;
         }
         int hash = key < 0 ? rng.nextInt() : Long.hashCode(key);
-        double least = Double.MAX_VALUE;
+        double min = Double.MAX_VALUE;
         Server chosen = null;
         for (int i = 0; i < table.size(); i++) {
             Server server = table.get(i);
             double score = -Math.log(((mixHash(server.hash, hash) >>> 1) + 1.0) / (1L << 31)) / server.share;
-            if (server == excluded || score >= least || !hasRoom(now, active, server, needsFreeCore)) continue;
-            least = score;
+            if (server == excluded || score >= min || !hasRoom(now, active, server, needsFreeCore)) continue;
+            min = score;
             chosen = server;
         }
         return chosen;
@@ -746,7 +744,7 @@
         double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
         double load = loadOf(server, now);
         if (needsFreeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
-        return load + 1 <= Math.max(1, cores + HEADROOM_FACTOR * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
+        return load + 1 <= Math.max(1, cores + HEADROOM * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
                 && (!loadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
                         || now + expectedLatencyUs(server, active.workUs, load, now) <= active.usefulUntil);
     }
@@ -764,8 +762,7 @@
         active.requestClass = classes.get(request.requestClass());
         if (active.requestClass == null)
             throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        active.workUs =
-                request.costHintUs() > 0 ? request.costHintUs() : estimatedWorkUs.get(active.requestClass.name());
+        active.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
         meanWorkUs += 0.01 * (Math.min(active.workUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
         active.deadlineAt = now + request.remainingUs();
         long aimUs = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workUs);
@@ -793,7 +790,7 @@
     private double worthPerWork(RequestClass requestClass) {
         return config.worthByWork()
                 ? requestClass.worth()
-                : requestClass.worth() * meanWorkUs / estimatedWorkUs.get(requestClass.name());
+                : requestClass.worth() * meanWorkUs / classWorkUs.get(requestClass.name());
     }
 
     /** First tries of unserved requests by class and key: a client's retry continues its request. */
@@ -980,7 +977,7 @@
         active.limits = List.of();
         if (active.queued) queue.remove(active);
         active.queued = false;
-        if (active.attempts.stream().allMatch(attempt -> attempt.ended)) activeRequests.remove(active.request.id());
+        if (active.attempts.stream().allMatch(a -> a.ended)) activeRequests.remove(active.request.id());
     }
 
     @Override
@@ -1006,7 +1003,7 @@
         closeIdleIfLeaving(server);
         // The server's part of a streamed answer was recorded when the stream started.
         if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK)
-            recordAttemptOutcome(now, server, attempt, outcome, latencyUs);
+            evaluate(now, server, attempt, outcome, latencyUs);
         if (done || active.finished) finish(active);
         else if (!active.streaming) retryOrFinish(now, active);
         dispatchQueue(now, false);
@@ -1025,7 +1022,7 @@
     /** Idle time after which connections are taken to be dropped silently; MAX_VALUE if none are. */
     private long idleLimitUs = Long.MAX_VALUE;
 
-    private long idleLimitSetAt, idleSurvivedUs, idleSurvivedAt;
+    private long idleLimitSetAt, idleOkUs, idleOkAt;
     /** Last drop seen here: only own observations go to peers, or they would circulate for ever. */
     private long ownIdleDropAt = Long.MIN_VALUE / 2;
 
@@ -1036,12 +1033,12 @@
             idleLimitSetAt = now;
             idleLimitUs = idleLimitUs > config.limits().connectionIdleUs() ? Long.MAX_VALUE : idleLimitUs * 2;
         }
-        if (outcome == Outcome.OK && (attempt.idleUs >= idleSurvivedUs || now - idleSurvivedAt > ESTIMATE_EXPIRY_US)) {
-            idleSurvivedUs = attempt.idleUs;
-            idleSurvivedAt = now;
+        if (outcome == Outcome.OK && (attempt.idleUs >= idleOkUs || now - idleOkAt > ESTIMATE_TTL_US)) {
+            idleOkUs = attempt.idleUs;
+            idleOkAt = now;
         }
         // A time-out may mean overload if a connection idle about as long has worked recently,
-        boolean worked = now - idleSurvivedAt < ESTIMATE_EXPIRY_US && attempt.idleUs * 3 / 4 <= idleSurvivedUs;
+        boolean worked = now - idleOkAt < ESTIMATE_TTL_US && attempt.idleUs * 3 / 4 <= idleOkUs;
         // or an outage if one was attributed to the connection before and no success came since.
         boolean attributed = attempt.server.idleDropSuspected;
         boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !worked && !attributed;
@@ -1058,21 +1055,21 @@
         idleLimitSetAt = now;
     }
 
-    private void recordAttemptOutcome(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
+    private void evaluate(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
         if (detectIdleDrop(now, attempt, outcome)) return;
         switch (outcome) {
             case OK -> {
                 if (server.ejections > 0) actions.reportEvidence(server.id, Evidence.GOOD, 1);
                 server.failures = server.ejections = server.rejections = 0;
-                server.lastFailureAt = Long.MIN_VALUE / 2;
+                server.failedAt = Long.MIN_VALUE / 2;
                 server.idleDropSuspected = false;
-                server.lastSuccessAt = now;
+                server.succeededAt = now;
                 awaitingFirstAnswer.remove(server);
                 updateEstimates(server, attempt, latencyUs, true, now);
             }
             case TIMEOUT, CANCELLED -> {
                 // A server that has answered others since the send is slow, not silent.
-                boolean silent = outcome == Outcome.TIMEOUT && server.lastSuccessAt < attempt.sentAt;
+                boolean silent = outcome == Outcome.TIMEOUT && server.succeededAt < attempt.sentAt;
                 updateEstimates(server, attempt, latencyUs, false, now);
                 // A trial of a verdict ejects at its first time-out: no second request is lost.
                 int weight = server.ejections > 0 && witnessedOutages.contains(server) ? MAX_FAILURES : 1;
@@ -1110,7 +1107,7 @@
 
     private void markFull(Server server, long now) {
         server.reportedLoad =
-                Math.max(loadOf(server, now), server.kind.cores + HEADROOM_FACTOR * Math.sqrt(server.kind.cores));
+                Math.max(loadOf(server, now), server.kind.cores + HEADROOM * Math.sqrt(server.kind.cores));
         server.loadReportedAt = now;
     }
 
@@ -1119,8 +1116,8 @@
         if (now < server.ejectedUntil) return;
         boolean ejected = server.failures >= MAX_FAILURES;
         // Once a server is known to fail, each further failure renews the evidence.
-        if (ejected || weight > 0 && server.lastFailureAt >= 0) {
-            server.lastFailureAt = now;
+        if (ejected || weight > 0 && server.failedAt >= 0) {
+            server.failedAt = now;
             actions.reportEvidence(server.id, evidence, server.failures);
         }
         if (!ejected) return;
@@ -1139,8 +1136,7 @@
         // A stream occupies its server to the end; a long answer was complete when it started.
         if (active.requestClass.stream()) return;
         releaseServer(now, active.attempts.get(number));
-        recordAttemptOutcome(
-                now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
+        evaluate(now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
         dispatchQueue(now, false);
     }
 
@@ -1266,7 +1262,7 @@
         }
         Arrays.setAll(
                 estimates.classWorkUs,
-                i -> estimatedWorkUs.get(config.classes().get(i).name()));
+                i -> classWorkUs.get(config.classes().get(i).name()));
         System.arraycopy(zoneRate, 0, estimates.zoneRates, 0, zoneRate.length);
         estimates.meanWorkUs = meanWorkUs;
         estimates.congestion = congestion;
@@ -1275,23 +1271,22 @@
 
     @Override
     public int importEstimates(long now, List<byte[]> exports) {
-        int decoded =
-                (int) exports.stream().filter(new Estimates(config)::decode).count();
+        int read = (int) exports.stream().filter(new Estimates(config)::decode).count();
         Estimates estimates = Estimates.median(config, exports);
-        if (estimates == null || kinds.values().stream().anyMatch(kind -> kind.answers >= MAX_ANSWERS)) return decoded;
+        if (estimates == null || kinds.values().stream().anyMatch(k -> k.answers >= MAX_ANSWERS)) return read;
         for (int i = 0; i < estimates.slowness.length; i++) {
             ServerKind kind = kinds.get(config.kinds().get(i));
             if (estimates.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= estimates.answers[i])
                 estimates.copyTo(i, kind);
         }
         for (int i = 0; i < estimates.classWorkUs.length; i++) {
-            estimatedWorkUs.put(config.classes().get(i).name(), Math.max(1, estimates.classWorkUs[i]));
+            classWorkUs.put(config.classes().get(i).name(), Math.max(1, estimates.classWorkUs[i]));
         }
         System.arraycopy(estimates.zoneRates, 0, zoneRate, 0, zoneRate.length);
         meanWorkUs = estimates.meanWorkUs;
         congestion = estimates.congestion;
         peerHeardAt = now;
         peerMessagesSent = Math.max(peerMessagesSent, MAX_ANSWERS);
-        return decoded;
+        return read;
     }
 }
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -17,7 +17,7 @@
         double bestSlowness = 1;
 
         int answers;
-        long lastAnswerAt;
+        long answeredAt;
         /** Last answer by a server that is no group of its own. */
         long lastTypicalAnswerAt;
 
@@ -42,9 +42,9 @@
         /** How much slower than its kind. */
         double relativeSlowness = 1;
 
-        long lastAnswerAt;
+        long answeredAt;
         /** Its last answer with success; what was sent after it has met silence so far. */
-        long lastSuccessAt;
+        long succeededAt;
 
         double reportedLoad;
         long loadReportedAt = Long.MIN_VALUE / 2;
@@ -55,7 +55,7 @@
 
         long fullUntil;
         /** Own evidence against it of late, and when it was last told on that it is slow or cold. */
-        long lastFailureAt = Long.MIN_VALUE / 2, evidenceSentAt = Long.MIN_VALUE / 2;
+        long failedAt = Long.MIN_VALUE / 2, evidenceSentAt = Long.MIN_VALUE / 2;
         /** Place in the order of the servers that all sidecars share. */
         final int hash;
         /** Its zone's number in the settings, 0 where they do not name it. */
@@ -116,7 +116,7 @@
         long refilledAt;
         int inFlight;
         /** Since the demand was last looked at: all that came, and of those in flight's the most at once. */
-        int arrivals, peakInFlight;
+        int arrivals, peak;
     }
 
     static final class Attempt {
--- a/src/main/java/rushproxy/fleet/shared/Verdicts.java
+++ b/src/main/java/rushproxy/fleet/shared/Verdicts.java
@@ -116,7 +116,7 @@
         write(nowUs, said);
         List<Case> cases = judge(nowUs, said);
         long out = cases.stream()
-                .filter(c -> c.verdict.confirmed() && c.verdict.evidence().isUnavailable())
+                .filter(c -> c.verdict.confirmed() && c.verdict.evidence().isOutage())
                 .count();
         boolean past = out > Math.max(1, (int) (MOST_OUT * servers.size()));
         if (past != panic) {
@@ -132,9 +132,9 @@
                     c.server,
                     holds(
                             c.verdict,
-                            c.verdict.confirmed() && !c.verdict.evidence().isUnavailable()),
+                            c.verdict.confirmed() && !c.verdict.evidence().isOutage()),
                     c.words,
-                    c.verdict.evidence().isUnavailable() ? "too many at once" : c.why));
+                    c.verdict.evidence().isOutage() ? "too many at once" : c.why));
         }
         tell(cases);
         return cases;
@@ -176,13 +176,13 @@
         Map<Long, Integer> accuses = new HashMap<>();
         said.values()
                 .forEach(words -> words.stream()
-                        .filter(w -> w.kind.isUnavailable() || w.kind == Evidence.SLOW)
+                        .filter(w -> w.kind.isOutage() || w.kind == Evidence.SLOW)
                         .forEach(w -> accuses.merge(w.witness, 1, Integer::sum)));
         // The store keeps a few witnesses a server: the own evidence is all here.
         accuses.merge(
                 me,
                 (int) own.values().stream()
-                        .filter(o -> o.kind.isUnavailable() || o.kind == Evidence.SLOW)
+                        .filter(o -> o.kind.isOutage() || o.kind == Evidence.SLOW)
                         .count(),
                 Math::max);
         Set<Long> now = new HashSet<>();
@@ -247,8 +247,7 @@
                     .filter(w -> !suspects.contains(w.witness))
                     .toList();
             long good = words.stream().filter(w -> w.kind == Evidence.GOOD).count();
-            List<Word> against =
-                    words.stream().filter(w -> w.kind.isUnavailable()).toList();
+            List<Word> against = words.stream().filter(w -> w.kind.isOutage()).toList();
             if (against.isEmpty()) {
                 Map<Evidence, List<Word>> of = new TreeMap<>();
                 words.stream()
--- a/src/test/java/rushproxy/sidecar/Rig.java
+++ b/src/test/java/rushproxy/sidecar/Rig.java
@@ -300,7 +300,7 @@
 
         @Override
         public void onFleetStatus(long now, FleetStatus fleet) {
-            told.add("fleet " + fleet.liveSidecars() + " " + fleet.quorum());
+            told.add("fleet " + fleet.live() + " " + fleet.quorum());
         }
 
         @Override
