--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -8,9 +8,9 @@
  *
  * <p>Implements HALO Power-of-D with D = 2: Eq. (4) of the paper splits the fleet's request rate among the
  * server kinds; each request draws two servers with probability p_i/k_i and goes to the less loaded one.
- * Servers that are much faster or slower than their kind form groups of their own. Full servers are not drawn,
- * and requests that find no server wait in a queue. Sends, refusals and failures each pass one method that
- * enforces the protocol rules.
+ * Servers that are much faster or slower than their kind form groups of their own. Full servers are not
+ * drawn, and requests that find no server wait in a queue. Sends, refusals and failures each pass one method
+ * that enforces the protocol rules.
  */
 public final class Policy implements Balancer {
     // ---- constants ------------------------------------------------------------------------------
@@ -34,10 +34,11 @@
     private static final double SLACK_SERVICES = 1.5;
     /** How often the queue is swept for requests that can no longer be answered in time. */
     private static final long SWEEP_INTERVAL_US = 5_000;
-    /** Consecutive failures after which a server is ejected. */
+    /** Consecutive failures after which a server is ejected; further ejections double the duration. */
     private static final int MAX_FAILURES = 2;
 
     private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
     /** Interval of peer messages, each of which goes to one peer. */
     private static final long PEER_INTERVAL_US = 500_000;
     /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
@@ -47,19 +48,21 @@
     /** Weight of this sidecar's own rate in the averaged zone rates, applied with each message sent. */
     private static final double OWN_RATE_GAIN = 0.03;
     /** Congestion above which requests are shed where load is unknown; at 1.5 times that, nearly all are. */
-    private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2;
+    private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2, MAX_SHED_FRACTION = 0.95;
     /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
     private static final double BEST_GROWTH = 1.0005;
 
     private static final long INFORMATION_TTL_US = 5_000_000;
     /** A success more recent than this outweighs the fleet's verdict on a server. */
-    private static final long OWN_EVIDENCE_MAX_AGE_US = 2_000_000;
+    private static final long OWN_EVIDENCE_LIFETIME_US = 2_000_000;
     /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
-    private static final double LIMIT_BURST_S = 0.25;
+    private static final double LIMIT_BURST_SECONDS = 0.25;
     /** Highest price of probing one pair of servers, in points of the score. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005;
+    /** Price from which requests keep to their zone, in points of the score. */
+    private static final double MIN_CROSS_ZONE_PRICE = 0.02;
 
     private static final long MIN_DISCOVERY_RETRY_US = 500_000;
     /** A probe that is unanswered for this long may be repeated. */
@@ -70,6 +73,8 @@
     private static final int SIDECARS_PER_SERVER = 10;
     /** Minimum number of servers in a sidecar's subset: the two drawn and one spare. */
     private static final int MIN_SUBSET_SIZE = 3;
+    /** Multiples of these, modulo 1, are spread evenly: the reciprocals of the golden and the plastic ratio. */
+    private static final double RING_STEP = 0.6180339887498949, ROUNDING_STEP = 0.7548776662466927;
     /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_IDLE_LIMIT_US = 200_000;
 
@@ -175,7 +180,7 @@
     private static void resetAfterRestart(Server server) {
         server.relativeSlowness = 1;
         server.failures = server.ejections = server.rejections = 0;
-        server.ejectedUntil = server.fullUntil = server.lastUsedAt = 0;
+        server.ejectedUntil = server.assumedFullUntil = server.lastUsedAt = 0;
         server.failedAt = Long.MIN_VALUE / 2;
         server.idleDropSuspected = false;
     }
@@ -184,7 +189,7 @@
     private final Set<String> cordoned = new HashSet<>();
 
     private final Map<String, Long> uncordonedAt = new HashMap<>();
-    /** Uncordoned, without a success since: operators expect traffic though a cold server's share may be 0. */
+    /** Uncordoned, no success since: operators expect traffic, though a cold server's share may be 0. */
     private final Set<Server> awaitingFirstAnswer = new LinkedHashSet<>();
 
     @Override
@@ -222,7 +227,7 @@
     }
 
     private boolean hasCrossZonePrice() {
-        return config.prices().crossZone() >= 0.02;
+        return config.prices().crossZone() >= MIN_CROSS_ZONE_PRICE;
     }
 
     /** Mixing hash that separates adjacent inputs; the same in every sidecar. */
@@ -232,10 +237,10 @@
         return hash ^ hash >>> 16;
     }
 
-    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of the ring that all
-     * sidecars share, from a start derived from the sidecar's index. It is even over servers, and a change of
+    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of a ring that all
+     * sidecars share, starting at a point that depends on the index. Servers are used evenly, and a change of
      * the list moves one server at most. The length follows this sidecar's part of the fleet's rate, so that
-     * a server has as many sidecars at all fleet sizes. */
+     * each server has the same number of sidecars at all fleet sizes. */
     private List<Server> chooseSubset(long now) {
         zoneShare = zoneShares(now);
         if (!usesSubset) return readyServers;
@@ -246,21 +251,17 @@
         Map<List<Object>, List<Server>> groups = new LinkedHashMap<>();
         int[] zoneSize = new int[zoneRate.length];
         for (Server server : readyServers) {
-            groups.computeIfAbsent(List.of(server.zoneIndex, server.listing.kind()), k -> new ArrayList<>())
+            groups.computeIfAbsent(List.of(server.zone, server.listing.kind()), k -> new ArrayList<>())
                     .add(server);
-            zoneSize[server.zoneIndex]++;
+            zoneSize[server.zone]++;
         }
         List<Server> chosen = new ArrayList<>();
         for (List<Server> group : groups.values()) {
             Server first = group.get(0);
-            double count = zoneShare[first.zoneIndex]
-                    * Math.min(busy, subsetTarget)
-                    * group.size()
-                    / zoneSize[first.zoneIndex];
+            double count = zoneShare[first.zone] * Math.min(busy, subsetTarget) * group.size() / zoneSize[first.zone];
             // Fractions are rounded by sidecar, so that the average over many sidecars is right.
             count = Math.max(
-                    first.zoneIndex == homeZone ? 1 : 0,
-                    Math.floor(count + config.sidecarIndex() * 0.7548776662466927 % 1));
+                    first.zone == homeZone ? 1 : 0, Math.floor(count + config.sidecarIndex() * ROUNDING_STEP % 1));
             for (int i = 0; i < Math.min(count, group.size()); i++) {
                 chosen.add(group.get((i + subsetStart(group.size())) % group.size()));
             }
@@ -272,7 +273,7 @@
      * price, all to the own zone except its excess over its part of the fleet. Without peer data all stay. */
     private double[] zoneShares(long now) {
         double[] share = new double[zoneRate.length];
-        for (Server server : readyServers) share[server.zoneIndex] += 1.0 / readyServers.size();
+        for (Server server : readyServers) share[server.zone] += 1.0 / readyServers.size();
         if (!hasCrossZonePrice() || !loadUnknown) return share;
         double sum =
                 now - peerHeardAt < INFORMATION_TTL_US ? Arrays.stream(zoneRate).sum() : 0;
@@ -287,9 +288,8 @@
         return share;
     }
 
-    /** Successive multiples of the golden ratio spread evenly over a ring of any size. */
     private int subsetStart(int places) {
-        return (int) (config.sidecarIndex() * 0.6180339887498949 % 1 * places);
+        return (int) (config.sidecarIndex() * RING_STEP % 1 * places);
     }
 
     // ---- estimators -----------------------------------------------------------------------------
@@ -338,7 +338,7 @@
         if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
             // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
             double queueingPart = queueingDelayUs(server, attempt.loadAtSend)
-                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workUs);
+                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workTimeUs);
             double step = GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
             server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
             gain *= 1 - queueingPart;
@@ -350,10 +350,10 @@
         server.answeredAt = now;
         server.kind.answeredAt = now;
         if (success && !isOutlier(server)) {
-            // A step towards the observed value: mere sums of steps drift. Early answers teach the kind alone.
+            // A step towards the observed value, since sums of steps drift. Early answers move the kind alone.
             double weight = gain * Math.max(0.25, 1 / GAIN / (++server.kind.answers + 1));
             server.kind.slowness *= 1 + weight * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
-            server.kind.lastTypicalAnswerAt = now;
+            server.kind.updatedAt = now;
         }
         server.relativeSlowness *= 1 + gain * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
         if (success && attempt.owner.request.costHintUs() <= 0) {
@@ -399,15 +399,15 @@
         fleet = status;
     }
 
-    /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see may
-     * only be cut off from it and still send. A cold server's budget is never divided anew by this. */
+    /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see
+     * may be cut off from it alone and still send. A cold server's budget is not divided by this number. */
     int effectiveSidecars(long now) {
         boolean valid = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
         return valid ? Math.max(1, Math.min(config.sidecarCount(), fleet.live())) : config.sidecarCount();
     }
 
-    /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and has
-     * had no success since: its failures are the evidence. */
+    /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and
+     * has had no success since: its failures are the evidence. */
     private void reportSlowOrCold(long now, Server server) {
         if (server.ejections > 0) return;
         boolean slow = server.relativeSlowness > OUTLIER_RATIO && now - server.answeredAt < PEER_INTERVAL_US,
@@ -421,17 +421,18 @@
     /** Out by a verdict that this sidecar witnessed: tried when the ejection ends, to renew the evidence. */
     private final List<Server> witnessedOutages = new ArrayList<>();
 
-    /** Recent own evidence outweighs a verdict and is reported where it contradicts one. A server that is out by
-     * a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their own
-     * ejection ends, since a verdict lapses without new evidence. None makes a cold server warmer. */
+    /** Recent own evidence outweighs a verdict and is reported where it contradicts one. A server that is out
+     * by a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their own
+     * ejection ends, since a verdict lapses without new evidence. No verdict makes a cold server warmer. */
     @Override
     public void onVerdicts(long now, List<Verdict> verdicts) {
         witnessedOutages.clear();
         for (Verdict verdict : verdicts) {
             Server server = servers.get(verdict.upstream());
             if (server == null || now >= verdict.validUntilUs()) continue;
-            boolean works =
-                    now - server.succeededAt < OWN_EVIDENCE_MAX_AGE_US && server.failures == 0 && server.ejections == 0;
+            boolean works = now - server.succeededAt < OWN_EVIDENCE_LIFETIME_US
+                    && server.failures == 0
+                    && server.ejections == 0;
             if (works && verdict.evidence().isOutage()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
             if (verdict.reportedHere() && verdict.evidence().isOutage()) witnessedOutages.add(server);
             boolean hasOwn = works || verdict.reportedHere() || now - server.failedAt < INFORMATION_TTL_US;
@@ -446,7 +447,9 @@
                     server.relativeSlowness =
                             Math.max(server.relativeSlowness, Math.min(2 * LATENCY_CLAMP, verdict.factor()));
                 }
-                case COLD -> server.startedAt = Math.max(server.startedAt, now - (long) (verdict.factor() * 1e6));
+                case COLD -> {
+                    server.startedAt = Math.max(server.startedAt, now - (long) (verdict.factor() * 1e6));
+                }
                 case DROPS_IDLE -> lowerIdleLimit(now, (long) (verdict.factor() * 1_000));
             }
         }
@@ -489,12 +492,16 @@
             double cap = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
             usage.arrivals++;
             usage.peak = Math.max(usage.peak, usage.inFlight + 1);
-            if (usage.share.inFlight() && usage.inFlight + 1 > cap) wait = Math.max(wait, active.requestClass.aimUs());
+            if (usage.share.inFlight() && usage.inFlight + 1 > cap) {
+                wait = Math.max(wait, active.requestClass.aimUs());
+            }
             if (usage.share.inFlight()) continue;
-            usage.tokens =
-                    Math.min(Math.max(1, cap * LIMIT_BURST_S), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
+            usage.tokens = Math.min(
+                    Math.max(1, cap * LIMIT_BURST_SECONDS), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
             usage.refilledAt = now;
-            if (usage.tokens < 1) wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
+            if (usage.tokens < 1) {
+                wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
+            }
         }
         if (wait > 0) return wait;
         active.limits = applicable;
@@ -513,8 +520,8 @@
     /** Ratio of latencies to those of uncongested servers, beyond what own requests explain. */
     private double congestion = 1;
 
-    /** Solves Eq. (4) for groups of {@code k} servers of speed {@code mu} at rate {@code lambda}. Groups with a
-     * negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
+    /** Solves Eq. (4) for groups of {@code k} servers of speed {@code mu} at rate {@code lambda}. Groups with
+     * a negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
     static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
         double[] p = new double[n];
@@ -560,14 +567,16 @@
         Map<Object, List<Server>> byKind = new LinkedHashMap<>();
         for (WeightedTable t : List.of(homeTable, awayTable, allTable)) t.clear();
         warmingServers.clear();
-        for (ServerKind k : kinds.values()) {
+        for (ServerKind kind : kinds.values()) {
             // A kind estimated as slow gets no requests that could correct that: decay to its best.
-            if (now - k.answeredAt > ESTIMATE_TTL_US) k.slowness += 0.02 * (k.bestSlowness - k.slowness);
-            k.bestSlowness = k.answers < MAX_ANSWERS ? k.slowness : Math.min(k.slowness, k.bestSlowness * BEST_GROWTH);
+            if (now - kind.answeredAt > ESTIMATE_TTL_US) kind.slowness += 0.02 * (kind.bestSlowness - kind.slowness);
+            kind.bestSlowness = kind.answers < MAX_ANSWERS
+                    ? kind.slowness
+                    : Math.min(kind.slowness, kind.bestSlowness * BEST_GROWTH);
         }
         for (Server server : subset) {
             reportSlowOrCold(now, server);
-            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.lastTypicalAnswerAt > ESTIMATE_TTL_US)
+            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.updatedAt > ESTIMATE_TTL_US)
                 moveKindTowards(server);
             if (now - server.answeredAt > ESTIMATE_TTL_US)
                 server.relativeSlowness += 0.02 * (1 - server.relativeSlowness);
@@ -590,15 +599,15 @@
                 server.share = weightOf(now, server) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
                 bestSlowness = Math.min(bestSlowness, server.slowness() / capacityFraction(server, now));
                 allTable.add(server);
-                if (hasCrossZonePrice()) (server.zoneIndex == homeZone ? homeTable : awayTable).add(server);
+                if (hasCrossZonePrice()) (server.zone == homeZone ? homeTable : awayTable).add(server);
                 boolean eligible = weightOf(now, server) >= 1 || rng.nextDouble() < weightOf(now, server);
                 if (p[i] > 0 && capacityFraction(server, now) < 1 && eligible) warmingServers.add(server);
             }
         }
     }
 
-    /** A faster server attracts all requests of its kind, so the others' speed is unknown: their estimates move
-     * towards it until they are tried again. Its own estimate stays. */
+    /** A faster server attracts all requests of its kind, so the others' speed is unknown: their estimates
+     * move towards it until they are tried again. Its own estimate stays. */
     private static void moveKindTowards(Server fast) {
         double slowness = fast.slowness();
         fast.kind.slowness += 0.02 * (slowness - fast.kind.slowness);
@@ -613,9 +622,9 @@
     /** Warming servers with a share; each is preferred when it is this sidecar's turn to send there. */
     private final List<Server> warmingServers = new ArrayList<>();
 
-    /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers of
-     * the own zone come first (or, for the part that a crowded zone gives away, the others); then any with a
-     * free core; then any below its bound. Null if the request has to wait. */
+    /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers
+     * of the own zone come first (or, for the part that a crowded zone gives away, the others); then any with a
+     * free core; then any below its bound. Servers due for a request precede. Null if it has to wait. */
     private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
         Server due = null;
@@ -648,9 +657,9 @@
 
     private Server lastReporter;
 
-    /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core takes
-     * the request; after some pairs without, the less loaded with room. A server without an answer by the next
-     * sweep is passed over. A request whose pairs had no free core goes to the next server that reports one. */
+    /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core
+     * takes the request; after some pairs without, the less loaded with room. A server with no answer by the
+     * next sweep is passed over. A request whose pairs had no free core takes the next one reported. */
     private Server pickByProbes(long now, ActiveRequest active, Server due) {
         if (lastReporter != null && active.probedPairs > 0 && hasRoom(now, active, lastReporter, true)) {
             active.firstCandidate = null;
@@ -681,7 +690,9 @@
         }
         active.firstCandidate = null;
         active.probedPairs++;
-        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) return best;
+        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) {
+            return best;
+        }
         if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, due);
         // Probes less and less often, to bound what a long wait costs.
         active.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(active.probedPairs - PROBED_PAIRS, 2));
@@ -701,9 +712,9 @@
         return rng.nextDouble() * (first.share + second.share) < first.share ? first : second;
     }
 
-    /** Draws a server with room by its share: with a key always the same one, which may have cached its data, and
-     * over all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at
-     * random, by a few draws from the table and then a scan of all of it. */
+    /** Draws a server with room by its share: for a key always the same one, which has seen it before, and over
+     * all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at random,
+     * by a few draws from the table and then a scan of all of it. */
     private Server drawServer(
             long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore, Server excluded) {
         long key = active.request.key();
@@ -738,7 +749,7 @@
     }
 
     private boolean hasRoom(long now, ActiveRequest active, Server server, boolean needsFreeCore) {
-        if (now < Math.max(server.ejectedUntil, server.fullUntil) || server.ejections > 0 && server.inFlight > 0)
+        if (now < Math.max(server.ejectedUntil, server.assumedFullUntil) || server.ejections > 0 && server.inFlight > 0)
             return false;
         if (weightOf(now, server) <= 0 || !canSend(now, active, server)) return false;
         double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
@@ -746,7 +757,7 @@
         if (needsFreeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
         return load + 1 <= Math.max(1, cores + HEADROOM * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
                 && (!loadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
-                        || now + expectedLatencyUs(server, active.workUs, load, now) <= active.usefulUntil);
+                        || now + expectedLatencyUs(server, active.workTimeUs, load, now) <= active.usefulUntil);
     }
 
     // ---- admission ------------------------------------------------------------------------------
@@ -761,11 +772,12 @@
         active.request = request;
         active.requestClass = classes.get(request.requestClass());
         if (active.requestClass == null)
-            throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        active.workUs = request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
-        meanWorkUs += 0.01 * (Math.min(active.workUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
+            throw new IllegalArgumentException("unknown request class '" + request.requestClass() + "'");
+        active.workTimeUs =
+                request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
+        meanWorkUs += 0.01 * (Math.min(active.workTimeUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
         active.deadlineAt = now + request.remainingUs();
-        long aimUs = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workUs);
+        long aimUs = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workTimeUs);
         active.firstTriedAt = firstTriedAt(now, active);
         active.usefulUntil = Math.min(
                 active.deadlineAt,
@@ -777,7 +789,8 @@
             refuse(active, Math.max(waitUs, active.requestClass.aimUs() / 2));
             return;
         }
-        if (loadUnknown && rng.nextDouble() < Math.min(0.95, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
+        if (loadUnknown
+                && rng.nextDouble() < Math.min(MAX_SHED_FRACTION, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
             refuseOrFail(now, active);
             return;
         }
@@ -855,25 +868,30 @@
     private long latestStart(ActiveRequest active) {
         // A request whose servers are being probed is not waiting yet: no slack is subtracted.
         long forAim = (long) (active.usefulUntil
-                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.workUs));
+                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.workTimeUs));
         return Math.min(active.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
     }
 
     private void refuseOrFail(long now, ActiveRequest active) {
-        if (canRefuse(active)) refuse(active, config.limits().retryAfter() ? active.requestClass.aimUs() / 2 : 0);
-        else fail(active);
+        if (canRefuse(active)) {
+            refuse(active, config.limits().retryAfter() ? active.requestClass.aimUs() / 2 : 0);
+        } else {
+            fail(active);
+        }
     }
 
     // ---- attempts -------------------------------------------------------------------------------
     /** Whether the protocol rules allow this attempt; checked at every send, whatever chose the server. */
     boolean canSend(long now, ActiveRequest active, Server server) {
         boolean exhausted = active.attempts.size() >= config.limits().maxAttempts();
-        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || exhausted) return false;
+        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || exhausted) {
+            return false;
+        }
         for (Attempt attempt : active.attempts) {
             if (!attempt.ended && !config.limits().secondCopies()) return false;
             if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
         }
-        return slowStart.canSend(now, server, active.workUs, meanWorkUs);
+        return slowStart.canSend(now, server, active.workTimeUs, meanWorkUs);
     }
 
     /** During connection setup the deduplication window or the cold server's slot may have ended. */
@@ -886,14 +904,13 @@
         for (Attempt earlier : active.attempts.subList(0, number)) {
             if (earlier.mayHaveRun && !canRepeat(active.requestClass, earlier, server, now)) return false;
         }
-        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.workUs, meanWorkUs);
+        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.workTimeUs, meanWorkUs);
     }
 
-    private static boolean canRepeat(RequestClass requestClass, Attempt earlier, Server server, long now) {
-        if (requestClass.semantics() == Semantics.SAFE) return true;
-        if (requestClass.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= requestClass.dedupWindowUs())
-            return false;
-        return switch (requestClass.dedupScope()) {
+    private static boolean canRepeat(RequestClass spec, Attempt earlier, Server server, long now) {
+        if (spec.semantics() == Semantics.SAFE) return true;
+        if (spec.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= spec.dedupWindowUs()) return false;
+        return switch (spec.dedupScope()) {
             case ALL -> true;
             case ZONE -> server.listing.zone().equals(earlier.listing.zone());
             case CELL -> server.listing.cell() == earlier.listing.cell();
@@ -908,19 +925,19 @@
     }
 
     private void send(long now, ActiveRequest active, Server server) {
-        if (!canSend(now, active, server)) throw new IllegalStateException("a send against the rules");
+        if (!canSend(now, active, server)) throw new IllegalStateException("attempt violates the protocol rules");
         Attempt attempt = new Attempt();
         attempt.owner = active;
         attempt.server = server;
         attempt.listing = server.listing;
         attempt.sentAt = now;
         attempt.loadAtSend = server.reportedLoad > server.inFlight ? loadOf(server, now) : server.inFlight;
-        attempt.expectedUs = expectedLatencyUs(server, active.workUs, attempt.loadAtSend, now);
+        attempt.expectedUs = expectedLatencyUs(server, active.workTimeUs, attempt.loadAtSend, now);
         attempt.expectedStandardUs = attempt.expectedUs / server.slowness();
         active.attempts.add(attempt);
         // The rest of a body may take long to arrive: the server starts when it has all of it.
         if (!active.request.bodyIncomplete()) occupyServer(now, attempt);
-        slowStart.recordSend(now, server, active.workUs);
+        slowStart.recordSend(now, server, active.workTimeUs);
         boolean serverBusy = server.inFlight > (attempt.running ? 1 : 0);
         attempt.idleUs = serverBusy || now - server.lastUsedAt > config.limits().connectionIdleUs()
                 ? 0
@@ -957,7 +974,7 @@
     }
 
     private void refuse(ActiveRequest active, long retryAfterUs) {
-        if (!canRefuse(active)) throw new IllegalStateException("a refusal against the rules");
+        if (!canRefuse(active)) throw new IllegalStateException("refusal of a request that may have run");
         finish(active);
         rememberUnserved(active);
         actions.refuse(
@@ -984,7 +1001,7 @@
     public void onOutcome(
             long now,
             String requestId,
-            int number,
+            int index,
             String upstream,
             Outcome outcome,
             long latencyUs,
@@ -993,9 +1010,8 @@
         ActiveRequest active = activeRequests.get(requestId);
         recordLoadReport(upstream, report, now);
         lastReporter = active == null ? null : lastReporter;
-        if (active == null || number < 0 || number >= active.attempts.size() || active.attempts.get(number).ended)
-            return;
-        Attempt attempt = active.attempts.get(number);
+        if (active == null || index < 0 || index >= active.attempts.size() || active.attempts.get(index).ended) return;
+        Attempt attempt = active.attempts.get(index);
         Server server = attempt.server;
         attempt.ended = true;
         attempt.mayHaveRun = outcome.mayHaveRun;
@@ -1026,8 +1042,8 @@
     /** Last drop seen here: only own observations go to peers, or they would circulate for ever. */
     private long ownIdleDropAt = Long.MIN_VALUE / 2;
 
-    /** Whether a failure is attributed to a connection that was idle for long, not to its server. Connections idle
-     * about as long are then closed before use, until no such failure has been seen for a while. */
+    /** Whether a failure is attributed to a connection that was idle for long, not to its server. Connections
+     * idle about as long are then closed before use, until no such failure has been seen for a while. */
     private boolean detectIdleDrop(long now, Attempt attempt, Outcome outcome) {
         if (idleLimitUs < Long.MAX_VALUE && now - idleLimitSetAt > IDLE_LIMIT_TTL_US) {
             idleLimitSetAt = now;
@@ -1097,12 +1113,13 @@
     }
 
     /** Without load reports a rejecting server is full of others' requests, however few own ones it holds: no
-     * failure, and it has room once it has completed one. Each consecutive rejection doubles the wait, since a
+     * failure, and it has room once it completes one. Each consecutive rejection doubles the wait, since a
      * server that is shutting down never has room again. */
     private void backOff(Server server, long now) {
         double completionUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
-        server.fullUntil =
-                now + (long) Math.min(MIN_EJECTION_US, completionUs * (1 << Math.min(server.rejections++, 10)));
+        server.assumedFullUntil = now
+                + (long) Math.min(
+                        MIN_EJECTION_US, completionUs * (1 << Math.min(server.rejections++, MAX_BACKOFF_DOUBLINGS)));
     }
 
     private void markFull(Server server, long now) {
@@ -1122,7 +1139,8 @@
         }
         if (!ejected) return;
         server.failures = 0;
-        server.ejectedUntil = now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, 10));
+        server.ejectedUntil =
+                now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, MAX_BACKOFF_DOUBLINGS));
         server.ejections++;
     }
 
@@ -1208,8 +1226,8 @@
     private long peerHeardAt = Long.MIN_VALUE / 2;
     private int peerMessagesSent;
 
-    /** Gossip averaging, one peer at a time, so that the cost does not grow with the fleet. Received rates are
-     * averaged with the own state, which leans to the own rate, so that all come near the fleet's mean. */
+    /** Gossip averaging with one peer at a time, so that the cost does not grow with the fleet. Each sidecar
+     * averages received rates with its own and moves towards its own rate: all come near the fleet's mean. */
     private void sendPeerMessage(long now) {
         updateOwnRate(now);
         peerMessagesSent++;
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -19,7 +19,7 @@
         int answers;
         long answeredAt;
         /** Last answer by a server that is no group of its own. */
-        long lastTypicalAnswerAt;
+        long updatedAt;
 
         ServerKind(double cores) {
             this.cores = cores;
@@ -53,13 +53,13 @@
         /** Requests turned away in a row, and until when it is taken to be full after the last of them. */
         int rejections;
 
-        long fullUntil;
+        long assumedFullUntil;
         /** Own evidence against it of late, and when it was last told on that it is slow or cold. */
         long failedAt = Long.MIN_VALUE / 2, evidenceSentAt = Long.MIN_VALUE / 2;
         /** Place in the order of the servers that all sidecars share. */
         final int hash;
         /** Its zone's number in the settings, 0 where they do not name it. */
-        final int zoneIndex;
+        final int zone;
         /** Last send or outcome; 0: no connection was used yet. */
         long lastUsedAt;
         /** A failure was laid to a connection long idle, and it has not answered since. */
@@ -79,7 +79,7 @@
             id = entry.id();
             this.kind = kind;
             this.hash = order;
-            this.zoneIndex = Math.max(0, zone);
+            this.zone = Math.max(0, zone);
             this.listing = entry;
         }
     }
@@ -88,7 +88,7 @@
     static final class ActiveRequest {
         Request request;
         RequestClass requestClass;
-        double workUs;
+        double workTimeUs;
         /** When its client asked for it first, in this try or an earlier one. */
         long firstTriedAt;
         /** An answer after this is worth nothing more than a late one. */
