--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -26,6 +26,8 @@
     private static final double OUTLIER_RATIO = 1.6;
     /** Estimates without answers for this long decay to the default, so that the server is tried again. */
     private static final long ESTIMATE_TTL_US = 3_000_000;
+    /** Part of its deviation that an expired estimate loses with each solution. */
+    private static final double DECAY = 0.02;
     /** Initial estimate of a server's cores where load is not reported; answers correct it. */
     static final double INITIAL_CORES = 2;
     /** Square-root staffing: a server takes up to cores + HEADROOM * sqrt(cores) requests. */
@@ -38,7 +40,7 @@
     private static final int MAX_FAILURES = 2;
 
     private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
-    private static final int MAX_BACKOFF_DOUBLINGS = 10;
+    private static final int MAX_DOUBLINGS = 10;
     /** Interval of peer messages, each of which goes to one peer. */
     private static final long PEER_INTERVAL_US = 500_000;
     /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
@@ -48,7 +50,7 @@
     /** Weight of this sidecar's own rate in the averaged zone rates, applied with each message sent. */
     private static final double OWN_RATE_GAIN = 0.03;
     /** Congestion above which requests are shed where load is unknown; at 1.5 times that, nearly all are. */
-    private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2, MAX_SHED_FRACTION = 0.95;
+    private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2, MAX_SHED = 0.95;
     /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
     private static final double BEST_GROWTH = 1.0005;
 
@@ -58,7 +60,7 @@
     /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
-    private static final double LIMIT_BURST_SECONDS = 0.25;
+    private static final double RATE_LIMIT_BURST_SECONDS = 0.25;
     /** Highest price of probing one pair of servers, in points of the score. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005;
     /** Price from which requests keep to their zone, in points of the score. */
@@ -73,8 +75,8 @@
     private static final int SIDECARS_PER_SERVER = 10;
     /** Minimum number of servers in a sidecar's subset: the two drawn and one spare. */
     private static final int MIN_SUBSET_SIZE = 3;
-    /** Multiples of these, modulo 1, are spread evenly: the reciprocals of the golden and the plastic ratio. */
-    private static final double RING_STEP = 0.6180339887498949, ROUNDING_STEP = 0.7548776662466927;
+    /** Multiples of these modulo 1 are spread evenly: reciprocals of the golden and the plastic ratio. */
+    private static final double RING_STEP = 0.6180339887498949, ROUND_STEP = 0.7548776662466927;
     /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_IDLE_LIMIT_US = 200_000;
 
@@ -92,7 +94,7 @@
     /** Connections and handshakes have a price: the sidecar uses only a few servers of each kind. */
     private final boolean usesSubset;
     /** Load is not probed, and with this many sidecars own requests say little about a server's load. */
-    private final boolean loadUnknown;
+    private final boolean serverLoadUnknown;
 
     private final double initialCores;
     private final int homeZone;
@@ -117,7 +119,7 @@
             this.actions.startTimer("tell", PEER_INTERVAL_US / 2 + rng.nextLong(PEER_INTERVAL_US));
         }
         slowStart = new SlowStart(config, probesLoad);
-        loadUnknown = !probesLoad && config.sidecarCount() > SIDECARS_PER_SERVER;
+        serverLoadUnknown = !probesLoad && config.sidecarCount() > SIDECARS_PER_SERVER;
         initialCores = config.loadReporting() == LoadReporting.NONE ? INITIAL_CORES : 1;
         for (String k : config.kinds()) kinds.put(k, new ServerKind(initialCores));
         homeZone = Math.max(0, config.zones().indexOf(config.zone()));
@@ -141,21 +143,21 @@
         updateSubscription(now, listKind);
         if (listKind == ListKind.FAILED) return;
         Set<String> listed = new HashSet<>();
-        for (Upstream upstream : entries) {
-            listed.add(upstream.id());
-            Server server = servers.get(upstream.id());
+        for (Upstream entry : entries) {
+            listed.add(entry.id());
+            Server server = servers.get(entry.id());
             if (server == null) {
-                ServerKind kind = kinds.computeIfAbsent(upstream.kind(), k -> new ServerKind(initialCores));
+                ServerKind kind = kinds.computeIfAbsent(entry.kind(), k -> new ServerKind(initialCores));
                 server = new Server(
-                        upstream,
+                        entry,
                         kind,
-                        config.zones().indexOf(upstream.zone()),
-                        mixHash(upstream.id().hashCode(), 0));
-                servers.put(upstream.id(), server);
-            } else if (upstream.startedUs() != server.listing.startedUs()) {
+                        config.zones().indexOf(entry.zone()),
+                        mixHash(entry.id().hashCode(), 0));
+                servers.put(entry.id(), server);
+            } else if (entry.startedUs() != server.listing.startedUs()) {
                 resetAfterRestart(server);
             }
-            server.listing = upstream;
+            server.listing = entry;
             updateReadiness(server);
         }
         for (Server server : servers.values()) {
@@ -237,10 +239,9 @@
         return hash ^ hash >>> 16;
     }
 
-    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of a ring that all
-     * sidecars share, starting at a point that depends on the index. Servers are used evenly, and a change of
-     * the list moves one server at most. The length follows this sidecar's part of the fleet's rate, so that
-     * each server has the same number of sidecars at all fleet sizes. */
+    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of a common ring,
+     * placed by the sidecar's index. Servers are used evenly, and a change of the list moves one at most. The
+     * length follows the own part of the fleet's rate: a server has as many sidecars at all fleet sizes. */
     private List<Server> chooseSubset(long now) {
         zoneShare = zoneShares(now);
         if (!usesSubset) return readyServers;
@@ -249,20 +250,19 @@
         // Where idle connections are dropped, no more servers than are used often enough to avoid that.
         double busy = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
         Map<List<Object>, List<Server>> groups = new LinkedHashMap<>();
-        int[] zoneSize = new int[zoneRate.length];
+        int[] size = new int[zoneRate.length];
         for (Server server : readyServers) {
             groups.computeIfAbsent(List.of(server.zone, server.listing.kind()), k -> new ArrayList<>())
                     .add(server);
-            zoneSize[server.zone]++;
+            size[server.zone]++;
         }
         List<Server> chosen = new ArrayList<>();
         for (List<Server> group : groups.values()) {
             Server first = group.get(0);
-            double count = zoneShare[first.zone] * Math.min(busy, subsetTarget) * group.size() / zoneSize[first.zone];
+            double n = zoneShare[first.zone] * Math.min(busy, subsetTarget) * group.size() / size[first.zone];
             // Fractions are rounded by sidecar, so that the average over many sidecars is right.
-            count = Math.max(
-                    first.zone == homeZone ? 1 : 0, Math.floor(count + config.sidecarIndex() * ROUNDING_STEP % 1));
-            for (int i = 0; i < Math.min(count, group.size()); i++) {
+            n = Math.max(first.zone == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * ROUND_STEP % 1));
+            for (int i = 0; i < Math.min(n, group.size()); i++) {
                 chosen.add(group.get((i + subsetStart(group.size())) % group.size()));
             }
         }
@@ -274,7 +274,7 @@
     private double[] zoneShares(long now) {
         double[] share = new double[zoneRate.length];
         for (Server server : readyServers) share[server.zone] += 1.0 / readyServers.size();
-        if (!hasCrossZonePrice() || !loadUnknown) return share;
+        if (!hasCrossZonePrice() || !serverLoadUnknown) return share;
         double sum =
                 now - peerHeardAt < INFORMATION_TTL_US ? Arrays.stream(zoneRate).sum() : 0;
         double stay = sum <= 0 ? 1 : Math.min(1, share[homeZone] * sum / Math.max(1e-9, zoneRate[homeZone]));
@@ -322,7 +322,7 @@
     }
 
     /** Expected latency on a server that holds {@code held} other requests, first come first served. */
-    private double expectedLatencyUs(Server server, double work, double held, long now) {
+    private double expectedUs(Server server, double work, double held, long now) {
         return server.slowness() * (work + queueingDelayUs(server, held)) / capacityFraction(server, now);
     }
 
@@ -338,7 +338,7 @@
         if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
             // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
             double queueingPart = queueingDelayUs(server, attempt.loadAtSend)
-                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.workTimeUs);
+                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.serviceUs);
             double step = GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
             server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
             gain *= 1 - queueingPart;
@@ -350,7 +350,7 @@
         server.answeredAt = now;
         server.kind.answeredAt = now;
         if (success && !isOutlier(server)) {
-            // A step towards the observed value, since sums of steps drift. Early answers move the kind alone.
+            // A step towards the observed value: sums of steps drift. Early answers move the kind alone.
             double weight = gain * Math.max(0.25, 1 / GAIN / (++server.kind.answers + 1));
             server.kind.slowness *= 1 + weight * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
             server.kind.updatedAt = now;
@@ -422,8 +422,8 @@
     private final List<Server> witnessedOutages = new ArrayList<>();
 
     /** Recent own evidence outweighs a verdict and is reported where it contradicts one. A server that is out
-     * by a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their own
-     * ejection ends, since a verdict lapses without new evidence. No verdict makes a cold server warmer. */
+     * by a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their
+     * own ejection ends, as a verdict lapses without new evidence. No verdict makes a cold server warmer. */
     @Override
     public void onVerdicts(long now, List<Verdict> verdicts) {
         witnessedOutages.clear();
@@ -497,8 +497,9 @@
             }
             if (usage.share.inFlight()) continue;
             usage.tokens = Math.min(
-                    Math.max(1, cap * LIMIT_BURST_SECONDS), usage.tokens + cap * (now - usage.refilledAt) / 1e6);
-            usage.refilledAt = now;
+                    Math.max(1, cap * RATE_LIMIT_BURST_SECONDS),
+                    usage.tokens + cap * (now - usage.tokensRefilledAt) / 1e6);
+            usage.tokensRefilledAt = now;
             if (usage.tokens < 1) {
                 wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
             }
@@ -569,7 +570,9 @@
         warmingServers.clear();
         for (ServerKind kind : kinds.values()) {
             // A kind estimated as slow gets no requests that could correct that: decay to its best.
-            if (now - kind.answeredAt > ESTIMATE_TTL_US) kind.slowness += 0.02 * (kind.bestSlowness - kind.slowness);
+            if (now - kind.answeredAt > ESTIMATE_TTL_US) {
+                kind.slowness += DECAY * (kind.bestSlowness - kind.slowness);
+            }
             kind.bestSlowness = kind.answers < MAX_ANSWERS
                     ? kind.slowness
                     : Math.min(kind.slowness, kind.bestSlowness * BEST_GROWTH);
@@ -579,7 +582,7 @@
             if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.updatedAt > ESTIMATE_TTL_US)
                 moveKindTowards(server);
             if (now - server.answeredAt > ESTIMATE_TTL_US)
-                server.relativeSlowness += 0.02 * (1 - server.relativeSlowness);
+                server.relativeSlowness += DECAY * (1 - server.relativeSlowness);
             Object group = isOutlier(server) || capacityFraction(server, now) < 1 ? server : server.kind;
             byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(server);
         }
@@ -610,7 +613,7 @@
      * move towards it until they are tried again. Its own estimate stays. */
     private static void moveKindTowards(Server fast) {
         double slowness = fast.slowness();
-        fast.kind.slowness += 0.02 * (slowness - fast.kind.slowness);
+        fast.kind.slowness += DECAY * (slowness - fast.kind.slowness);
         fast.relativeSlowness = slowness / fast.kind.slowness;
     }
 
@@ -623,8 +626,8 @@
     private final List<Server> warmingServers = new ArrayList<>();
 
     /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers
-     * of the own zone come first (or, for the part that a crowded zone gives away, the others); then any with a
-     * free core; then any below its bound. Servers due for a request precede. Null if it has to wait. */
+     * of the own zone come first (or, for the part that a crowded zone gives away, the others); then any with
+     * a free core; then any below its bound. Servers due for a request precede. Null if it has to wait. */
     private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
         Server due = null;
@@ -638,7 +641,7 @@
             due = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
         }
         if (probesLoad || due != null) return probesLoad ? pickByProbes(now, active, due) : due;
-        boolean home = !loadUnknown || awayTable.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
+        boolean home = !serverLoadUnknown || awayTable.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
         Server s = pickOfTwo(now, active, home ? homeTable : awayTable, false);
         s = s != null ? s : pickOfTwo(now, active, allTable, true);
         return s != null ? s : pickOfTwo(now, active, allTable, false);
@@ -681,11 +684,9 @@
         boolean answered = active.firstCandidate.loadReportedAt >= active.probedAt && secondAnswered;
         if (!answered && now - active.probedAt < SWEEP_INTERVAL_US) return null;
         Server best = null;
-        for (Server candidate : new Server[] {active.firstCandidate, active.secondCandidate}) {
-            if (candidate != null
-                    && candidate.loadReportedAt >= active.probedAt
-                    && hasRoom(now, active, candidate, false)) {
-                best = best == null ? candidate : lessBusy(now, best, candidate);
+        for (Server s : new Server[] {active.firstCandidate, active.secondCandidate}) {
+            if (s != null && s.loadReportedAt >= active.probedAt && hasRoom(now, active, s, false)) {
+                best = best == null ? s : lessBusy(now, best, s);
             }
         }
         active.firstCandidate = null;
@@ -712,9 +713,9 @@
         return rng.nextDouble() * (first.share + second.share) < first.share ? first : second;
     }
 
-    /** Draws a server with room by its share: for a key always the same one, which has seen it before, and over
-     * all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at random,
-     * by a few draws from the table and then a scan of all of it. */
+    /** Draws a server with room by its share: for a key always the same one, which has seen it before, and
+     * over all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at
+     * random, by a few draws from the table and then a scan of all of it. */
     private Server drawServer(
             long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore, Server excluded) {
         long key = active.request.key();
@@ -749,15 +750,17 @@
     }
 
     private boolean hasRoom(long now, ActiveRequest active, Server server, boolean needsFreeCore) {
-        if (now < Math.max(server.ejectedUntil, server.assumedFullUntil) || server.ejections > 0 && server.inFlight > 0)
+        if (now < Math.max(server.ejectedUntil, server.assumedFullUntil)
+                || server.ejections > 0 && server.inFlight > 0) {
             return false;
+        }
         if (weightOf(now, server) <= 0 || !canSend(now, active, server)) return false;
         double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
         double load = loadOf(server, now);
         if (needsFreeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
         return load + 1 <= Math.max(1, cores + HEADROOM * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
-                && (!loadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
-                        || now + expectedLatencyUs(server, active.workTimeUs, load, now) <= active.usefulUntil);
+                && (!serverLoadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
+                        || now + expectedUs(server, active.serviceUs, load, now) <= active.usefulUntil);
     }
 
     // ---- admission ------------------------------------------------------------------------------
@@ -773,24 +776,23 @@
         active.requestClass = classes.get(request.requestClass());
         if (active.requestClass == null)
             throw new IllegalArgumentException("unknown request class '" + request.requestClass() + "'");
-        active.workTimeUs =
+        active.serviceUs =
                 request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
-        meanWorkUs += 0.01 * (Math.min(active.workTimeUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
+        meanWorkUs += 0.01 * (Math.min(active.serviceUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
         active.deadlineAt = now + request.remainingUs();
-        long aimUs = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.workTimeUs);
+        long aim = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.serviceUs);
         active.firstTriedAt = firstTriedAt(now, active);
         active.usefulUntil = Math.min(
-                active.deadlineAt,
-                active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aimUs);
-        active.queueOrder = now + (long) (aimUs * maxWorth / worthPerWork(active.requestClass));
+                active.deadlineAt, active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aim);
+        active.queueOrder = now + (long) (aim * maxWorth / worthPerWork(active.requestClass));
         activeRequests.put(request.id(), active);
         long waitUs = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
         if (waitUs > 0) {
             refuse(active, Math.max(waitUs, active.requestClass.aimUs() / 2));
             return;
         }
-        if (loadUnknown
-                && rng.nextDouble() < Math.min(MAX_SHED_FRACTION, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
+        if (serverLoadUnknown
+                && rng.nextDouble() < Math.min(MAX_SHED, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
             refuseOrFail(now, active);
             return;
         }
@@ -800,10 +802,8 @@
     }
 
     /** Worth per unit of work: with too little capacity, the most valuable work goes first. */
-    private double worthPerWork(RequestClass requestClass) {
-        return config.worthByWork()
-                ? requestClass.worth()
-                : requestClass.worth() * meanWorkUs / classWorkUs.get(requestClass.name());
+    private double worthPerWork(RequestClass spec) {
+        return config.worthByWork() ? spec.worth() : spec.worth() * meanWorkUs / classWorkUs.get(spec.name());
     }
 
     /** First tries of unserved requests by class and key: a client's retry continues its request. */
@@ -868,7 +868,7 @@
     private long latestStart(ActiveRequest active) {
         // A request whose servers are being probed is not waiting yet: no slack is subtracted.
         long forAim = (long) (active.usefulUntil
-                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.workTimeUs));
+                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.serviceUs));
         return Math.min(active.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
     }
 
@@ -891,7 +891,7 @@
             if (!attempt.ended && !config.limits().secondCopies()) return false;
             if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
         }
-        return slowStart.canSend(now, server, active.workTimeUs, meanWorkUs);
+        return slowStart.canSend(now, server, active.serviceUs, meanWorkUs);
     }
 
     /** During connection setup the deduplication window or the cold server's slot may have ended. */
@@ -901,19 +901,19 @@
         if (active == null || active.finished || number >= active.attempts.size()) return false;
         Attempt attempt = active.attempts.get(number);
         Server server = attempt.server;
-        for (Attempt earlier : active.attempts.subList(0, number)) {
-            if (earlier.mayHaveRun && !canRepeat(active.requestClass, earlier, server, now)) return false;
+        for (Attempt prior : active.attempts.subList(0, number)) {
+            if (prior.mayHaveRun && !canRepeat(active.requestClass, prior, server, now)) return false;
         }
-        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.workTimeUs, meanWorkUs);
+        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.serviceUs, meanWorkUs);
     }
 
-    private static boolean canRepeat(RequestClass spec, Attempt earlier, Server server, long now) {
+    private static boolean canRepeat(RequestClass spec, Attempt prior, Server server, long now) {
         if (spec.semantics() == Semantics.SAFE) return true;
-        if (spec.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= spec.dedupWindowUs()) return false;
+        if (spec.semantics() == Semantics.UNSAFE || now - prior.sentAt >= spec.dedupWindowUs()) return false;
         return switch (spec.dedupScope()) {
             case ALL -> true;
-            case ZONE -> server.listing.zone().equals(earlier.listing.zone());
-            case CELL -> server.listing.cell() == earlier.listing.cell();
+            case ZONE -> server.listing.zone().equals(prior.listing.zone());
+            case CELL -> server.listing.cell() == prior.listing.cell();
         };
     }
 
@@ -925,19 +925,19 @@
     }
 
     private void send(long now, ActiveRequest active, Server server) {
-        if (!canSend(now, active, server)) throw new IllegalStateException("attempt violates the protocol rules");
+        if (!canSend(now, active, server)) throw new IllegalStateException("attempt violates protocol rules");
         Attempt attempt = new Attempt();
         attempt.owner = active;
         attempt.server = server;
         attempt.listing = server.listing;
         attempt.sentAt = now;
         attempt.loadAtSend = server.reportedLoad > server.inFlight ? loadOf(server, now) : server.inFlight;
-        attempt.expectedUs = expectedLatencyUs(server, active.workTimeUs, attempt.loadAtSend, now);
+        attempt.expectedUs = expectedUs(server, active.serviceUs, attempt.loadAtSend, now);
         attempt.expectedStandardUs = attempt.expectedUs / server.slowness();
         active.attempts.add(attempt);
         // The rest of a body may take long to arrive: the server starts when it has all of it.
         if (!active.request.bodyIncomplete()) occupyServer(now, attempt);
-        slowStart.recordSend(now, server, active.workTimeUs);
+        slowStart.recordSend(now, server, active.serviceUs);
         boolean serverBusy = server.inFlight > (attempt.running ? 1 : 0);
         attempt.idleUs = serverBusy || now - server.lastUsedAt > config.limits().connectionIdleUs()
                 ? 0
@@ -1116,10 +1116,9 @@
      * failure, and it has room once it completes one. Each consecutive rejection doubles the wait, since a
      * server that is shutting down never has room again. */
     private void backOff(Server server, long now) {
-        double completionUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
-        server.assumedFullUntil = now
-                + (long) Math.min(
-                        MIN_EJECTION_US, completionUs * (1 << Math.min(server.rejections++, MAX_BACKOFF_DOUBLINGS)));
+        double waitUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.assumedFullUntil =
+                now + (long) Math.min(MIN_EJECTION_US, waitUs * (1 << Math.min(server.rejections++, MAX_DOUBLINGS)));
     }
 
     private void markFull(Server server, long now) {
@@ -1140,7 +1139,7 @@
         if (!ejected) return;
         server.failures = 0;
         server.ejectedUntil =
-                now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, MAX_BACKOFF_DOUBLINGS));
+                now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, MAX_DOUBLINGS));
         server.ejections++;
     }
 
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -88,7 +88,7 @@
     static final class ActiveRequest {
         Request request;
         RequestClass requestClass;
-        double workTimeUs;
+        double serviceUs;
         /** When its client asked for it first, in this try or an earlier one. */
         long firstTriedAt;
         /** An answer after this is worth nothing more than a late one. */
@@ -113,7 +113,7 @@
     static final class LimitUsage {
         LimitShare share;
         double tokens = 1;
-        long refilledAt;
+        long tokensRefilledAt;
         int inFlight;
         /** Since the demand was last looked at: all that came, and of those in flight's the most at once. */
         int arrivals, peak;
