--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -26,7 +26,7 @@
     private static final double OUTLIER_RATIO = 1.6;
     /** Estimates without answers for this long decay to the default, so that the server is tried again. */
     private static final long ESTIMATE_TTL_US = 3_000_000;
-    /** Part of its deviation that an expired estimate loses with each solution. */
+
     private static final double DECAY = 0.02;
     /** Initial estimate of a server's cores where load is not reported; answers correct it. */
     static final double INITIAL_CORES = 2;
@@ -37,50 +37,41 @@
     /** How often the queue is swept for requests that can no longer be answered in time. */
     private static final long SWEEP_INTERVAL_US = 5_000;
     /** Consecutive failures after which a server is ejected; further ejections double the duration. */
-    private static final int MAX_FAILURES = 2;
+    private static final int MAX_FAILURES = 2, MAX_DOUBLINGS = 10;
 
     private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
-    private static final int MAX_DOUBLINGS = 10;
-    /** Interval of peer messages, each of which goes to one peer. */
-    private static final long PEER_INTERVAL_US = 500_000;
+    /** Interval of peer messages, and how long peer data and evidence about servers count as current. */
+    private static final long PEER_INTERVAL_US = 500_000, INFORMATION_TTL_US = 5_000_000;
     /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
     private static final int MAX_ANSWERS = 40;
     /** Unserved requests remembered for their retries: a few seconds' worth under overload. */
     private static final int MAX_UNSERVED = 2_000;
     /** Weight of this sidecar's own rate in the averaged zone rates, applied with each message sent. */
     private static final double OWN_RATE_GAIN = 0.03;
-    /** Congestion above which requests are shed where load is unknown; at 1.5 times that, nearly all are. */
+    /** Requests are shed above this congestion where load is unknown; at 1.5 times that, nearly all. */
     private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2, MAX_SHED = 0.95;
     /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
     private static final double BEST_GROWTH = 1.0005;
-
-    private static final long INFORMATION_TTL_US = 5_000_000;
     /** A success more recent than this outweighs the fleet's verdict on a server. */
     private static final long OWN_EVIDENCE_LIFETIME_US = 2_000_000;
     /** An error this many times faster than an answer would attract further requests to its server. */
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
     private static final double RATE_LIMIT_BURST_SECONDS = 0.25;
-    /** Highest price of probing one pair of servers, in points of the score. */
-    private static final double MAX_PROBE_PAIR_PRICE = 0.005;
-    /** Price from which requests keep to their zone, in points of the score. */
-    private static final double MIN_CROSS_ZONE_PRICE = 0.02;
-
-    private static final long MIN_DISCOVERY_RETRY_US = 500_000;
-    /** A probe that is unanswered for this long may be repeated. */
-    private static final long PROBE_TIMEOUT_US = 100_000;
+    /** In points of the score: above these, pairs are not probed and requests keep to their zone. */
+    private static final double MAX_PROBE_PAIR_PRICE = 0.005, MIN_CROSS_ZONE_PRICE = 0.02;
+
+    private static final long MIN_DISCOVERY_RETRY_US = 500_000, PROBE_TIMEOUT_US = 100_000;
     /** Random draws before the whole table is scanned; pairs probed before a short queue is accepted. */
     private static final int RANDOM_DRAWS = 4, PROBED_PAIRS = 3;
     /** Sidecars that share a server where connections have a price: enough to even out their rates. */
     private static final int SIDECARS_PER_SERVER = 10;
     /** Minimum number of servers in a sidecar's subset: the two drawn and one spare. */
     private static final int MIN_SUBSET_SIZE = 3;
-    /** Multiples of these modulo 1 are spread evenly: reciprocals of the golden and the plastic ratio. */
-    private static final double RING_STEP = 0.6180339887498949, ROUND_STEP = 0.7548776662466927;
+    /** Reciprocals of the golden and the plastic ratio: their multiples modulo 1 are spread evenly. */
+    private static final double GOLDEN = 0.6180339887498949, PLASTIC = 0.7548776662466927;
     /** A connection idle for less than this is not suspected of having been dropped. */
-    private static final long MIN_IDLE_LIMIT_US = 200_000;
-
-    private static final long IDLE_LIMIT_TTL_US = 5_000_000;
+    private static final long MIN_IDLE_LIMIT_US = 200_000, IDLE_LIMIT_TTL_US = 5_000_000;
 
     private final Settings config;
     private final Actions actions;
@@ -213,7 +204,6 @@
         onServersChanged(now);
     }
 
-    /** Derives from the list and the cordons whether the server may be used and when it started. */
     private void updateReadiness(Server server) {
         server.startedAt = Math.max(server.listing.startedUs(), uncordonedAt.getOrDefault(server.id, 0L));
         server.ready = server.listing.state() == UpstreamState.READY && !cordoned.contains(server.id);
@@ -239,7 +229,7 @@
         return hash ^ hash >>> 16;
     }
 
-    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of a common ring,
+    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of one ring,
      * placed by the sidecar's index. Servers are used evenly, and a change of the list moves one at most. The
      * length follows the own part of the fleet's rate: a server has as many sidecars at all fleet sizes. */
     private List<Server> chooseSubset(long now) {
@@ -261,7 +251,7 @@
             Server first = group.get(0);
             double n = zoneShare[first.zone] * Math.min(busy, subsetTarget) * group.size() / size[first.zone];
             // Fractions are rounded by sidecar, so that the average over many sidecars is right.
-            n = Math.max(first.zone == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * ROUND_STEP % 1));
+            n = Math.max(first.zone == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * PLASTIC % 1));
             for (int i = 0; i < Math.min(n, group.size()); i++) {
                 chosen.add(group.get((i + subsetStart(group.size())) % group.size()));
             }
@@ -289,13 +279,12 @@
     }
 
     private int subsetStart(int places) {
-        return (int) (config.sidecarIndex() * RING_STEP % 1 * places);
+        return (int) (config.sidecarIndex() * GOLDEN % 1 * places);
     }
 
     // ---- estimators -----------------------------------------------------------------------------
     private final Map<String, Double> classWorkUs = new HashMap<>();
-    private double meanWorkUs;
-    private double ownRate;
+    private double meanWorkUs, ownRate;
     private int arrivals;
     private long rateUpdatedAt;
     private final long startedAt;
@@ -386,7 +375,6 @@
         rateUpdatedAt = now;
     }
 
-    /** Estimated request rate of the fleet: the sidecars' average rate times their number. */
     private double fleetRate(long now) {
         double mean = Arrays.stream(zoneRate).sum();
         return effectiveSidecars(now) * (mean > 0 ? mean : ownRate);
@@ -468,7 +456,6 @@
         }
     }
 
-    /** By limit, the requests per second or the peak number in flight since the last call. */
     @Override
     public Map<String, Double> collectLimitDemands(long elapsedUs) {
         Map<String, Double> demands = new LinkedHashMap<>();
@@ -513,7 +500,7 @@
         return 0;
     }
 
-    // ---- split ----------------------------------------------------------------------------------
+    // ---- shares ---------------------------------------------------------------------------------
     private long sharesSolvedAt;
     /** Lowest slowness of the servers in use, at their current capacity. */
     private double bestSlowness = 1;
@@ -555,7 +542,6 @@
         return p;
     }
 
-    /** Updates rate, subset and shares if they are due; called with every request. */
     private void refreshShares(long now) {
         if (now - sharesSolvedAt < SHARES_INTERVAL_US) return;
         updateOwnRate(now);
@@ -579,10 +565,12 @@
         }
         for (Server server : subset) {
             reportSlowOrCold(now, server);
-            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.updatedAt > ESTIMATE_TTL_US)
+            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.updatedAt > ESTIMATE_TTL_US) {
                 moveKindTowards(server);
-            if (now - server.answeredAt > ESTIMATE_TTL_US)
+            }
+            if (now - server.answeredAt > ESTIMATE_TTL_US) {
                 server.relativeSlowness += DECAY * (1 - server.relativeSlowness);
+            }
             Object group = isOutlier(server) || capacityFraction(server, now) < 1 ? server : server.kind;
             byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(server);
         }
@@ -647,7 +635,7 @@
         return s != null ? s : pickOfTwo(now, active, allTable, false);
     }
 
-    /** A trial may lose its request: no request makes two, and no unsafe request makes any. */
+    /** A send to an ejected server may lose the request: none makes two such sends, an unsafe one none. */
     private static boolean canTryEjected(ActiveRequest active) {
         return active.attempts.isEmpty() && active.requestClass.semantics() != Semantics.UNSAFE;
     }
@@ -658,6 +646,7 @@
         return second == null ? first : lessBusy(now, first, second);
     }
 
+    /** The server whose load report is being handled. */
     private Server lastReporter;
 
     /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core
@@ -740,8 +729,8 @@
 
     /** Weights only scale the shares: none makes a server ready, warm or trusted. */
     @Override
-    public void onServerWeights(long now, ServerWeights told) {
-        weights = told;
+    public void onServerWeights(long now, ServerWeights newWeights) {
+        weights = newWeights;
         sharesSolvedAt = now - SHARES_INTERVAL_US;
     }
 
@@ -774,16 +763,18 @@
         ActiveRequest active = new ActiveRequest();
         active.request = request;
         active.requestClass = classes.get(request.requestClass());
-        if (active.requestClass == null)
+        if (active.requestClass == null) {
             throw new IllegalArgumentException("unknown request class '" + request.requestClass() + "'");
+        }
         active.serviceUs =
                 request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
         meanWorkUs += 0.01 * (Math.min(active.serviceUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
         active.deadlineAt = now + request.remainingUs();
         long aim = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.serviceUs);
-        active.firstTriedAt = firstTriedAt(now, active);
+        active.firstRequestedAt = firstRequestedAt(now, active);
         active.usefulUntil = Math.min(
-                active.deadlineAt, active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstTriedAt + aim);
+                active.deadlineAt,
+                active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstRequestedAt + aim);
         active.queueOrder = now + (long) (aim * maxWorth / worthPerWork(active.requestClass));
         activeRequests.put(request.id(), active);
         long waitUs = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
@@ -816,15 +807,16 @@
         }
     };
 
-    private long firstTriedAt(long now, ActiveRequest active) {
+    private long firstRequestedAt(long now, ActiveRequest active) {
         if (!active.request.clientRetry() || active.request.key() < 0) return now;
         Long first = unserved.remove(List.of(active.requestClass.name(), active.request.key()));
         return first != null && now - first < active.requestClass.deadlineUs() ? first : now;
     }
 
     private void rememberUnserved(ActiveRequest active) {
-        if (active.request.key() >= 0)
-            unserved.put(List.of(active.requestClass.name(), active.request.key()), active.firstTriedAt);
+        if (active.request.key() >= 0) {
+            unserved.put(List.of(active.requestClass.name(), active.request.key()), active.firstRequestedAt);
+        }
     }
 
     private void enqueue(long now, ActiveRequest active) {
@@ -919,9 +911,7 @@
 
     /** A refusal states that nothing has run, in any class: requests that may have run are failed. */
     private boolean canRefuse(ActiveRequest active) {
-        return !active.finished
-                && !active.streaming
-                && active.attempts.stream().noneMatch(attempt -> attempt.mayHaveRun);
+        return !active.finished && !active.streaming && active.attempts.stream().noneMatch(a -> a.mayHaveRun);
     }
 
     private void send(long now, ActiveRequest active, Server server) {
@@ -1001,7 +991,7 @@
     public void onOutcome(
             long now,
             String requestId,
-            int index,
+            int attemptIndex,
             String upstream,
             Outcome outcome,
             long latencyUs,
@@ -1010,16 +1000,22 @@
         ActiveRequest active = activeRequests.get(requestId);
         recordLoadReport(upstream, report, now);
         lastReporter = active == null ? null : lastReporter;
-        if (active == null || index < 0 || index >= active.attempts.size() || active.attempts.get(index).ended) return;
-        Attempt attempt = active.attempts.get(index);
+        if (active == null
+                || attemptIndex < 0
+                || attemptIndex >= active.attempts.size()
+                || active.attempts.get(attemptIndex).ended) {
+            return;
+        }
+        Attempt attempt = active.attempts.get(attemptIndex);
         Server server = attempt.server;
         attempt.ended = true;
         attempt.mayHaveRun = outcome.mayHaveRun;
         releaseServer(now, attempt);
         closeIdleIfLeaving(server);
         // The server's part of a streamed answer was recorded when the stream started.
-        if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK)
+        if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK) {
             evaluate(now, server, attempt, outcome, latencyUs);
+        }
         if (done || active.finished) finish(active);
         else if (!active.streaming) retryOrFinish(now, active);
         dispatchQueue(now, false);
@@ -1038,6 +1034,7 @@
     /** Idle time after which connections are taken to be dropped silently; MAX_VALUE if none are. */
     private long idleLimitUs = Long.MAX_VALUE;
 
+    /** When that was set; the longest recent idle time of a connection that worked, and when that was. */
     private long idleLimitSetAt, idleOkUs, idleOkAt;
     /** Last drop seen here: only own observations go to peers, or they would circulate for ever. */
     private long ownIdleDropAt = Long.MIN_VALUE / 2;
@@ -1116,9 +1113,10 @@
      * failure, and it has room once it completes one. Each consecutive rejection doubles the wait, since a
      * server that is shutting down never has room again. */
     private void backOff(Server server, long now) {
-        double waitUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
-        server.assumedFullUntil =
-                now + (long) Math.min(MIN_EJECTION_US, waitUs * (1 << Math.min(server.rejections++, MAX_DOUBLINGS)));
+        double completionTimeUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.assumedFullUntil = now
+                + (long) Math.min(
+                        MIN_EJECTION_US, completionTimeUs * (1 << Math.min(server.rejections++, MAX_DOUBLINGS)));
     }
 
     private void markFull(Server server, long now) {
@@ -1218,7 +1216,7 @@
     }
 
     // ---- peers ----------------------------------------------------------------------------------
-    /** Average request rate of the fleet's sidecars, as a sum of one part for each of their zones. */
+    /** Average request rate per sidecar, split by the sidecar's zone: the sum is the fleet's average. */
     private final double[] zoneRate;
 
     private double[] zoneShare;
@@ -1249,7 +1247,7 @@
         actions.startTimer("tell", PEER_INTERVAL_US);
     }
 
-    /** Speeds are weighted by their numbers of answers. A false message has little, passing effect. */
+    /** Speeds weigh by their numbers of answers. A false message has little effect; later ones undo it. */
     @Override
     public void onPeerMessage(long now, int peer, byte[] bytes) {
         boolean known = peer >= 0 && peer < config.sidecarCount() && peer != config.sidecarIndex();
@@ -1293,8 +1291,9 @@
         if (estimates == null || kinds.values().stream().anyMatch(k -> k.answers >= MAX_ANSWERS)) return read;
         for (int i = 0; i < estimates.slowness.length; i++) {
             ServerKind kind = kinds.get(config.kinds().get(i));
-            if (estimates.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= estimates.answers[i])
+            if (estimates.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= estimates.answers[i]) {
                 estimates.copyTo(i, kind);
+            }
         }
         for (int i = 0; i < estimates.classWorkUs.length; i++) {
             classWorkUs.put(config.classes().get(i).name(), Math.max(1, estimates.classWorkUs[i]));
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -90,7 +90,7 @@
         RequestClass requestClass;
         double serviceUs;
         /** When its client asked for it first, in this try or an earlier one. */
-        long firstTriedAt;
+        long firstRequestedAt;
         /** An answer after this is worth nothing more than a late one. */
         long usefulUntil;
 
