--- a/src/main/java/rushproxy/Balancer.java
+++ b/src/main/java/rushproxy/Balancer.java
@@ -4,33 +4,34 @@
 import java.util.Map;
 
 /**
- * The interface of the decision module: events come in as method calls, decisions go out through {@link
- * Actions}. Times are microseconds of one clock that only moves forward; nothing else tells the module
- * the time.
+ * The interface of the load-balancing policy: the host calls its methods on events, and the policy acts through {@link Actions}.
+ * All times are microseconds on one monotonic clock, which the host passes in as {@code now}.
  */
 public interface Balancer {
-    /** Whether a request may be sent again: freely, under its key while that is remembered, or never once it may have run. */
+    /**
+     * Whether a request may be sent again once it may have run: always, while servers deduplicate it by its key, or never.
+     */
     enum Semantics {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which upstreams drop repeats of a keyed request. */
+    /** Which upstreams recognise a repeat of a keyed request: all, those of one zone, or those of one cell. */
     enum DedupScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** As the list has it. */
+    /** State of an upstream in the list. */
     enum UpstreamState {
         GONE,
         READY,
         DRAINING
     }
 
-    /** What a list is: changes, the whole, none (the call failed), or the one of the configuration. */
+    /** Kind of a list: changes only, complete, none since discovery failed, or the one from the configuration. */
     enum ListKind {
         DELTA,
         FULL,
@@ -38,7 +39,7 @@
         CACHED
     }
 
-    /** How upstreams tell of their load. */
+    /** How upstreams report their load: not at all, with each answer, or when they are probed. */
     enum LoadReporting {
         NONE,
         INLINE,
@@ -56,7 +57,7 @@
         CANCELLED(true),
         NOT_SENT(false);
 
-        /** False where the outcome proves that the attempt never ran. */
+        /** False if the outcome proves that the server did not process the attempt. */
         public final boolean mayHaveRun;
 
         Outcome(boolean mayHaveRun) {
@@ -64,7 +65,10 @@
         }
     }
 
-    /** A class of requests; times in microseconds, the deadline from the client's first try. */
+    /**
+     * A class of requests. {@code aimUs + aimStretch * work} is the latency objective; {@code deadlineUs} counts from the client's
+     * first try. An answer within the objective counts {@code worth}, a later one {@code lateWorth}.
+     */
     record RequestClass(
             String name,
             Semantics semantics,
@@ -77,10 +81,13 @@
             double lateWorth,
             boolean stream) {}
 
-    /** Who asks, and what part of the fleet it may use. */
+    /** A tenant, its share of the fleet and its quota. */
     record Tenant(String name, double share, double quotaPerSecond) {}
 
-    /** What the deployment allows. */
+    /**
+     * What the deployment allows. {@code secondCopies} permits concurrent attempts of one request, {@code peers} messages between
+     * sidecars. Idle connections are closed after {@code connectionIdleUs}.
+     */
     record Limits(
             int maxAttempts,
             boolean secondCopies,
@@ -92,7 +99,12 @@
             long connectionIdleUs,
             double cpuUsPerRequest) {}
 
-    /** {@code closeOnDrainWithinUs} is 0 where idle connections to a draining upstream may stay open. */
+    /**
+     * Rules for draining and starting upstreams and for discovery. A starting upstream has {@code coldShare} of its capacity, which
+     * rises to all of it within {@code rampTimeUs}; it fails if it is sent more than {@code overloadMultiple} times its capacity
+     * within {@code overloadWindowUs}. {@code discoveryRetryUs} bounds the interval between failing calls to discovery. {@code
+     * closeOnDrainWithinUs} is 0 if idle connections to a draining upstream may stay open.
+     */
     record Rules(
             long drainGraceUs,
             double coldShare,
@@ -103,10 +115,13 @@
             long answerSlackUs,
             long closeOnDrainWithinUs) {}
 
-    /** Points of the result for each unit of use; 0 where it is free. */
+    /** Prices in points of the score per unit of use; 0 for what is free. */
     record Prices(double crossZone, double peer, double probe, double connection, double handshake) {}
 
-    /** All that an instance is told of its deployment; {@code sidecarIndex} is its number among {@code sidecarCount}. */
+    /**
+     * The settings of one sidecar, which has index {@code sidecarIndex} of {@code sidecarCount}. With {@code discoveryOnRequest} it
+     * subscribes to the list itself, else the list is pushed. With {@code worthByWork} the worth of a request is per unit of its work.
+     */
     record Settings(
             int sidecarIndex,
             int sidecarCount,
@@ -124,14 +139,15 @@
             Prices prices,
             long tickUs) {}
 
-    /** One line of the list. {@code startedUs} is 0 where it started long ago. */
+    /** An entry of the list. {@code startedUs} is 0 for an upstream that started long ago. */
     record Upstream(
             String id, String zone, String kind, int cell, long startedUs, double weight, UpstreamState state) {}
 
     /**
-     * {@code costHintUs} is 0 where there is none; {@code remainingUs} is the time until the client gives
-     * up, from the request's last byte on. {@code bodyIncomplete}: its body is still coming, and an attempt can't be repeated
-     * once it has taken of it; {@link #onRequestSent} tells when the upstream has all.
+     * A client's request. {@code key} is negative and {@code costHintUs} 0 if there is none. {@code clientRetry}: the client has sent
+     * the request before. {@code remainingUs} is the time until the client gives up, counted from the request's last byte.
+     * {@code bodyIncomplete}: the body is still arriving, and an attempt that has consumed some of it can't be repeated; {@link
+     * #onRequestSent} reports when the upstream has all of it.
      */
     record Request(
             String id,
@@ -143,7 +159,7 @@
             String tenant,
             String requestClass,
             boolean bodyIncomplete) {
-        /** A request of which all is here. */
+        /** A request that has arrived completely. */
         public Request(
                 String id,
                 long key,
@@ -157,47 +173,48 @@
         }
     }
 
-    /** A load report; a value that the site does not report is negative. */
+    /** A load report; values that the deployment does not report are negative. */
     record LoadReport(double inFlight, double queued, double utilisation) {}
 
-    /** Whether a sidecar sees most of the fleet, a part that may be cut off, or none but itself. */
+    /** Whether a sidecar sees a majority of the fleet, a minority that may be partitioned off, or only itself. */
     enum QuorumState {
         MAJORITY,
         MINORITY,
         NOBODY
     }
 
-    /** Word of the fleet plane: {@code live} sidecars, itself included, by zone in {@code liveByZone}. From {@code validUntilUs} on it
-     * counts as never told. */
+    /**
+     * The fleet's membership as the fleet plane sees it: {@code live} sidecars, this one included, and their number by zone. Ignored
+     * from {@code validUntilUs} on.
+     */
     record FleetStatus(int live, List<Integer> liveByZone, QuorumState quorum, long validUntilUs) {}
 
-    /** What a sidecar has seen of an upstream. All but {@code GOOD} speak against it. */
+    /** What a sidecar has observed of an upstream. */
     enum Evidence {
-        /** It answers again, or still. */
+        /** Answers requests. */
         GOOD,
-        /** It takes connections and says nothing, or takes none. */
+        /** Accepts connections without answering, or accepts none. */
         SILENT,
         FAILING,
-        /** It fails well before an answer could be ready, and so draws requests to itself. */
+        /** Fails much faster than it could answer, and so attracts further requests. */
         FAILING_FAST,
-        /** By a factor slower than its kind. */
+        /** Slower than its kind by a factor. */
         SLOW,
-        /** It was started so many seconds ago. */
+        /** Started a number of seconds ago. */
         COLD,
-        /** Connections that were idle for so many milliseconds are dropped. */
+        /** Drops connections that were idle for a number of milliseconds. */
         DROPS_IDLE;
 
-        /** No request should go there. */
+        /** Whether requests should avoid the upstream. */
         public boolean isOutage() {
             return this == SILENT || this == FAILING || this == FAILING_FAST;
         }
     }
 
     /**
-     * Word of the fleet on an upstream. {@code confirmed}: witnesses enough speak against it, and it is to be believed where the own
-     * evidence says nothing fresher; else it is accused only, and whoever knows better says so. {@code factor} is as
-     * {@link Evidence} has it. {@code reportedHere}: this instance is one of the witnesses. From {@code validUntilUs} on it counts as
-     * never told.
+     * The fleet's verdict on an upstream. {@code confirmed}: enough witnesses agree, and the verdict applies where own evidence is not
+     * more recent; otherwise it is only an accusation, which sidecars with better evidence contradict. {@code factor} is the number
+     * that {@link Evidence} describes. {@code reportedHere}: this sidecar is one of the witnesses. Ignored from {@code validUntilUs} on.
      */
     record Verdict(
             String upstream,
@@ -209,8 +226,8 @@
             long validUntilUs) {}
 
     /**
-     * The own share of a fleet-wide limit: {@code per} second, or in flight, of all requests, a class or a tenant. From {@code
-     * untilUs} on {@code fallbackShare} holds, the limit over the configured number of sidecars.
+     * This sidecar's share of a fleet-wide limit on all requests, a class or a tenant, per second or in flight. From {@code
+     * validUntilUs} on {@code fallbackShare} applies: the limit divided by the configured number of sidecars.
      */
     record LimitShare(
             String name,
@@ -229,21 +246,21 @@
         }
     }
 
-    /** What a limit counts. */
+    /** Which requests a limit counts. */
     enum LimitScope {
         ALL,
         CLASS,
         TENANT
     }
 
-    /** Parts of their shares that servers get, 0 to 1, by id; all of it where none is named. Until {@code validUntilUs}. */
+    /** Factors from 0 to 1 on the shares of servers, by id; 1 for servers not listed. Ignored from {@code validUntilUs} on. */
     record ServerWeights(Map<String, Double> byServer, long validUntilUs) {
         double weightOf(String upstream) {
             return byServer.getOrDefault(upstream, 1.0);
         }
     }
 
-    /** What the module can do. Times as in the events. */
+    /** The actions of the policy, implemented by its host. */
     interface Actions {
         void send(String request, String upstream, long untilUs);
 
@@ -257,40 +274,40 @@
 
         void subscribe();
 
-        /** A message to the peer of this number. */
+        /** Sends a message to the sidecar with this index. */
         void sendToPeer(int peer, byte[] message);
 
-        /** Closes this instance's idle connections to the upstream. */
+        /** Closes this sidecar's idle connections to the upstream. */
         void closeIdleConnections(String upstream);
 
         void startTimer(String mark, long delayUs);
 
         void log(String text);
 
-        /** Own evidence on an upstream, for the fleet plane where there is one. */
-        default void reportEvidence(String upstream, Evidence kind, double factor) {}
+        /** Reports own evidence on an upstream to the fleet plane, if there is one. */
+        default void reportEvidence(String upstream, Evidence evidence, double factor) {}
     }
 
     void onUpstreamList(long now, ListKind kind, List<Upstream> entries);
 
     /**
-     * The operators leave the upstream out from now on, or have it back. What is back was started anew meanwhile, at
-     * {@code atUs} at the latest.
+     * Operators cordon or uncordon the upstream. One that is uncordoned has been restarted in the meantime, at {@code atUs} at the
+     * latest.
      */
-    void onCordon(long now, String upstream, boolean out, long atUs);
+    void onCordon(long now, String upstream, boolean cordon, long atUs);
 
     void onRequest(long now, Request request);
 
     /**
-     * Whether an attempt may still begin, its connection having taken its time: asked at the moment of sending, since
-     * lists change and the windows of repeats close meanwhile. It acts on nothing. Where it says no the outcome is NOT_SENT.
+     * Whether an attempt may still be written to its connection: the host checks again after connection setup, during which the list
+     * may change and deduplication windows end. No action follows; if false, the host reports the outcome NOT_SENT.
      */
     boolean canStartAttempt(long now, String request, int attempt);
 
-    /** The last byte of a partial request has been written: only now can the upstream begin. */
+    /** The last byte of a request with an incomplete body has been written: the upstream can start now. */
     void onRequestSent(long now, String request, int attempt);
 
-    /** {@code done}: the request is over, by this outcome or already before it. */
+    /** {@code done}: the request has ended, with this outcome or before. */
     void onOutcome(
             long now,
             String request,
@@ -305,31 +322,31 @@
 
     void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report);
 
-    /** The client has left, or the answer is overdue: the request is over. */
+    /** The client has disconnected or its deadline has passed: the request has ended. */
     void onRequestExpired(long now, String request);
 
     void onPeerMessage(long now, int peer, byte[] message);
 
     void onTimer(long now, String mark);
 
-    /** Who is here, as the peers have it; never told where no fleet plane runs. */
+    /** The fleet's membership; never called without a fleet plane. */
     void onFleetStatus(long now, FleetStatus fleet);
 
-    /** All that the fleet says of upstreams now; what is not among it is not said any more. */
+    /** All current verdicts; earlier ones that are missing no longer apply. */
     void onVerdicts(long now, List<Verdict> verdicts);
 
-    /** All limits that hold now. */
+    /** All current limits. */
     void onLimitShares(long now, List<LimitShare> shares);
 
-    /** Which servers get only a part of their shares: in a release, or where a zone is left. */
+    /** Servers that get only a part of their share, during a release or the evacuation of a zone. */
     void onServerWeights(long now, ServerWeights weights);
 
-    /** By limit's name, what was asked of it in the {@code passedUs} since this was called last: a second, or at once. */
-    Map<String, Double> collectLimitDemands(long passedUs);
+    /** Demand by limit name since the last call, {@code elapsedUs} ago: requests per second, or the peak in flight. */
+    Map<String, Double> collectLimitDemands(long elapsedUs);
 
-    /** What this instance has learned, for one that starts anew; only instances of the same settings understand it. */
+    /** Exports the estimates for a sidecar that starts; it must have the same zones, kinds and classes. */
     byte[] exportEstimates();
 
-    /** What others have learned, each from another: taken where own answers say little yet. Returns how many could be read. */
-    int importEstimates(long now, List<byte[]> told);
+    /** Imports the exports of other sidecars where own estimates rest on few answers. Returns how many could be decoded. */
+    int importEstimates(long now, List<byte[]> exports);
 }
--- a/src/main/java/rushproxy/Estimates.java
+++ b/src/main/java/rushproxy/Estimates.java
@@ -8,8 +8,8 @@
 import rushproxy.Balancer.Settings;
 
 /**
- * What one sidecar's estimates are, for another that has just started: plain data and its bytes, used by {@link Policy}. Only
- * between sidecars of the same zones, kinds and classes.
+ * A sidecar's estimates and their encoding, with which {@link Policy} initialises another sidecar that has just started. Both need
+ * the same zones, kinds and classes.
  */
 final class Estimates {
     private static final byte VERSION = 1;
@@ -18,28 +18,31 @@
     final double[] slowness;
     final double[] bestSlowness;
     final double[] cores;
-    /** Behind each kind's estimates, 255 at most. */
+    /** Number of answers that each kind's estimates are based on. */
     final double[] answers;
-    /** Of each class, in microseconds of a standard core. */
+    /** Mean work by request class, in microseconds on a standard core. */
     final double[] classWorkUs;
-    /** Mean rate a second of the fleet's sidecars, apart by zone. */
+    /** Average requests per second of a sidecar, split by the sidecar's zone. */
     final double[] zoneRates;
 
     double meanWorkUs;
     double congestion;
+    /** Hash of the zones, kinds and class names: estimates with another one can't be used. */
     private final int settingsHash;
 
-    Estimates(Settings s) {
-        slowness = new double[s.kinds().size()];
+    Estimates(Settings settings) {
+        slowness = new double[settings.kinds().size()];
         bestSlowness = new double[slowness.length];
         cores = new double[slowness.length];
         answers = new double[slowness.length];
-        classWorkUs = new double[s.classes().size()];
-        zoneRates = new double[s.zones().size()];
+        classWorkUs = new double[settings.classes().size()];
+        zoneRates = new double[settings.zones().size()];
         settingsHash = List.of(
-                        s.zones(),
-                        s.kinds(),
-                        s.classes().stream().map(Balancer.RequestClass::name).toList())
+                        settings.zones(),
+                        settings.kinds(),
+                        settings.classes().stream()
+                                .map(Balancer.RequestClass::name)
+                                .toList())
                 .hashCode();
     }
 
@@ -47,15 +50,15 @@
         return List.of(slowness, bestSlowness, cores, answers, classWorkUs, zoneRates);
     }
 
-    /** The estimates of kind {@code i}, with {@code most} answers behind them at most. */
-    void copyFrom(int i, PolicyState.ServerKind kind, int most) {
+    /** Takes the estimates of kind {@code i}, counting at most {@code maxAnswers} answers. */
+    void copyFrom(int i, PolicyState.ServerKind kind, int maxAnswers) {
         slowness[i] = kind.slowness;
         bestSlowness[i] = kind.bestSlowness;
         cores[i] = kind.cores;
-        answers[i] = Math.min(most, kind.answers);
+        answers[i] = Math.min(maxAnswers, kind.answers);
     }
 
-    /** Makes them the kind's own; none is so small that nothing could come of it. */
+    /** Sets the estimates of kind {@code i}, with lower bounds that keep the computed shares and loads finite. */
     void copyTo(int i, PolicyState.ServerKind kind) {
         kind.slowness = Math.max(1e-2, slowness[i]);
         kind.bestSlowness = Math.max(1e-2, bestSlowness[i]);
@@ -65,63 +68,63 @@
 
     byte[] encode() {
         int values = columns().stream().mapToInt(c -> c.length).sum() + 2;
-        ByteBuffer b =
+        ByteBuffer buffer =
                 ByteBuffer.allocate(HEADER_BYTES + 4 * values).put(VERSION).putInt(settingsHash);
         for (double[] column : columns()) {
-            for (double v : column) {
-                b.putFloat((float) v);
+            for (double value : column) {
+                buffer.putFloat((float) value);
             }
         }
-        return b.putFloat((float) meanWorkUs).putFloat((float) congestion).array();
+        return buffer.putFloat((float) meanWorkUs).putFloat((float) congestion).array();
     }
 
-    /** False where the bytes are none of this version and shape, or hold what no estimate can be; nothing is to be taken then. */
+    /** Returns false, leaving the fields undefined, if version, length or settings differ or a value is out of range. */
     boolean decode(byte[] bytes) {
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        if (bytes.length != encode().length || b.get() != VERSION || b.getInt() != settingsHash) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        if (bytes.length != encode().length || buffer.get() != VERSION || buffer.getInt() != settingsHash) {
             return false;
         }
         for (double[] column : columns()) {
             for (int i = 0; i < column.length; i++) {
-                column[i] = b.getFloat();
+                column[i] = buffer.getFloat();
                 if (!(column[i] >= 0 && column[i] < 1e9)) {
                     return false;
                 }
             }
         }
-        meanWorkUs = b.getFloat();
-        congestion = b.getFloat();
+        meanWorkUs = buffer.getFloat();
+        congestion = buffer.getFloat();
         return meanWorkUs > 0 && meanWorkUs < 1e9 && congestion > 0 && congestion < 1e3;
     }
 
-    /** Of each value the middle one of all that can be read: one that lies moves nothing by itself among three. Null for none. */
-    static Estimates median(Settings settings, List<byte[]> told) {
+    /** Median of each value over the exports that can be decoded, so that one false export among three has no effect. Null if there are none. */
+    static Estimates median(Settings settings, List<byte[]> exports) {
         List<Estimates> all = new ArrayList<>();
-        for (byte[] bytes : told) {
-            Estimates k = new Estimates(settings);
-            if (k.decode(bytes)) {
-                all.add(k);
+        for (byte[] bytes : exports) {
+            Estimates estimates = new Estimates(settings);
+            if (estimates.decode(bytes)) {
+                all.add(estimates);
             }
         }
         if (all.isEmpty()) {
             return null;
         }
-        Estimates middle = new Estimates(settings);
-        median(all, middle, k -> k.slowness);
-        median(all, middle, k -> k.bestSlowness);
-        median(all, middle, k -> k.cores);
-        median(all, middle, k -> k.answers);
-        median(all, middle, k -> k.classWorkUs);
-        median(all, middle, k -> k.zoneRates);
-        middle.meanWorkUs = median(all, k -> k.meanWorkUs);
-        middle.congestion = median(all, k -> k.congestion);
-        return middle;
+        Estimates median = new Estimates(settings);
+        setMedian(all, median, e -> e.slowness);
+        setMedian(all, median, e -> e.bestSlowness);
+        setMedian(all, median, e -> e.cores);
+        setMedian(all, median, e -> e.answers);
+        setMedian(all, median, e -> e.classWorkUs);
+        setMedian(all, median, e -> e.zoneRates);
+        median.meanWorkUs = median(all, e -> e.meanWorkUs);
+        median.congestion = median(all, e -> e.congestion);
+        return median;
     }
 
-    private static void median(List<Estimates> all, Estimates into, Function<Estimates, double[]> column) {
-        for (int i = 0; i < column.apply(into).length; i++) {
-            int at = i;
-            column.apply(into)[i] = median(all, k -> column.apply(k)[at]);
+    private static void setMedian(List<Estimates> all, Estimates target, Function<Estimates, double[]> column) {
+        for (int i = 0; i < column.apply(target).length; i++) {
+            int index = i;
+            column.apply(target)[i] = median(all, e -> column.apply(e)[index]);
         }
     }
 
--- a/src/main/java/rushproxy/Main.java
+++ b/src/main/java/rushproxy/Main.java
@@ -5,8 +5,8 @@
 import rushproxy.wire.SimHost;
 
 /**
- * Command line: {@code serve} runs a sidecar, {@code simhost} hosts many instances on the simulator's wire. All other
- * commands are for people, and load what people need only then.
+ * Entry point. {@code serve} runs a sidecar and {@code simhost} hosts policy instances for the simulator. All other
+ * commands are interactive tools, whose libraries are loaded only when one of them is run.
  */
 public final class Main {
     private Main() {}
--- a/src/main/java/rushproxy/PeerMessage.java
+++ b/src/main/java/rushproxy/PeerMessage.java
@@ -2,17 +2,23 @@
 
 import java.nio.ByteBuffer;
 
-/** What one sidecar tells another, and its bytes: plain data, used by {@link Policy}. */
+/** The estimates that sidecars exchange periodically, and their encoding; sent and received by {@link Policy}. */
 public final class PeerMessage {
-    /** Mean rate a second of the fleet's sidecars, apart by zone. */
+    private static final int MAX_UNSIGNED_SHORT = 65_535;
+    /** Fixed-point units per request per second, and per unit of a ratio. */
+    private static final double RATE_UNITS = 100, RATIO_UNITS = 256;
+
+    private static final long US_PER_MS = 1000;
+
+    /** Average requests per second of a sidecar, split by the sidecar's zone. */
     final double[] zoneRates;
-    /** Of each kind the slowness and the number of answers behind it. */
+    /** By server kind, the slowness and the number of answers it is based on. */
     final double[] slowness;
 
     final int[] answers;
-    /** How many times longer than at their best the answers take. */
+    /** Ratio of latencies to those of uncongested servers. */
     double congestion;
-    /** Idle connections are dropped after about this long; 0 where nothing was seen of it. */
+    /** Idle time after which connections are dropped; 0 if the sender has seen no drop. */
     long idleLimitUs;
 
     PeerMessage(int zones, int kinds) {
@@ -25,43 +31,43 @@
         return encodedLength(zoneRates.length, slowness.length);
     }
 
-    /** It has no version and is known by its length alone: nothing else that peers send may be as long. */
+    /** The message has no type or version and is recognised by its length alone: no other peer message may have it. */
     public static int encodedLength(int zones, int kinds) {
         return 2 * zones + 3 * kinds + 4;
     }
 
     byte[] encode() {
-        ByteBuffer b = ByteBuffer.allocate(encodedLength());
-        for (double r : zoneRates) {
-            b.putShort(unsigned(r * 100));
+        ByteBuffer buffer = ByteBuffer.allocate(encodedLength());
+        for (double rate : zoneRates) {
+            buffer.putShort(toUnsignedShort(rate * RATE_UNITS));
         }
         for (int i = 0; i < slowness.length; i++) {
-            b.putShort(unsigned(slowness[i] * 256)).put((byte) Math.min(255, answers[i]));
+            buffer.putShort(toUnsignedShort(slowness[i] * RATIO_UNITS)).put((byte) Math.min(255, answers[i]));
         }
-        return b.putShort(unsigned(congestion * 256))
-                .putShort(unsigned(idleLimitUs / 1000.0))
+        return buffer.putShort(toUnsignedShort(congestion * RATIO_UNITS))
+                .putShort(toUnsignedShort(idleLimitUs / (double) US_PER_MS))
                 .array();
     }
 
-    private static short unsigned(double value) {
-        return (short) Math.min(65_535, Math.round(value));
+    private static short toUnsignedShort(double value) {
+        return (short) Math.min(MAX_UNSIGNED_SHORT, Math.round(value));
     }
 
-    /** False where the bytes are no such message; nothing is to be taken from it then. */
+    /** Returns false, leaving the fields undefined, if the bytes are no such message. */
     boolean decode(byte[] message) {
         if (message.length != encodedLength()) {
             return false;
         }
-        ByteBuffer b = ByteBuffer.wrap(message);
+        ByteBuffer buffer = ByteBuffer.wrap(message);
         for (int i = 0; i < zoneRates.length; i++) {
-            zoneRates[i] = (b.getShort() & 65_535) / 100.0;
+            zoneRates[i] = (buffer.getShort() & MAX_UNSIGNED_SHORT) / RATE_UNITS;
         }
         for (int i = 0; i < slowness.length; i++) {
-            slowness[i] = (b.getShort() & 65_535) / 256.0;
-            answers[i] = b.get() & 255;
+            slowness[i] = (buffer.getShort() & MAX_UNSIGNED_SHORT) / RATIO_UNITS;
+            answers[i] = buffer.get() & 255;
         }
-        congestion = (b.getShort() & 65_535) / 256.0;
-        idleLimitUs = (b.getShort() & 65_535) * 1000L;
+        congestion = (buffer.getShort() & MAX_UNSIGNED_SHORT) / RATIO_UNITS;
+        idleLimitUs = (buffer.getShort() & MAX_UNSIGNED_SHORT) * US_PER_MS;
         return true;
     }
 }
--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -36,10 +36,10 @@
     private static final double SLACK_SERVICES = 1.5;
     /** How often the queue is swept for requests that can no longer be answered in time. */
     private static final long SWEEP_INTERVAL_US = 5_000;
-    /** Consecutive failures after which a server is ejected; further ejections double the duration. */
+    /** Consecutive failures after which a server is ejected; repeated ejections double their duration. */
     private static final int MAX_FAILURES = 2, MAX_DOUBLINGS = 10;
 
-    private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000;
+    private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000, MAX_FULL_US = 500_000;
     /** Interval of peer messages, and how long peer data and evidence about servers count as current. */
     private static final long PEER_INTERVAL_US = 500_000, INFORMATION_TTL_US = 5_000_000;
     /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
@@ -172,7 +172,7 @@
 
     private static void resetAfterRestart(Server server) {
         server.relativeSlowness = 1;
-        server.failures = server.ejections = server.rejections = 0;
+        server.failures = server.ejections = server.rejects = 0;
         server.ejectedUntil = server.assumedFullUntil = server.lastUsedAt = 0;
         server.failedAt = Long.MIN_VALUE / 2;
         server.idleDropSuspected = false;
@@ -342,7 +342,7 @@
             // A step towards the observed value: sums of steps drift. Early answers move the kind alone.
             double weight = gain * Math.max(0.25, 1 / GAIN / (++server.kind.answers + 1));
             server.kind.slowness *= 1 + weight * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
-            server.kind.updatedAt = now;
+            server.kind.tunedAt = now;
         }
         server.relativeSlowness *= 1 + gain * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
         if (success && attempt.owner.request.costHintUs() <= 0) {
@@ -565,7 +565,7 @@
         }
         for (Server server : subset) {
             reportSlowOrCold(now, server);
-            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.updatedAt > ESTIMATE_TTL_US) {
+            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.tunedAt > ESTIMATE_TTL_US) {
                 moveKindTowards(server);
             }
             if (now - server.answeredAt > ESTIMATE_TTL_US) {
@@ -1073,7 +1073,7 @@
         switch (outcome) {
             case OK -> {
                 if (server.ejections > 0) actions.reportEvidence(server.id, Evidence.GOOD, 1);
-                server.failures = server.ejections = server.rejections = 0;
+                server.failures = server.ejections = server.rejects = 0;
                 server.failedAt = Long.MIN_VALUE / 2;
                 server.idleDropSuspected = false;
                 server.succeededAt = now;
@@ -1113,10 +1113,9 @@
      * failure, and it has room once it completes one. Each consecutive rejection doubles the wait, since a
      * server that is shutting down never has room again. */
     private void backOff(Server server, long now) {
-        double completionTimeUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
-        server.assumedFullUntil = now
-                + (long) Math.min(
-                        MIN_EJECTION_US, completionTimeUs * (1 << Math.min(server.rejections++, MAX_DOUBLINGS)));
+        double waitUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.assumedFullUntil =
+                now + (long) Math.min(MAX_FULL_US, waitUs * (1 << Math.min(server.rejects++, MAX_DOUBLINGS)));
     }
 
     private void markFull(Server server, long now) {
--- a/src/main/java/rushproxy/PolicyState.java
+++ b/src/main/java/rushproxy/PolicyState.java
@@ -3,23 +3,28 @@
 import java.util.*;
 import rushproxy.Balancer.*;
 
-/** What {@link Policy} remembers of servers, requests and attempts: plain data. */
+/**
+ * The mutable state of {@link Policy}: plain data about servers, requests, attempts and limits. Times are
+ * microseconds of the policy's clock.
+ */
 final class PolicyState {
     private PolicyState() {}
 
-    /** What servers of one listed kind have in common. */
+    /** Estimates shared by the servers of one listed kind. */
     static final class ServerKind {
-        /** Time on such a server of work that takes one unit of time on a standard core. */
+        /** Service time relative to a standard core. */
         double slowness = 1;
 
         double cores;
-        /** The least slowness seen for long: that of uncrowded servers. */
+        /** Lowest slowness seen for some time: that of uncongested servers. */
         double bestSlowness = 1;
 
+        /** Answers behind the estimates. */
         int answers;
+
         long answeredAt;
-        /** Last answer by a server that is no group of its own. */
-        long updatedAt;
+        /** Last answer by a server that is not an outlier. */
+        long tunedAt;
 
         ServerKind(double cores) {
             this.cores = cores;
@@ -29,44 +34,49 @@
     static final class Server {
         final String id;
         final ServerKind kind;
+        /** The server's entry in the latest list. */
         Upstream listing;
+
         boolean ready;
-        /** Start of the process as listed, or the operators' call back where that is later. */
+        /** Listed start of the process, or the time it was uncordoned if that is later. */
         long startedAt;
 
+        /** Its share of the fleet's requests; the draw is weighted by it. */
         double share;
-        /** Own requests in flight, and their attempts in the order of their sends. */
+        /** This sidecar's requests at the server, and their attempts in the order of sending. */
         int inFlight;
 
         final ArrayDeque<Attempt> inFlightAttempts = new ArrayDeque<>();
-        /** How much slower than its kind. */
+        /** Slowness relative to its kind. */
         double relativeSlowness = 1;
 
         long answeredAt;
-        /** Its last answer with success; what was sent after it has met silence so far. */
+        /** Last success: attempts sent after it have had no answer yet. */
         long succeededAt;
 
         double reportedLoad;
         long loadReportedAt = Long.MIN_VALUE / 2;
+        /** Consecutive failures and consecutive ejections. */
         int failures, ejections;
+
         long ejectedUntil;
-        /** Requests turned away in a row, and until when it is taken to be full after the last of them. */
-        int rejections;
+        /** Consecutive rejections, and until when the last one marks the server as full. */
+        int rejects;
 
         long assumedFullUntil;
-        /** Own evidence against it of late, and when it was last told on that it is slow or cold. */
+        /** Last evidence of a failure; last report that the server is slow or cold. */
         long failedAt = Long.MIN_VALUE / 2, evidenceSentAt = Long.MIN_VALUE / 2;
-        /** Place in the order of the servers that all sidecars share. */
+        /** Hash of the id: position in the ring that all sidecars share. */
         final int hash;
-        /** Its zone's number in the settings, 0 where they do not name it. */
+        /** Index of the zone in the settings, 0 if it is not listed there. */
         final int zone;
-        /** Last send or outcome; 0: no connection was used yet. */
+        /** Last send or outcome; 0 if no connection has been used yet. */
         long lastUsedAt;
-        /** A failure was laid to a connection long idle, and it has not answered since. */
+        /** A failure was attributed to an idle connection, and no success has followed. */
         boolean idleDropSuspected;
-        /** Time of a probe without an answer yet. */
+        /** When the pending probe was sent; 0 if none is pending. */
         long probeSentAt;
-        /** Own work sent in the last slot of the cold server's budget. */
+        /** Slot of the last send during slow start, and the work sent in it. */
         long slowStartSlot;
 
         double slowStartWorkUs;
@@ -75,65 +85,66 @@
             return kind.slowness * relativeSlowness;
         }
 
-        Server(Upstream entry, ServerKind kind, int zone, int order) {
-            id = entry.id();
+        Server(Upstream listing, ServerKind kind, int zone, int hash) {
+            id = listing.id();
             this.kind = kind;
-            this.hash = order;
+            this.hash = hash;
             this.zone = Math.max(0, zone);
-            this.listing = entry;
+            this.listing = listing;
         }
     }
 
-    /** A request from its acceptance to its final answer. */
+    /** A request from its arrival to its final answer. */
     static final class ActiveRequest {
         Request request;
         RequestClass requestClass;
+        /** Expected service time on an idle standard core. */
         double serviceUs;
-        /** When its client asked for it first, in this try or an earlier one. */
+        /** When the client first made the request, in this try or an earlier one. */
         long firstRequestedAt;
-        /** An answer after this is worth nothing more than a late one. */
+        /** An answer after this has no more worth than a late one. */
         long usefulUntil;
 
         long deadlineAt;
-        /** Waiting requests go by this: the aim, as many times longer as the work is worth less. */
+        /** Sort key of the queue: arrival plus aim, the aim stretched in proportion to lower worth. */
         long queueOrder;
 
         boolean queued, finished, streaming;
-        /** The pair asked for its load, when, and how many pairs were. */
+        /** The servers being probed for this request, when that began, and how many pairs were probed. */
         Server firstCandidate, secondCandidate;
 
         long probedAt, nextProbeAt;
         int probedPairs;
         final List<Attempt> attempts = new ArrayList<>(1);
-        /** The fleet's limits that count it. */
+        /** The fleet's limits in which it takes a place. */
         List<LimitUsage> limits = List.of();
     }
 
-    /** The own share of one limit of the fleet: tokens that a quarter of a second fills, or places. */
+    /** Usage of this sidecar's share of a fleet-wide limit: a token bucket, or requests in flight. */
     static final class LimitUsage {
         LimitShare share;
         double tokens = 1;
         long tokensRefilledAt;
         int inFlight;
-        /** Since the demand was last looked at: all that came, and of those in flight's the most at once. */
+        /** Since the demand was last collected: arrivals, and the peak of requests in flight. */
         int arrivals, peak;
     }
 
     static final class Attempt {
         ActiveRequest owner;
         Server server;
-        /** The server's line of the list at the send. */
+        /** The server's list entry at the time of the send. */
         Upstream listing;
 
         long sentAt;
         double loadAtSend, expectedUs;
-        /** What was expected of a server of slowness 1. */
+        /** Expected latency on a server of slowness 1. */
         double expectedStandardUs;
-        /** How long the connection had been idle at the send; 0 where it was in use or new. */
+        /** Idle time of the connection at the send; 0 if it was in use or new. */
         long idleUs;
 
         boolean ended, mayHaveRun = true;
-        /** It occupies its server: from when that has the whole request until its answer comes. */
+        /** It occupies its server: the server has the whole request and has not answered yet. */
         boolean running;
     }
 }
--- a/src/main/java/rushproxy/SlowStart.java
+++ b/src/main/java/rushproxy/SlowStart.java
@@ -4,21 +4,22 @@
 import rushproxy.PolicyState.Server;
 
 /**
- * How much a server that has just started may be sent: the fourth rule, kept by each sidecar
- * without messages. Half a window is a slot, and in each the sidecars may send as many mean
- * requests as a third of the budget holds (a window meets three): an equal part each, the rest by
- * turn of number, server and slot. A server that is asked first gives twice the turns, one by one.
+ * Limits what a server that has just started is sent (rule 4); each sidecar does so without communication.
+ * Time is divided into slots of half an overload window, so that a window overlaps at most three slots. In
+ * each slot all sidecars together may send as many requests of mean work as fit into a third of the budget:
+ * an equal number each, and the remainder by turns that depend on sidecar, server and slot. Where servers are
+ * probed for their load first, there are twice as many turns, spaced out over the slot.
  */
 final class SlowStart {
-    /** The sidecars use this part of a cold server's budget: costs are estimates. */
+    /** Part of a cold server's budget that is used, since the work of requests is estimated. */
     private static final double BUDGET_FRACTION = 0.9;
-    /** No single request may be longer than this many mean ones. */
+    /** Maximum work of a single request, relative to the mean. */
     private static final double MAX_RELATIVE_WORK = 3;
-    /** What begins no later than this part of a window after its send belongs to the slot of its send. */
+    /** An attempt that starts within this part of a window after its send counts in the slot of the send. */
     private static final int SAME_SLOT_DIVISOR = 8;
 
     private final Settings settings;
-    /** Whether servers are asked for their load before they are sent anything. */
+    /** Whether servers are probed for their load before a send. */
     private final boolean probesLoad;
 
     SlowStart(Settings settings, boolean probesLoad) {
@@ -26,58 +27,64 @@
         this.probesLoad = probesLoad;
     }
 
-    /** The part of its full capacity that a server can surely do now: the slowest ramp the settings allow. */
-    double capacityFraction(Server s, long now) {
-        long age = now - s.startedAt;
-        if (s.startedAt <= 0 || age >= settings.rules().rampTimeUs()) return 1;
+    /** Fraction of its full capacity that a server has at least: the slowest ramp the settings allow. */
+    double capacityFraction(Server server, long now) {
+        long age = now - server.startedAt;
+        if (server.startedAt <= 0 || age >= settings.rules().rampTimeUs()) return 1;
         double cold = settings.rules().coldShare();
         return cold + (1 - cold) * Math.max(0, age) / settings.rules().rampTimeUs();
     }
 
-    /** Whether the server may be sent so much work now. */
-    boolean canSend(long now, Server s, double work, double meanWork) {
-        if (capacityFraction(s, now) >= 1) return true;
-        long slot = slotAt(s, now);
-        long slotStart = s.startedAt + slot * slotUs();
-        double capacity = capacityFraction(s, slotStart) * Math.max(1, s.kind.cores) / s.kind.slowness;
+    /** Whether this sidecar may now send the server a request of {@code workUs}. */
+    boolean canSend(long now, Server server, double workUs, double meanWorkUs) {
+        if (capacityFraction(server, now) >= 1) return true;
+        long slotNumber = slotAt(server, now);
+        long slotStart = server.startedAt + slotNumber * slotUs();
+        double slotCapacity =
+                capacityFraction(server, slotStart) * Math.max(1, server.kind.cores) / server.kind.slowness;
         double budget = BUDGET_FRACTION
                 * settings.rules().overloadMultiple()
-                * capacity
+                * slotCapacity
                 * settings.rules().overloadWindowUs();
-        long requests = (long) (budget / (probesLoad ? 1.5 : 3) / meanWork);
+        long requests = (long) (budget / (probesLoad ? 1.5 : 3) / meanWorkUs);
         long turn = Math.floorMod(
-                settings.sidecarIndex() - Policy.mixHash(s.id.hashCode(), (int) slot), settings.sidecarCount());
+                settings.sidecarIndex() - Policy.mixHash(server.id.hashCode(), (int) slotNumber),
+                settings.sidecarCount());
         long own = requests / settings.sidecarCount() + (turn < requests % settings.sidecarCount() ? 1 : 0);
         long spacing = probesLoad ? settings.rules().overloadWindowUs() / 4 / Math.max(1, requests) : 0;
-        double sent = s.slowStartSlot == slot ? s.slowStartWorkUs : 0;
+        double sentWorkUs = server.slowStartSlot == slotNumber ? server.slowStartWorkUs : 0;
         boolean due = own > 0 && now >= slotStart + turn * spacing;
-        return due && work <= MAX_RELATIVE_WORK * meanWork && (sent == 0 || sent + work <= own * meanWork);
+        return due
+                && workUs <= MAX_RELATIVE_WORK * meanWorkUs
+                && (sentWorkUs == 0 || sentWorkUs + workUs <= own * meanWorkUs);
     }
 
-    /** So much work is sent to it now. */
-    void recordSend(long now, Server s, double work) {
-        long slot = slotAt(s, now);
-        s.slowStartWorkUs = work + (slot == s.slowStartSlot ? s.slowStartWorkUs : 0);
-        s.slowStartSlot = slot;
+    /** Charges work that is sent now to the current slot. */
+    void recordSend(long now, Server server, double workUs) {
+        long slot = slotAt(server, now);
+        server.slowStartWorkUs = workUs + (slot == server.slowStartSlot ? server.slowStartWorkUs : 0);
+        server.slowStartSlot = slot;
     }
 
     /**
-     * Whether what was sent then may begin only now, its connection having taken its time: it counts
-     * in the slot in which it begins.
+     * Whether an attempt that was sent at {@code sentAt} may start now, after a slow connection setup: it is
+     * charged to the slot in which it starts.
      */
-    boolean canStart(long now, Server s, long sentAt, double work, double meanWork) {
+    boolean canStart(long now, Server server, long sentAt, double workUs, double meanWorkUs) {
         boolean late = now - sentAt > settings.rules().overloadWindowUs() / SAME_SLOT_DIVISOR;
-        if (!late || capacityFraction(s, now) >= 1 || slotAt(s, sentAt) == slotAt(s, now)) return true;
-        if (!canSend(now, s, work, meanWork)) return false;
-        recordSend(now, s, work);
+        if (!late || capacityFraction(server, now) >= 1 || slotAt(server, sentAt) == slotAt(server, now)) {
+            return true;
+        }
+        if (!canSend(now, server, workUs, meanWorkUs)) return false;
+        recordSend(now, server, workUs);
         return true;
     }
 
-    private long slotAt(Server s, long now) {
-        return Math.max(0, now - s.startedAt) / slotUs();
+    private long slotAt(Server server, long now) {
+        return Math.max(0, now - server.startedAt) / slotUs();
     }
 
-    /** Half of the window in which too much work brings a cold server down, however short that is. */
+    /** At least 1: the window may be as short as 1 us. */
     private long slotUs() {
         return Math.max(1, settings.rules().overloadWindowUs() / 2);
     }
