--- a/src/main/java/rushproxy/wire/Fields.java
+++ b/src/main/java/rushproxy/wire/Fields.java
@@ -1,7 +1,14 @@
 package rushproxy.wire;
 
-/** Reads one line of the wire field by field; {@code -} stands for an absent value. */
+/** Reads the space-separated fields of one protocol line; {@code -} stands for an absent value. */
 final class Fields {
+    /** Any number of this many digits fits into a long. */
+    private static final int MAX_LONG_DIGITS = 18;
+    /** All integers below this are exact doubles. */
+    private static final double MAX_EXACT_DOUBLE = 1e15;
+    /** Length to which lines are cut in error messages. */
+    private static final int MAX_SHOWN_CHARS = 120;
+
     private final String line;
     private int position;
 
@@ -27,7 +34,7 @@
         return value;
     }
 
-    /** The next field, or null where it is absent or the line has ended. */
+    /** The next field, or null if it is absent or the line has ended. */
     String nextTextOrNull() {
         if (!hasMore()) {
             return null;
@@ -55,40 +62,41 @@
         return value != null && (value.equals("1") || value.equals("true"));
     }
 
+    /** Parses decimal integers without allocation; other notations of an integer, such as 1e6, as a double. */
     private long parseLong(String value) {
-        int n = value.length();
-        long sum = 0;
-        int i = n > 1 && value.charAt(0) == '-' ? 1 : 0;
-        if (n - i > 18) {
-            throw new WireException("'" + value + "' is no integer in '" + abbreviatedLine() + "'");
+        int length = value.length();
+        long result = 0;
+        int start = length > 1 && value.charAt(0) == '-' ? 1 : 0;
+        if (length - start > MAX_LONG_DIGITS) {
+            throw new WireException("'" + value + "' is not an integer in '" + abbreviatedLine() + "'");
         }
-        for (int j = i; j < n; j++) {
-            char c = value.charAt(j);
+        for (int i = start; i < length; i++) {
+            char c = value.charAt(i);
             if (c < '0' || c > '9') {
-                double d = parseDouble(value);
-                if (d == Math.rint(d) && Math.abs(d) < 1e15) {
-                    return (long) d;
+                double number = parseDouble(value);
+                if (number == Math.rint(number) && Math.abs(number) < MAX_EXACT_DOUBLE) {
+                    return (long) number;
                 }
-                throw new WireException("'" + value + "' is no integer in '" + abbreviatedLine() + "'");
+                throw new WireException("'" + value + "' is not an integer in '" + abbreviatedLine() + "'");
             }
-            sum = sum * 10 + (c - '0');
+            result = result * 10 + (c - '0');
         }
-        return i == 1 ? -sum : sum;
+        return start == 1 ? -result : result;
     }
 
     private double parseDouble(String value) {
         try {
-            double d = Double.parseDouble(value);
-            if (Double.isFinite(d)) {
-                return d;
+            double number = Double.parseDouble(value);
+            if (Double.isFinite(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // reported below
+            // reported below, like infinities and NaN
         }
-        throw new WireException("'" + value + "' is no number in '" + abbreviatedLine() + "'");
+        throw new WireException("'" + value + "' is not a number in '" + abbreviatedLine() + "'");
     }
 
     private String abbreviatedLine() {
-        return line.length() > 120 ? line.substring(0, 120) + "..." : line;
+        return line.length() > MAX_SHOWN_CHARS ? line.substring(0, MAX_SHOWN_CHARS) + "..." : line;
     }
 }
--- a/src/main/java/rushproxy/wire/LoadValues.java
+++ b/src/main/java/rushproxy/wire/LoadValues.java
@@ -2,13 +2,13 @@
 
 import rushproxy.Balancer.LoadReport;
 
-/** Gathers the named values of one load report, whichever of their two names they come under. */
+/** Collects the named values of one load report; each value has two alternative names. */
 public final class LoadValues {
     private double inFlight = -1;
     private double queued = -1;
     private double utilisation = -1;
 
-    /** Names that the module has no use for are skipped. */
+    /** Ignores names that the policy does not use. */
     public void put(String name, double value) {
         switch (name) {
             case "busy_reqs", "inflight" -> inFlight = value;
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/rushproxy/wire/SettingsReader.java
@@ -16,13 +16,13 @@
 import rushproxy.Balancer.Tenant;
 
 /**
- * Turns path=value pairs, those of {@code ENLIST} or of a sidecar's configuration, into settings. Unknown paths are
- * skipped.
+ * Reads settings from path=value pairs, which come from an {@code ENLIST} message or a sidecar's configuration. Unknown paths
+ * are ignored.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
 
-    /** Settings already taken apart: lists of plain values joined with commas, lists of objects counted. */
+    /** {@code values} by path: lists of plain values are joined by commas, lists of objects have a {@code count} and indexed elements. */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
@@ -42,23 +42,24 @@
     public Settings read() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < (int) requiredNumber("profiles.count"); i++) {
-            String p = "profiles." + i + ".";
+            String prefix = "profiles." + i + ".";
             classes.add(new RequestClass(
-                    requiredText(p + "name"),
-                    semantics(requiredText(p + "semantics")),
-                    dedupScope(values.getOrDefault(p + "group", "all")),
-                    (long) numberOr(p + "window_us", 0),
-                    (long) requiredNumber(p + "objective_us"),
-                    numberOr(p + "aim_stretch", 0),
-                    (long) requiredNumber(p + "give_up_us"),
-                    numberOr(p + "importance", 1),
-                    numberOr(p + "late_worth", 0),
-                    booleanOr(p + "stream", false)));
+                    requiredText(prefix + "name"),
+                    semantics(requiredText(prefix + "semantics")),
+                    dedupScope(values.getOrDefault(prefix + "group", "all")),
+                    (long) numberOr(prefix + "window_us", 0),
+                    (long) requiredNumber(prefix + "objective_us"),
+                    numberOr(prefix + "aim_stretch", 0),
+                    (long) requiredNumber(prefix + "give_up_us"),
+                    numberOr(prefix + "importance", 1),
+                    numberOr(prefix + "late_worth", 0),
+                    booleanOr(prefix + "stream", false)));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < (int) numberOr("accounts.count", 0); i++) {
-            String p = "accounts." + i + ".";
-            tenants.add(new Tenant(requiredText(p + "name"), numberOr(p + "share", 0), numberOr(p + "quota_rps", 0)));
+            String prefix = "accounts." + i + ".";
+            tenants.add(new Tenant(
+                    requiredText(prefix + "name"), numberOr(prefix + "share", 0), numberOr(prefix + "quota_rps", 0)));
         }
         Limits limits = new Limits(
                 (int) numberOr("limits.max_attempts", 1),
@@ -103,7 +104,7 @@
                 (long) numberOr("period_us", 1000));
     }
 
-    /** A connection that is not up within this time never comes up. */
+    /** Timeout of connection setup. */
     public long dialTimeoutUs() {
         return (long) numberOr("limits.dial_timeout_us", 250_000);
     }
@@ -125,43 +126,43 @@
         return numberOr(path, 0);
     }
 
-    private double numberOr(String path, double absent) {
+    private double numberOr(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null || value.equals("-")) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException("setting '" + path + "' is no number: '" + value + "'");
+            throw new WireException("setting '" + path + "' is not a number: '" + value + "'");
         }
     }
 
-    private boolean booleanOr(String path, boolean absent) {
+    private boolean booleanOr(String path, boolean defaultValue) {
         String value = values.get(path);
-        return value == null ? absent : value.equals("true") || value.equals("1");
+        return value == null ? defaultValue : value.equals("true") || value.equals("1");
     }
 
-    private static Semantics semantics(String word) {
-        return switch (word) {
+    private static Semantics semantics(String name) {
+        return switch (name) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
             case "unsafe" -> Semantics.UNSAFE;
-            default -> throw new WireException("semantics '" + word + "' is unknown");
+            default -> throw new WireException("semantics '" + name + "' is unknown");
         };
     }
 
-    private static DedupScope dedupScope(String word) {
-        return switch (word) {
+    private static DedupScope dedupScope(String name) {
+        return switch (name) {
             case "all", "-" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
             case "cell" -> DedupScope.CELL;
-            default -> throw new WireException("group '" + word + "' is unknown");
+            default -> throw new WireException("group '" + name + "' is unknown");
         };
     }
 
-    private static LoadReporting loadReporting(String word) {
-        return switch (word) {
+    private static LoadReporting loadReporting(String name) {
+        return switch (name) {
             case "inline" -> LoadReporting.INLINE;
             case "on_probe" -> LoadReporting.ON_PROBE;
             default -> LoadReporting.NONE;
--- a/src/main/java/rushproxy/wire/SimHost.java
+++ b/src/main/java/rushproxy/wire/SimHost.java
@@ -21,30 +21,35 @@
 import rushproxy.Balancer.UpstreamState;
 import rushproxy.Policy;
 
-/** Hosts many isolated instances of the module on the simulator's wire. Translates, decides nothing. */
+/** Hosts many isolated policy instances for the simulator: translates its line protocol, without any decisions of its own. */
 public final class SimHost {
+    private static final int MAX_PAGES = 16;
+    private static final int BUFFER_CHARS = 1 << 16;
+
     private final BufferedReader in;
     private final OutputStream out;
     private final PrintStream err;
-    private final StringBuilder reply = new StringBuilder(1 << 16);
+    private final StringBuilder reply = new StringBuilder(BUFFER_CHARS);
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<Upstream>> pages = new ArrayList<>();
+    /** The instance that the reply's last BY line names. */
     private String lastWrittenInstance;
+    /** A policy call has thrown: no further calls are made. */
     private boolean moduleFailed;
 
-    /** One hosted instance: its module and the order in which its reports name their values. */
+    /** A policy instance, and the names of the values in its load reports, in order. */
     private record Instance(Balancer balancer, List<String> loadReportFields) {}
 
     public SimHost(InputStream in, OutputStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
         this.out = out;
         this.err = err;
-        for (int i = 0; i < 16; i++) {
+        for (int i = 0; i < MAX_PAGES; i++) {
             pages.add(null);
         }
     }
 
-    /** Runs until the input ends; the exit code. */
+    /** Runs until the input ends and returns the exit code. */
     public int run() throws IOException {
         try {
             String line;
@@ -61,7 +66,7 @@
     private void handleBatch(String first) throws IOException {
         Fields mark = new Fields(first);
         if (!mark.nextText().equals("MARK")) {
-            throw new WireException("a batch starts with MARK, not '" + first + "'");
+            throw new WireException("a batch must start with MARK, not '" + first + "'");
         }
         long now = mark.nextLong();
         reply.setLength(0);
@@ -70,7 +75,7 @@
         while (true) {
             String line = in.readLine();
             if (line == null) {
-                throw new WireException("the input ended within a batch");
+                throw new WireException("input ended within a batch");
             }
             if (line.equals("END")) {
                 break;
@@ -82,7 +87,7 @@
             } else if (name.equals("PAGE")) {
                 readPage(fields);
             } else if (current == null) {
-                throw new WireException("'" + name + "' comes before any INSTANCE");
+                throw new WireException("'" + name + "' before any INSTANCE");
             } else {
                 handleEvent(now, current, name, fields);
             }
@@ -102,11 +107,11 @@
         for (long i = 0; i < count; i++) {
             String line = in.readLine();
             if (line == null) {
-                throw new WireException("the input ended within a PAGE");
+                throw new WireException("input ended within a PAGE");
             }
             Fields row = new Fields(line);
             if (!row.nextText().equals("ROW")) {
-                throw new WireException("a PAGE holds ROW lines, not '" + line + "'");
+                throw new WireException("a PAGE must consist of ROW lines, not '" + line + "'");
             }
             String zone = row.nextText();
             String id = row.nextText();
@@ -123,18 +128,18 @@
         pages.set(number, entries);
     }
 
-    private void handleEvent(long now, String name, String event, Fields f) {
+    private void handleEvent(long now, String name, String event, Fields fields) {
         Instance instance = instances.get(name);
         if (instance == null && !event.equals("ENLIST")) {
             if (event.equals("DOWN")) {
                 return;
             }
-            throw new WireException("'" + event + "' for '" + name + "', which has not started");
+            throw new WireException("'" + event + "' for instance '" + name + "', which has not started");
         }
         switch (event) {
             case "ENLIST" -> {
-                long seed = f.nextLong();
-                SettingsReader reader = new SettingsReader(f);
+                long seed = fields.nextLong();
+                SettingsReader reader = new SettingsReader(fields);
                 Balancer.Settings settings = reader.read();
                 callModule(
                         name,
@@ -146,9 +151,9 @@
             }
             case "DOWN" -> instances.remove(name);
             case "ANNOUNCE" -> {
-                ListKind kind = parseListKind(f.nextLong());
-                f.nextLongOr(0);
-                int number = (int) f.nextLongOr(-1);
+                ListKind kind = parseListKind(fields.nextLong());
+                fields.nextLongOr(0);
+                int number = (int) fields.nextLongOr(-1);
                 List<Upstream> entries = kind == ListKind.FAILED
                         ? List.of()
                         : number >= 0 && number < pages.size() ? pages.get(number) : null;
@@ -158,53 +163,53 @@
                 callModule(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
             }
             case "ACCEPT" -> {
-                String id = f.nextText();
-                long key = f.nextLongOr(-1);
-                boolean repeat = f.nextBoolean();
-                boolean write = f.nextBoolean();
-                double hint = f.nextDoubleOr(0);
-                long remaining = f.nextLong();
-                String tenant = f.nextTextOrNull();
-                Request request = new Request(id, key, repeat, write, hint, remaining, tenant, f.nextText());
+                String id = fields.nextText();
+                long key = fields.nextLongOr(-1);
+                boolean repeat = fields.nextBoolean();
+                boolean write = fields.nextBoolean();
+                double hint = fields.nextDoubleOr(0);
+                long remaining = fields.nextLong();
+                String tenant = fields.nextTextOrNull();
+                Request request = new Request(id, key, repeat, write, hint, remaining, tenant, fields.nextText());
                 callModule(name, () -> instance.balancer.onRequest(now, request));
             }
             case "REPORT_BACK" -> {
-                String id = f.nextText();
-                int attempt = (int) f.nextLong();
-                String upstream = f.nextText();
-                Outcome outcome = parseOutcome(f.nextText());
-                long latency = f.nextLongOr(0);
-                boolean done = f.nextBoolean();
-                LoadReport report = parseLoadReport(f.nextTextOrNull(), instance.loadReportFields);
+                String id = fields.nextText();
+                int attempt = (int) fields.nextLong();
+                String upstream = fields.nextText();
+                Outcome outcome = parseOutcome(fields.nextText());
+                long latency = fields.nextLongOr(0);
+                boolean done = fields.nextBoolean();
+                LoadReport report = parseLoadReport(fields.nextTextOrNull(), instance.loadReportFields);
                 callModule(
                         name,
                         () -> instance.balancer.onOutcome(now, id, attempt, upstream, outcome, latency, done, report));
             }
             case "OPENED" -> {
-                String id = f.nextText();
-                int attempt = (int) f.nextLong();
-                long latency = f.nextLongOr(0);
-                String upstream = f.nextText();
+                String id = fields.nextText();
+                int attempt = (int) fields.nextLong();
+                long latency = fields.nextLongOr(0);
+                String upstream = fields.nextText();
                 callModule(name, () -> instance.balancer.onStreamStart(now, id, attempt, upstream, latency));
             }
             case "PROBED" -> {
-                String upstream = f.nextText();
-                Outcome outcome = parseOutcome(f.nextText());
-                long latency = f.nextLongOr(0);
-                LoadReport report = parseLoadReport(f.nextTextOrNull(), instance.loadReportFields);
+                String upstream = fields.nextText();
+                Outcome outcome = parseOutcome(fields.nextText());
+                long latency = fields.nextLongOr(0);
+                LoadReport report = parseLoadReport(fields.nextTextOrNull(), instance.loadReportFields);
                 callModule(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
             }
             case "EXPIRED" -> {
-                String id = f.nextText();
+                String id = fields.nextText();
                 callModule(name, () -> instance.balancer.onRequestExpired(now, id));
             }
             case "MAIL" -> {
-                int peer = (int) f.nextLong();
-                byte[] message = decodeBase64(f.nextTextOrNull());
+                int peer = (int) fields.nextLong();
+                byte[] message = decodeBase64(fields.nextTextOrNull());
                 callModule(name, () -> instance.balancer.onPeerMessage(now, peer, message));
             }
             case "DEADLINE_HIT" -> {
-                String mark = f.nextText();
+                String mark = fields.nextText();
                 callModule(name, () -> instance.balancer.onTimer(now, mark));
             }
             default -> throw new WireException("message '" + event + "' is unknown");
@@ -253,8 +258,8 @@
         };
     }
 
-    private static Outcome parseOutcome(String word) {
-        return switch (word) {
+    private static Outcome parseOutcome(String name) {
+        return switch (name) {
             case "GOOD" -> Outcome.OK;
             case "BAD" -> Outcome.ERROR;
             case "FULL" -> Outcome.REJECTED;
@@ -263,7 +268,7 @@
             case "RST" -> Outcome.RESET;
             case "CXL" -> Outcome.CANCELLED;
             case "NOP" -> Outcome.NOT_SENT;
-            default -> throw new WireException("outcome '" + word + "' is unknown");
+            default -> throw new WireException("outcome '" + name + "' is unknown");
         };
     }
 
@@ -277,13 +282,13 @@
             try {
                 values.put(names.get(i), parts[i].equals("-") ? -1 : Double.parseDouble(parts[i]));
             } catch (NumberFormatException e) {
-                throw new WireException("load report '" + row + "' holds a value that is no number");
+                throw new WireException("load report '" + row + "' contains a value that is not a number");
             }
         }
         return values.toLoadReport();
     }
 
-    /** Writes one instance's actions into the reply. */
+    /** Writes one instance's actions to the reply. */
     private final class ActionWriter implements Balancer.Actions {
         private final String name;
 
--- a/src/main/java/rushproxy/wire/WireException.java
+++ b/src/main/java/rushproxy/wire/WireException.java
@@ -1,6 +1,6 @@
 package rushproxy.wire;
 
-/** Input that does not follow the wire; the message is meant for a person. */
+/** Input that violates the protocol or the settings' format; the message is shown to the user. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/rushproxy/AffinityTest.java
+++ b/src/test/java/rushproxy/AffinityTest.java
@@ -12,65 +12,69 @@
 import rushproxy.Balancer.Request;
 import rushproxy.Balancer.Upstream;
 
-/** Requests of one key meet the same two servers, at every sidecar, and all keys together each server by its share. */
+/** Key affinity: requests of one key go to the same two servers from every sidecar, and all keys are spread by the shares. */
 class AffinityTest {
     private static final int SERVERS = 12;
 
-    private static PolicyHarness rig(long seed, int me) {
-        PolicyHarness rig = new PolicyHarness();
-        rig.seed = seed;
-        rig.sidecarIndex = me;
-        Upstream[] ups = new Upstream[SERVERS];
+    private static PolicyHarness harness(long seed, int sidecarIndex) {
+        PolicyHarness harness = new PolicyHarness();
+        harness.seed = seed;
+        harness.sidecarIndex = sidecarIndex;
+        Upstream[] servers = new Upstream[SERVERS];
         for (int i = 0; i < SERVERS; i++) {
-            ups[i] = PolicyHarness.upstream("s" + i, "za", i);
+            servers[i] = PolicyHarness.upstream("s" + i, "za", i);
         }
-        return rig.start().receiveList(ups);
+        return harness.start().receiveList(servers);
     }
 
-    private static String send(PolicyHarness rig, String id, long key, boolean answer) {
-        rig.advance(3_000);
-        rig.policy.onRequest(rig.now, new Request(id, key, false, false, 0, 800_000, null, "c"));
-        String at = rig.sentTo(id, 0);
+    private static String send(PolicyHarness harness, String id, long key, boolean answer) {
+        harness.advance(3_000);
+        harness.policy.onRequest(harness.now, new Request(id, key, false, false, 0, 800_000, null, "c"));
+        String at = harness.sentTo(id, 0);
         if (answer && at != null) {
-            rig.advance(1_000).outcome(id, 0, at, Outcome.OK, 75_000);
+            harness.advance(1_000).outcome(id, 0, at, Outcome.OK, 75_000);
         }
         return at;
     }
 
     @Test
-    void aKeyMeetsTwoServersOnlyAndTheSameAtAllSidecars() {
+    void keyUsesTheSameTwoServersFromAllSidecars() {
         for (long key = 0; key < 40; key++) {
-            Set<String> pair = new HashSet<>();
-            for (int me = 0; me < 2; me++) {
-                PolicyHarness rig = rig(7 + me, me);
+            Set<String> used = new HashSet<>();
+            for (int sidecar = 0; sidecar < 2; sidecar++) {
+                PolicyHarness harness = harness(7 + sidecar, sidecar);
                 for (int i = 0; i < 25; i++) {
-                    pair.add(send(rig, "r" + i, key, true));
+                    used.add(send(harness, "r" + i, key, true));
                 }
             }
-            assertTrue(pair.size() <= 2, key + ": " + pair);
+            assertTrue(used.size() <= 2, key + ": " + used);
         }
     }
 
     @Test
-    void overAllKeysServersThatAreAlikeGetAsMuch() {
-        PolicyHarness rig = rig(7, 0);
-        Map<String, Integer> got = new HashMap<>();
+    void keysAreSpreadEvenlyOverEqualServers() {
+        PolicyHarness harness = harness(7, 0);
+        Map<String, Integer> received = new HashMap<>();
         int requests = 6_000;
         for (int i = 0; i < requests; i++) {
-            got.merge(send(rig, "r" + i, i, true), 1, Integer::sum);
+            received.merge(send(harness, "r" + i, i, true), 1, Integer::sum);
         }
-        assertEquals(SERVERS, got.size());
-        got.forEach((s, n) -> assertTrue(Math.abs(n - requests / SERVERS) < requests / SERVERS / 3, got.toString()));
+        assertEquals(SERVERS, received.size());
+        received.forEach(
+                (s, n) -> assertTrue(Math.abs(n - requests / SERVERS) < requests / SERVERS / 3, received.toString()));
     }
 
     @Test
-    void aPopularKeyIsServedBeyondItsPairWhereThatIsFull() {
-        PolicyHarness rig = rig(7, 0);
+    void popularKeySpillsOverWhenItsServersAreFull() {
+        PolicyHarness harness = harness(7, 0);
         Map<String, Integer> held = new HashMap<>();
         for (int i = 0; i < SERVERS; i++) {
-            held.merge(send(rig, "r" + i, 5, false), 1, Integer::sum);
+            held.merge(send(harness, "r" + i, 5, false), 1, Integer::sum);
         }
-        assertEquals(SERVERS, held.values().stream().mapToInt(n -> n).sum(), "none waits while others are free");
+        assertEquals(
+                SERVERS,
+                held.values().stream().mapToInt(n -> n).sum(),
+                "no request waits while other servers are free");
         assertTrue(held.size() > 4, held.toString());
     }
 }
--- a/src/test/java/rushproxy/ArchitectureTest.java
+++ b/src/test/java/rushproxy/ArchitectureTest.java
@@ -7,10 +7,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The arrows of docs/ARCHITECTURE.md. */
+/** Enforces the dependencies between packages that docs/ARCHITECTURE.md describes. */
 @AnalyzeClasses(packages = "rushproxy", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    private static final String[] PEOPLES_LIBRARIES = {
+    private static final String[] INTERACTIVE_LIBRARIES = {
         "picocli..",
         "com.fasterxml.jackson.databind..",
         "com.fasterxml.jackson.dataformat..",
@@ -19,7 +19,7 @@
     };
 
     @ArchTest
-    static final ArchRule THE_MODULE_USES_NOTHING = noClasses()
+    static final ArchRule POLICY_DEPENDS_ON_THE_JDK_ONLY = noClasses()
             .that()
             .resideInAPackage("rushproxy")
             .and()
@@ -29,7 +29,7 @@
             .resideOutsideOfPackages("rushproxy", "java.lang..", "java.util..", "java.nio");
 
     @ArchTest
-    static final ArchRule THE_WIRE_USES_THE_MODULE_ALONE = noClasses()
+    static final ArchRule WIRE_DEPENDS_ON_THE_POLICY_ONLY = noClasses()
             .that()
             .resideInAPackage("rushproxy.wire..")
             .should()
@@ -37,7 +37,7 @@
             .resideInAnyPackage("rushproxy.sidecar..", "rushproxy.lab..", "rushproxy.cli..", "io.netty..");
 
     @ArchTest
-    static final ArchRule THE_FLEET_PLANE_HAS_NO_IO = noClasses()
+    static final ArchRule FLEET_PLANE_HAS_NO_IO = noClasses()
             .that()
             .resideInAPackage("rushproxy.fleet..")
             .should()
@@ -55,7 +55,7 @@
             .allowEmptyShould(true);
 
     @ArchTest
-    static final ArchRule WHAT_SERVES_KNOWS_NOTHING_OF_WHAT_PEOPLE_USE = noClasses()
+    static final ArchRule SERVING_CODE_DOES_NOT_DEPEND_ON_LAB_OR_CLI = noClasses()
             .that()
             .resideInAnyPackage("rushproxy", "rushproxy.wire..", "rushproxy.sidecar..", "rushproxy.fleet..")
             .and()
@@ -64,19 +64,22 @@
             .dependOnClassesThat()
             .resideInAnyPackage("rushproxy.lab..", "rushproxy.cli..");
 
-    /** A release counts latencies in histograms that add up; what serves loads none of it before one begins (ServeClassLoadingTest). */
+    /**
+     * Releases are exempt, as they merge latency histograms; a serving process loads those classes only when a release begins
+     * (ServeClassLoadingTest).
+     */
     @ArchTest
-    static final ArchRule WHAT_SERVES_USES_NO_LIBRARY_OF_PEOPLES = noClasses()
+    static final ArchRule SERVING_CODE_USES_NO_INTERACTIVE_LIBRARY = noClasses()
             .that()
             .resideInAnyPackage("rushproxy", "rushproxy.wire..", "rushproxy.sidecar..", "rushproxy.fleet..")
             .and()
             .resideOutsideOfPackage("rushproxy.fleet.release..")
             .should()
             .dependOnClassesThat()
-            .resideInAnyPackage(PEOPLES_LIBRARIES);
+            .resideInAnyPackage(INTERACTIVE_LIBRARIES);
 
     @ArchTest
-    static final ArchRule NOBODY_BUT_COMMANDS_USES_THE_LABORATORY = noClasses()
+    static final ArchRule ONLY_COMMANDS_DEPEND_ON_THE_LAB = noClasses()
             .that()
             .resideOutsideOfPackages("rushproxy.lab..", "rushproxy.cli..")
             .should()
@@ -84,16 +87,16 @@
             .resideInAPackage("rushproxy.lab..");
 
     @ArchTest
-    static final ArchRule THE_LABORATORY_DOES_NOT_KNOW_ITS_COMMANDS = noClasses()
+    static final ArchRule LAB_DOES_NOT_DEPEND_ON_COMMANDS = noClasses()
             .that()
             .resideInAPackage("rushproxy.lab..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("rushproxy.cli..");
 
-    /** What was observed, not what the program thinks: checkers and the world know nothing of it. Simulations run its own classes. */
+    /** Checkers rely on observations instead of the program's own state. Only simulations run its classes. */
     @ArchTest
-    static final ArchRule THE_LABORATORY_JUDGES_FROM_OUTSIDE = noClasses()
+    static final ArchRule LAB_CHECKS_FROM_OUTSIDE = noClasses()
             .that()
             .resideInAPackage("rushproxy.lab..")
             .and()
--- a/src/test/java/rushproxy/EstimatesTest.java
+++ b/src/test/java/rushproxy/EstimatesTest.java
@@ -9,46 +9,46 @@
 import org.junit.jupiter.api.Test;
 import rushproxy.Balancer.Outcome;
 
-/** What one instance has learned is the beginning of another. */
+/** Estimates exported by one sidecar initialise another. */
 class EstimatesTest {
-    /** Learns that servers are three times as slow as the settings' classes say. */
-    private static PolicyHarness taught(double slower) {
-        PolicyHarness rig = new PolicyHarness()
+    /** A policy that has learned that latencies are {@code slower} times those implied by the settings. */
+    private static PolicyHarness trainedHarness(double slower) {
+        PolicyHarness harness = new PolicyHarness()
                 .start()
                 .receiveList(PolicyHarness.upstream("s0", "za", 0), PolicyHarness.upstream("s1", "za", 1));
         for (int i = 0; i < 200; i++) {
-            rig.advance(5_000).request("r" + i);
-            if (rig.sentTo("r" + i, 0) != null) {
-                long us = (long) (75_000 * slower);
-                rig.advance(us).outcome("r" + i, 0, rig.sentTo("r" + i, 0), Outcome.OK, us);
+            harness.advance(5_000).request("r" + i);
+            if (harness.sentTo("r" + i, 0) != null) {
+                long latencyUs = (long) (75_000 * slower);
+                harness.advance(latencyUs).outcome("r" + i, 0, harness.sentTo("r" + i, 0), Outcome.OK, latencyUs);
             }
         }
-        return rig;
+        return harness;
     }
 
     @Test
-    void aFreshOneBeginsWhereTheOthersAre() {
+    void freshPolicyTakesImportedEstimates() {
         PolicyHarness fresh = new PolicyHarness().start();
-        byte[] known = taught(0.5).policy.exportEstimates();
-        assertFalse(java.util.Arrays.equals(known, fresh.policy.exportEstimates()));
-        assertEquals(2, fresh.policy.importEstimates(fresh.now, List.of(known, known)));
-        assertArrayEquals(known, fresh.policy.exportEstimates());
+        byte[] export = trainedHarness(0.5).policy.exportEstimates();
+        assertFalse(java.util.Arrays.equals(export, fresh.policy.exportEstimates()));
+        assertEquals(2, fresh.policy.importEstimates(fresh.now, List.of(export, export)));
+        assertArrayEquals(export, fresh.policy.exportEstimates());
     }
 
     @Test
-    void oneAmongThreeMovesNothing() {
-        byte[] known = taught(0.5).policy.exportEstimates();
-        Estimates lie = new Estimates(settings());
-        assertTrue(lie.decode(known));
-        java.util.Arrays.fill(lie.slowness, 100);
-        lie.congestion = 500;
+    void falseExportAmongThreeHasNoEffect() {
+        byte[] export = trainedHarness(0.5).policy.exportEstimates();
+        Estimates falseExport = new Estimates(settings());
+        assertTrue(falseExport.decode(export));
+        java.util.Arrays.fill(falseExport.slowness, 100);
+        falseExport.congestion = 500;
         PolicyHarness fresh = new PolicyHarness().start();
-        fresh.policy.importEstimates(fresh.now, List.of(known, lie.encode(), known));
-        assertArrayEquals(known, fresh.policy.exportEstimates());
+        fresh.policy.importEstimates(fresh.now, List.of(export, falseExport.encode(), export));
+        assertArrayEquals(export, fresh.policy.exportEstimates());
     }
 
     private static Balancer.Settings settings() {
-        Balancer.RequestClass c = new Balancer.RequestClass(
+        Balancer.RequestClass requestClass = new Balancer.RequestClass(
                 "c", Balancer.Semantics.SAFE, Balancer.DedupScope.ALL, 0, 1, 0, 1, 1, 0, false);
         return new Balancer.Settings(
                 0,
@@ -56,7 +56,7 @@
                 "za",
                 List.of("za", "zb", "zc"),
                 List.of("k"),
-                List.of(c),
+                List.of(requestClass),
                 List.of(),
                 null,
                 null,
@@ -69,28 +69,29 @@
     }
 
     @Test
-    void whatIsNoKnowledgeIsLeftOut() {
+    void malformedExportsAreIgnored() {
         PolicyHarness fresh = new PolicyHarness().start();
         byte[] own = fresh.policy.exportEstimates();
-        byte[] known = taught(0.5).policy.exportEstimates();
-        byte[] version = known.clone();
+        byte[] export = trainedHarness(0.5).policy.exportEstimates();
+        byte[] version = export.clone();
         version[0] = 9;
-        byte[] shape = known.clone();
+        byte[] shape = export.clone();
         shape[2]++;
-        byte[] impossible = known.clone();
-        java.nio.ByteBuffer.wrap(impossible).putFloat(5, Float.NaN);
-        byte[] negative = known.clone();
-        java.nio.ByteBuffer.wrap(negative).putFloat(known.length - 8, -1);
-        List<byte[]> bad = List.of(new byte[0], new byte[500], version, shape, impossible, negative);
+        byte[] notANumber = export.clone();
+        java.nio.ByteBuffer.wrap(notANumber).putFloat(5, Float.NaN);
+        byte[] negative = export.clone();
+        java.nio.ByteBuffer.wrap(negative).putFloat(export.length - 8, -1);
+        List<byte[]> bad = List.of(new byte[0], new byte[500], version, shape, notANumber, negative);
         assertEquals(0, fresh.policy.importEstimates(fresh.now, bad));
         assertArrayEquals(own, fresh.policy.exportEstimates());
     }
 
     @Test
-    void whoKnowsMoreItselfTakesNothing() {
-        PolicyHarness old = taught(2);
-        byte[] own = old.policy.exportEstimates();
-        old.policy.importEstimates(old.now, List.of(taught(0.5).policy.exportEstimates()));
-        assertArrayEquals(own, old.policy.exportEstimates());
+    void policyWithManyAnswersKeepsItsEstimates() {
+        PolicyHarness trained = trainedHarness(2);
+        byte[] own = trained.policy.exportEstimates();
+        trained.policy.importEstimates(
+                trained.now, List.of(trainedHarness(0.5).policy.exportEstimates()));
+        assertArrayEquals(own, trained.policy.exportEstimates());
     }
 }
--- a/src/test/java/rushproxy/FleetStatusTest.java
+++ b/src/test/java/rushproxy/FleetStatusTest.java
@@ -10,52 +10,54 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** What the module makes of word on the fleet: the table of docs/MEMBERSHIP.md. */
+/** How the policy uses the fleet's membership, as in the table of docs/MEMBERSHIP.md. */
 class FleetStatusTest {
-    private static PolicyHarness rig() {
-        PolicyHarness rig = new PolicyHarness();
-        rig.sidecarCount = 10;
-        return rig.start();
+    private static PolicyHarness harness() {
+        PolicyHarness harness = new PolicyHarness();
+        harness.sidecarCount = 10;
+        return harness.start();
     }
 
-    private static void told(PolicyHarness rig, int here, QuorumState standing) {
-        rig.policy.onFleetStatus(rig.now, new FleetStatus(here, List.of(here, 0, 0), standing, rig.now + 3_000_000));
+    private static void setStatus(PolicyHarness harness, int live, QuorumState quorum) {
+        harness.policy.onFleetStatus(
+                harness.now, new FleetStatus(live, List.of(live, 0, 0), quorum, harness.now + 3_000_000));
     }
 
     @Test
-    void theLivingCountInAMajorityOnlyAndOnlyForAWhile() {
-        PolicyHarness rig = rig();
-        assertEquals(10, rig.policy.effectiveSidecars(rig.now), "never told");
-        told(rig, 7, QuorumState.MAJORITY);
-        assertEquals(7, rig.policy.effectiveSidecars(rig.now));
-        assertEquals(10, rig.policy.effectiveSidecars(rig.now + 3_000_000), "past its bound");
-        told(rig, 3, QuorumState.MINORITY);
-        assertEquals(10, rig.policy.effectiveSidecars(rig.now));
-        told(rig, 1, QuorumState.NOBODY);
-        assertEquals(10, rig.policy.effectiveSidecars(rig.now));
-        told(rig, 99, QuorumState.MAJORITY);
-        assertEquals(10, rig.policy.effectiveSidecars(rig.now), "more than there are");
+    void liveSidecarsCountOnlyInAMajorityAndWhileValid() {
+        PolicyHarness harness = harness();
+        assertEquals(10, harness.policy.effectiveSidecars(harness.now), "no status");
+        setStatus(harness, 7, QuorumState.MAJORITY);
+        assertEquals(7, harness.policy.effectiveSidecars(harness.now));
+        assertEquals(10, harness.policy.effectiveSidecars(harness.now + 3_000_000), "status has expired");
+        setStatus(harness, 3, QuorumState.MINORITY);
+        assertEquals(10, harness.policy.effectiveSidecars(harness.now));
+        setStatus(harness, 1, QuorumState.NOBODY);
+        assertEquals(10, harness.policy.effectiveSidecars(harness.now));
+        setStatus(harness, 99, QuorumState.MAJORITY);
+        assertEquals(10, harness.policy.effectiveSidecars(harness.now), "more than configured");
     }
 
-    /** All requests that a cold server gets in a while, at the rate of a crowd. */
-    private static int sentToCold(PolicyHarness rig) {
-        rig.receiveList(new Upstream("cold", "za", "k", 0, rig.now, 1, UpstreamState.READY));
+    /** Number of requests that a cold server gets in 2 s under overload. */
+    private static int sentToCold(PolicyHarness harness) {
+        harness.receiveList(new Upstream("cold", "za", "k", 0, harness.now, 1, UpstreamState.READY));
         for (int i = 0; i < 2_000; i++) {
-            rig.advance(1_000).request("r" + i);
+            harness.advance(1_000).request("r" + i);
         }
-        return rig.actionsWith("send ").size();
+        return harness.actionsWith("send ").size();
     }
 
     @Test
-    void whoIsGoneLeavesNobodyMoreOfAColdServersBudget() {
-        PolicyHarness without = new PolicyHarness().start();
-        int before = sentToCold(without);
-        // Even a lie.
-        PolicyHarness with = new PolicyHarness().start();
-        with.policy.onFleetStatus(
-                with.now, new FleetStatus(1, List.of(1, 0, 0), QuorumState.MAJORITY, with.now + 60_000_000));
+    void fewerLiveSidecarsDoNotRaiseAColdServersBudget() {
+        PolicyHarness withoutStatus = new PolicyHarness().start();
+        int before = sentToCold(withoutStatus);
+        // Even a false status has no effect.
+        PolicyHarness withStatus = new PolicyHarness().start();
+        withStatus.policy.onFleetStatus(
+                withStatus.now,
+                new FleetStatus(1, List.of(1, 0, 0), QuorumState.MAJORITY, withStatus.now + 60_000_000));
         assertTrue(before > 0);
-        int after = sentToCold(with);
-        assertTrue(after <= before, after + " after " + before);
+        int after = sentToCold(withStatus);
+        assertTrue(after <= before, after + " with a status of one sidecar, without it " + before);
     }
 }
--- a/src/test/java/rushproxy/MainTest.java
+++ b/src/test/java/rushproxy/MainTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as its platform starts and ends it. */
+/** Starts, signals and stops the program as its platform does. */
 @Timeout(120)
 class MainTest {
     @TempDir
@@ -25,7 +25,7 @@
         return start(config, "exec \"$0\" \"$@\"");
     }
 
-    /** {@code shell} is the line of a shell that ends in the program: {@code "$0" "$@"}. */
+    /** Starts the program from a shell; {@code shell} ends with the command {@code "$0" "$@"}. */
     private Process start(String config, String shell) throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aBrokenConfigurationEndsItWithOneLine() throws Exception {
+    void invalidConfigurationEndsTheProcessWithOneLogLine() throws Exception {
         Process p = start("{\"name\":\"n\"}");
         assertEquals(2, p.waitFor());
         assertEquals(1, log().size(), log().toString());
@@ -68,21 +68,21 @@
 
     private void awaitLog(Process p, String text) throws Exception {
         while (log().stream().noneMatch(l -> l.contains(text))) {
-            assertTrue(p.isAlive(), () -> "it ended instead of logging '" + text + "'");
+            assertTrue(p.isAlive(), () -> "the process ended instead of logging '" + text + "'");
             Thread.sleep(20);
         }
     }
 
-    private static void hangUp(Process p) throws Exception {
+    private static void sendHangUp(Process p) throws Exception {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor());
     }
 
-    /** What a process does whose configuration was broken, which it has been told of, and now names another address of discovery. */
-    private interface AfterTheMove {
+    /** Checks a process after a reload of an invalid configuration, which has then been replaced by one with a new discovery address. */
+    private interface DiscoveryMoveCheck {
         void check(Process process, Socket oldWatch, ServerSocket moved) throws Exception;
     }
 
-    private void moveDiscovery(AfterTheMove then) throws Exception {
+    private void moveDiscovery(DiscoveryMoveCheck then) throws Exception {
         try (ServerSocket before = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 ServerSocket after = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             after.setSoTimeout(20_000);
@@ -91,7 +91,7 @@
             try (Socket old = before.accept()) {
                 awaitLog(p, " serves on ");
                 Files.writeString(folder.resolve("config.json"), "{");
-                hangUp(p);
+                sendHangUp(p);
                 awaitLog(p, "nothing reloaded");
                 Files.writeString(
                         folder.resolve("config.json"),
@@ -104,11 +104,11 @@
         }
     }
 
-    /** A replaced configuration moves the watch to discovery's new address; a broken one changes nothing. */
+    /** A reload moves the watch to the new discovery address; an invalid configuration changes nothing. */
     @Test
-    void askedToReloadItWatchesTheNewAddressAndLivesOn() throws Exception {
+    void reloadWatchesTheNewDiscoveryAddress() throws Exception {
         moveDiscovery((process, oldWatch, moved) -> {
-            hangUp(process);
+            sendHangUp(process);
             try (Socket fresh = moved.accept()) {
                 byte[] start = fresh.getInputStream().readNBytes(32);
                 assertEquals("GET /registry/instances?index=1&", new String(start, StandardCharsets.US_ASCII));
@@ -118,9 +118,9 @@
         });
     }
 
-    /** It can't be read whole for a moment, as while it is being written: what it says counts from the signal on all the same. */
+    /** A configuration that is incomplete during a reload, for example while it is written, is read again without another signal. */
     @Test
-    void aConfigurationThatCanNotBeReadForAMomentIsReadAgain() throws Exception {
+    void temporarilyUnreadableConfigurationIsReadAgain() throws Exception {
         moveDiscovery((process, oldWatch, moved) -> {
             try (Socket fresh = moved.accept()) {
                 assertTrue(process.isAlive(), log().toString());
@@ -128,9 +128,9 @@
         });
     }
 
-    /** An address that another has for a moment, as while the process before ends, is no reason not to start. */
+    /** The listen address may still be in use for a moment, for example by a predecessor that is ending. */
     @Test
-    void anAddressThatIsTakenForAMomentIsWaitedFor() throws Exception {
+    void listenAddressInUseIsRetried() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Process p = start(CONFIG.replace(
                     "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + taken.getLocalPort() + "\""));
@@ -145,9 +145,9 @@
         }
     }
 
-    /** The runtime leaves an ignored signal ignored: whoever looks for the reload that never came finds why. */
+    /** The JVM keeps an ignored signal ignored: the log must explain why reloads do not happen. */
     @Test
-    void startedWithTheReloadSignalIgnoredItSaysSo() throws Exception {
+    void ignoredReloadSignalIsLogged() throws Exception {
         Process p = start(CONFIG, "trap '' HUP; exec \"$0\" \"$@\"");
         try {
             awaitLog(p, " serves on ");
@@ -158,9 +158,9 @@
         }
     }
 
-    /** Asked to end it exits with 0 once it is empty, which a signal's own exit code would not tell. */
+    /** On SIGTERM the process exits with 0 once it has drained; the signal's own exit code would hide that. */
     @Test
-    void askedToEndItExitsWithZero() throws Exception {
+    void terminationExitsWithZero() throws Exception {
         Process p = start(CONFIG);
         awaitLog(p, " serves on ");
         p.destroy();
@@ -171,9 +171,9 @@
         assertTrue(log.get(log.size() - 1).contains(" leaves after "), log.toString());
     }
 
-    /** A reload that comes before there is anything to reload is done as soon as there is; it does not end the process. */
+    /** A reload signal before the configuration is loaded is handled afterwards and does not end the process. */
     @Test
-    void askedToReloadWhileItStartsItDoesSoAndLives() throws Exception {
+    void reloadDuringStartupIsDoneAfterwards() throws Exception {
         Path file = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         ProcessBuilder builder = new ProcessBuilder(
@@ -188,16 +188,16 @@
         Process p = builder.start();
         try (ServerSocket moved = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             moved.setSoTimeout(60_000);
-            // Opened for writing only once it is opened for reading: the process is at its configuration.
+            // Opening a pipe for writing waits for its reader: the process now reads its configuration.
             try (java.io.OutputStream first = Files.newOutputStream(file)) {
-                hangUp(p);
-                // Handled by now, or it would have ended the process by now: it waits for the rest of the file.
+                sendHangUp(p);
+                // An unhandled signal would have ended the process by now; it waits for the rest of the file.
                 assertTrue(!p.waitFor(500, TimeUnit.MILLISECONDS), log().toString());
                 Files.writeString(
                         folder.resolve("next.json"),
                         CONFIG.replace("on_request", "pushed")
                                 .replace("127.0.0.1:9", "127.0.0.1:" + moved.getLocalPort()));
-                // What is open stays the pipe; what is read next is this.
+                // The open file remains the pipe; the next read gets this file.
                 Files.move(folder.resolve("next.json"), file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 first.write(CONFIG.replace("on_request", "pushed").getBytes(StandardCharsets.US_ASCII));
             }
@@ -210,9 +210,9 @@
         }
     }
 
-    /** A list of 1,024 servers, indented, and 1,024 peers that are members, in a quarter of the heap that the platform gives. */
+    /** 1,024 servers in an indented list and 1,024 peers fit into a quarter of the heap that the platform provides. */
     @Test
-    void aLargeFleetFitsIntoTheMemoryOfOneSidecar() throws Exception {
+    void largeFleetFitsIntoASidecarsMemory() throws Exception {
         StringBuilder servers = new StringBuilder();
         StringBuilder peers = new StringBuilder();
         for (int i = 0; i < 1_024; i++) {
--- a/src/test/java/rushproxy/PolicyHarness.java
+++ b/src/test/java/rushproxy/PolicyHarness.java
@@ -17,7 +17,7 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** One instance of the module under test, its actions written down as lines. */
+/** A policy under test; its actions are recorded as lines of text. */
 final class PolicyHarness implements Balancer.Actions {
     final List<String> actions = new ArrayList<>();
     long now = 1_000_000_000L;
@@ -44,9 +44,10 @@
     List<RequestClass> otherClasses = List.of();
 
     PolicyHarness start() {
-        RequestClass c = new RequestClass("c", semantics, dedupScope, dedupWindowUs, aimUs, 0, 800_000, 3, 0, stream);
+        RequestClass requestClass =
+                new RequestClass("c", semantics, dedupScope, dedupWindowUs, aimUs, 0, 800_000, 3, 0, stream);
         List<RequestClass> classes = new ArrayList<>(otherClasses);
-        classes.add(c);
+        classes.add(requestClass);
         Settings settings = new Settings(
                 sidecarIndex,
                 sidecarCount,
@@ -95,7 +96,7 @@
         return this;
     }
 
-    /** Fires the timer, as the host would. */
+    /** Fires a timer as the host does. */
     PolicyHarness fireTimer(String mark) {
         policy.onTimer(now, mark);
         return this;
@@ -105,7 +106,7 @@
         return actions.stream().filter(a -> a.startsWith(verb)).toList();
     }
 
-    /** Where the attempt of this number of the request went, or null. */
+    /** The server to which the given attempt of a request was sent, or null. */
     String sentTo(String id, int attempt) {
         List<String> sends = actionsWith("send " + id + " ");
         return attempt < sends.size() ? sends.get(attempt).split(" ")[2] : null;
@@ -127,8 +128,8 @@
     }
 
     @Override
-    public void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
-        actions.add("evidence " + upstream + " " + kind);
+    public void reportEvidence(String upstream, Balancer.Evidence evidence, double factor) {
+        actions.add("evidence " + upstream + " " + evidence);
     }
 
     @Override
--- a/src/test/java/rushproxy/ServeClassLoadingTest.java
+++ b/src/test/java/rushproxy/ServeClassLoadingTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A sidecar's start loads nothing of what only people use. */
+/** A serving sidecar loads no classes that only the interactive tools need. */
 @Timeout(120)
 class ServeClassLoadingTest {
-    private static final String NOT_OF_SERVE =
+    private static final String FORBIDDEN_CLASSES =
             "rushproxy\\.(lab|cli)|picocli|com\\.fasterxml\\.jackson\\.(databind|dataformat)"
                     + "|org\\.HdrHistogram|org\\.apache\\.commons";
 
@@ -28,7 +28,7 @@
     Path folder;
 
     @Test
-    void servingLoadsNoClassOfTheLaboratoryOrItsLibraries() throws Exception {
+    void servingLoadsNoLabOrCliClasses() throws Exception {
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG);
         Path loaded = folder.resolve("loaded");
         Path log = folder.resolve("log");
@@ -41,23 +41,23 @@
                 "serve");
         builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
         builder.environment().put("BALANCER_CONFIG", config.toString());
-        Process p = builder.redirectError(log.toFile()).start();
+        Process process = builder.redirectError(log.toFile()).start();
         try {
             while (!Files.readString(log).contains(" serves on ")) {
-                assertTrue(p.isAlive(), () -> "it ended instead of serving");
+                assertTrue(process.isAlive(), () -> "the process ended instead of serving");
                 Thread.sleep(20);
             }
         } finally {
-            p.destroy();
-            assertTrue(p.waitFor(60, TimeUnit.SECONDS));
+            process.destroy();
+            assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         }
         List<String> classes = Files.readAllLines(loaded);
         assertTrue(
-                classes.stream().anyMatch(l -> l.contains(" rushproxy.sidecar.Sidecar ")), "nothing was written down");
+                classes.stream().anyMatch(l -> l.contains(" rushproxy.sidecar.Sidecar ")), "no classes were recorded");
         assertEquals(
                 List.of(),
                 classes.stream()
-                        .filter(l -> l.matches(".* (" + NOT_OF_SERVE + ")\\..*"))
+                        .filter(l -> l.matches(".* (" + FORBIDDEN_CLASSES + ")\\..*"))
                         .toList());
     }
 }
--- a/src/test/java/rushproxy/SlowStartTest.java
+++ b/src/test/java/rushproxy/SlowStartTest.java
@@ -16,24 +16,24 @@
 import rushproxy.PolicyState.Server;
 import rushproxy.PolicyState.ServerKind;
 
-/** What one of several sidecars may send to a server that has just started, also where a connection takes its time. */
+/** What one of several sidecars may send to a server that has just started, also with slow connection setup. */
 class SlowStartTest {
     private static final long WINDOW_US = 1_000_000;
     private static final long RAMP_US = 8_000_000;
-    private static final long STARTED = 100_000_000;
-    private static final double WORK = 100_000;
+    private static final long STARTED_AT_US = 100_000_000;
+    private static final double WORK_US = 100_000;
     private static final int SIDECARS = 10;
 
     private final SlowStart slowStart = new SlowStart(settings(0), false);
     private final Server server = server();
 
-    private static Settings settings(int me) {
-        return settings(me, WINDOW_US);
+    private static Settings settings(int sidecarIndex) {
+        return settings(sidecarIndex, WINDOW_US);
     }
 
-    private static Settings settings(int me, long windowUs) {
+    private static Settings settings(int sidecarIndex, long windowUs) {
         return new Settings(
-                me,
+                sidecarIndex,
                 SIDECARS,
                 "a",
                 List.of("a"),
@@ -51,70 +51,75 @@
     }
 
     private static Server server() {
-        Server s = new Server(new Upstream("s", "a", "k", 0, STARTED, 1, UpstreamState.READY), new ServerKind(1), 0, 0);
-        s.startedAt = STARTED;
+        Server s = new Server(
+                new Upstream("s", "a", "k", 0, STARTED_AT_US, 1, UpstreamState.READY), new ServerKind(1), 0, 0);
+        s.startedAt = STARTED_AT_US;
         return s;
     }
 
-    /** Half a window, a slot, after the other: in some the turn is this sidecar's, in others not. */
-    private long slotWith(boolean room, long from) {
-        for (long at = from; at < STARTED + RAMP_US; at += WINDOW_US / 2) {
-            if (slowStart.canSend(at, server, WORK, WORK) == room) {
+    /** The first slot (half a window) from {@code from} on that is this sidecar's turn, or is not. */
+    private long findSlot(boolean hasRoom, long from) {
+        for (long at = from; at < STARTED_AT_US + RAMP_US; at += WINDOW_US / 2) {
+            if (slowStart.canSend(at, server, WORK_US, WORK_US) == hasRoom) {
                 return at;
             }
         }
-        throw new AssertionError("no slot with room " + room);
+        throw new AssertionError("no slot with hasRoom " + hasRoom);
     }
 
     @Test
-    void inEachSlotAllSidecarsTogetherKeepWithinAThirdOfTheBudget() {
-        for (long at = STARTED; at < STARTED + RAMP_US; at += WINDOW_US / 2) {
+    void allSidecarsKeepWithinAThirdOfTheBudgetPerSlot() {
+        for (long at = STARTED_AT_US; at < STARTED_AT_US + RAMP_US; at += WINDOW_US / 2) {
             int sent = 0;
-            for (int me = 0; me < SIDECARS; me++) {
-                SlowStart one = new SlowStart(settings(me), false);
+            for (int sidecarIndex = 0; sidecarIndex < SIDECARS; sidecarIndex++) {
+                SlowStart one = new SlowStart(settings(sidecarIndex), false);
                 Server own = server();
-                while (one.canSend(at, own, WORK, WORK)) {
-                    one.recordSend(at, own, WORK);
+                while (one.canSend(at, own, WORK_US, WORK_US)) {
+                    one.recordSend(at, own, WORK_US);
                     sent++;
                 }
             }
             double capacity = slowStart.capacityFraction(server, at) / server.slowness();
-            assertTrue(sent * WORK <= 3 * capacity * WINDOW_US / 3, sent + " in the slot of " + (at - STARTED));
+            assertTrue(
+                    sent * WORK_US <= 3 * capacity * WINDOW_US / 3, sent + " in the slot of " + (at - STARTED_AT_US));
         }
     }
 
     @Test
-    void whatBeginsInItsSlotOrAtOnceIsNotAskedAgain() {
-        long at = slotWith(true, STARTED);
-        slowStart.recordSend(at, server, WORK);
-        assertTrue(slowStart.canStart(at + WINDOW_US / 3, server, at, WORK, WORK));
+    void attemptThatStartsInItsSlotOrSoonAfterIsAllowed() {
+        long at = findSlot(true, STARTED_AT_US);
+        slowStart.recordSend(at, server, WORK_US);
+        assertTrue(slowStart.canStart(at + WINDOW_US / 3, server, at, WORK_US, WORK_US));
         long end = at + WINDOW_US / 2;
-        assertTrue(slowStart.canStart(end + 1_000, server, end - 1_000, WORK, WORK));
+        assertTrue(slowStart.canStart(end + 1_000, server, end - 1_000, WORK_US, WORK_US));
     }
 
     @Test
-    void whatBeginsInALaterSlotNeedsRoomThereAndTakesIt() {
-        long sentAt = slotWith(true, STARTED);
-        long full = slotWith(false, sentAt + WINDOW_US / 2);
-        assertFalse(slowStart.canStart(full + WINDOW_US / 4, server, sentAt, WORK, WORK), "another sidecar's turn");
-        long free = slotWith(true, full);
-        assertTrue(slowStart.canStart(free + WINDOW_US / 4, server, sentAt, WORK, WORK));
+    void attemptThatStartsInALaterSlotIsChargedThere() {
+        long sentAt = findSlot(true, STARTED_AT_US);
+        long full = findSlot(false, sentAt + WINDOW_US / 2);
+        assertFalse(
+                slowStart.canStart(full + WINDOW_US / 4, server, sentAt, WORK_US, WORK_US), "another sidecar's turn");
+        long free = findSlot(true, full);
+        assertTrue(slowStart.canStart(free + WINDOW_US / 4, server, sentAt, WORK_US, WORK_US));
         double sent = server.slowStartWorkUs;
-        assertEquals(WORK, sent);
-        assertFalse(slowStart.canStart(free + WINDOW_US / 4, server, sentAt, 10 * WORK, WORK), "its part is used");
+        assertEquals(WORK_US, sent);
+        assertFalse(
+                slowStart.canStart(free + WINDOW_US / 4, server, sentAt, 10 * WORK_US, WORK_US),
+                "this sidecar's part is used");
     }
 
     @Test
-    void aWarmServerIsNotBounded() {
-        assertTrue(slowStart.canStart(STARTED + RAMP_US, server, STARTED, WORK, WORK));
-        assertTrue(slowStart.canSend(STARTED + RAMP_US, server, 100 * WORK, WORK));
+    void warmServerIsNotLimited() {
+        assertTrue(slowStart.canStart(STARTED_AT_US + RAMP_US, server, STARTED_AT_US, WORK_US, WORK_US));
+        assertTrue(slowStart.canSend(STARTED_AT_US + RAMP_US, server, 100 * WORK_US, WORK_US));
     }
 
-    /** A window of a microsecond has no half: each request of such a sidecar failed, by a division by zero. */
+    /** Guards against a division by zero: half of a window of 1 us is 0. */
     @Test
-    void theShortestWindowIsOne() {
+    void shortestWindowIsOneMicrosecond() {
         SlowStart shortest = new SlowStart(settings(0, 1), false);
-        shortest.recordSend(STARTED + RAMP_US, server, WORK);
-        assertTrue(shortest.canSend(STARTED + RAMP_US, server, WORK, WORK));
+        shortest.recordSend(STARTED_AT_US + RAMP_US, server, WORK_US);
+        assertTrue(shortest.canSend(STARTED_AT_US + RAMP_US, server, WORK_US, WORK_US));
     }
 }
--- a/src/test/java/rushproxy/SolveSharesTest.java
+++ b/src/test/java/rushproxy/SolveSharesTest.java
@@ -6,32 +6,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Eq. (4) against the paper's corollaries and cases worked out by hand. */
+/** Checks Eq. (4) against the paper's corollaries and hand-computed cases. */
 class SolveSharesTest {
-    private static double[] d(double... v) {
-        return v;
+    private static double[] d(double... values) {
+        return values;
     }
 
     @Test
-    void proportionalAtSaturationAndPastIt() {
+    void sharesAreProportionalAtAndAboveSaturation() {
         assertArrayEquals(d(2.0 / 3, 1.0 / 3), Policy.solveShares(d(1, 1), d(2, 1), 3), 1e-9);
         assertArrayEquals(d(2.0 / 3, 1.0 / 3), Policy.solveShares(d(1, 1), d(2, 1), 30), 1e-9);
     }
 
     @Test
-    void fastestTakesAllAtLowRateAndAtZero() {
+    void fastestGroupTakesAllAtLowRates() {
         assertArrayEquals(d(1, 0), Policy.solveShares(d(1, 1), d(2, 1), 0.1), 1e-9);
         assertArrayEquals(d(0, 1), Policy.solveShares(d(3, 2), d(1, 4), 0), 1e-9);
     }
 
     @Test
-    void handComputedCase() {
+    void matchesHandComputedCase() {
         // n = 2, mu = 4 and 1, rate 3: p1 = (4*1 - 1*2 + 3*2) / (3*(2+1)) = 8/9.
         assertArrayEquals(d(8.0 / 9, 1.0 / 9), Policy.solveShares(d(1, 1), d(4, 1), 3), 1e-9);
     }
 
     @Test
-    void negativeSharesAreDroppedAndTheRestSolvedAgain() {
+    void groupsWithNegativeSharesAreDropped() {
         // Of mu = 9, 4, 1/4 at rate 6 the slow group goes negative; the rest alone: p1 = (9*2 - 4*3 + 6*3)
         // / 30.
         double[] p = Policy.solveShares(d(1, 1, 1), d(9, 4, 0.25), 6);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void unchangedUnderScalingOfTheGroups() {
+    void sharesDoNotDependOnTheScaleOfTheGroups() {
         double[] small = Policy.solveShares(d(2, 3), d(2, 1), 5);
         double[] large = Policy.solveShares(d(200, 300), d(2, 1), 500);
         assertArrayEquals(small, large, 1e-9);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void oddInputs() {
+    void degenerateInputs() {
         assertArrayEquals(d(1), Policy.solveShares(d(5), d(2), 0.5), 1e-9);
         assertArrayEquals(d(0, 1), Policy.solveShares(d(0, 2), d(5, 1), 1), 1e-9);
         assertArrayEquals(d(0, 0), Policy.solveShares(d(0, 0), d(5, 1), 1), 1e-9);
--- a/src/test/java/rushproxy/VerdictsAndLimitsTest.java
+++ b/src/test/java/rushproxy/VerdictsAndLimitsTest.java
@@ -21,11 +21,11 @@
 import rushproxy.Balancer.UpstreamState;
 import rushproxy.Balancer.Verdict;
 
-/** What the module makes of word on servers and of limits: the tables of docs/SHARED.md. */
+/** How the policy uses verdicts, limits and weights, as in the tables of docs/SHARED.md. */
 class VerdictsAndLimitsTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
 
-    private static PolicyHarness rig() {
+    private static PolicyHarness harness() {
         return new PolicyHarness()
                 .start()
                 .receiveList(
@@ -34,274 +34,283 @@
                         PolicyHarness.upstream("s2", "za", 2));
     }
 
-    private static void told(PolicyHarness rig, String server, Evidence kind, double factor, boolean holds) {
-        rig.policy.onVerdicts(rig.now, List.of(new Verdict(server, kind, factor, 2, false, holds, rig.now + 2 * S)));
+    private static void setVerdict(
+            PolicyHarness harness, String server, Evidence evidence, double factor, boolean confirmed) {
+        harness.policy.onVerdicts(
+                harness.now,
+                List.of(new Verdict(server, evidence, factor, 2, false, confirmed, harness.now + 2 * SECOND_US)));
     }
 
-    /** Answers each at once, so that all servers are free. */
-    private static long sent(PolicyHarness rig, String server, int requests) {
-        int before = rig.actionsWith("send ").size();
+    /** Plays requests with quick answers, so that all servers stay free, and counts those sent to {@code server}. */
+    private static long countSent(PolicyHarness harness, String server, int requests) {
+        int before = harness.actionsWith("send ").size();
         for (int i = 0; i < requests; i++) {
-            String id = "r" + rig.now + "-" + i;
-            rig.advance(2_000).request(id);
-            if (rig.sentTo(id, 0) != null) {
-                rig.advance(20_000).outcome(id, 0, rig.sentTo(id, 0), Outcome.OK, 20_000);
+            String id = "r" + harness.now + "-" + i;
+            harness.advance(2_000).request(id);
+            if (harness.sentTo(id, 0) != null) {
+                harness.advance(20_000).outcome(id, 0, harness.sentTo(id, 0), Outcome.OK, 20_000);
             }
         }
-        return rig.actionsWith("send ").stream()
+        return harness.actionsWith("send ").stream()
                 .skip(before)
                 .filter(a -> a.split(" ")[2].equals(server))
                 .count();
     }
 
     @Test
-    void nothingGoesToWhatIsOutByWordUntilTheWordEnds() {
-        PolicyHarness rig = rig();
-        told(rig, "s1", Evidence.SILENT, 1, true);
-        assertEquals(0, sent(rig, "s1", 40));
-        rig.advance(2 * S);
-        assertTrue(sent(rig, "s1", 40) > 0);
+    void serverOutByVerdictGetsNoRequestsUntilTheVerdictEnds() {
+        PolicyHarness harness = harness();
+        setVerdict(harness, "s1", Evidence.SILENT, 1, true);
+        assertEquals(0, countSent(harness, "s1", 40));
+        harness.advance(2 * SECOND_US);
+        assertTrue(countSent(harness, "s1", 40) > 0);
     }
 
     @Test
-    void anAccusationAloneChangesNothing() {
-        PolicyHarness rig = rig();
-        told(rig, "s1", Evidence.SILENT, 1, false);
-        assertTrue(sent(rig, "s1", 40) > 0);
+    void unconfirmedVerdictHasNoEffect() {
+        PolicyHarness harness = harness();
+        setVerdict(harness, "s1", Evidence.SILENT, 1, false);
+        assertTrue(countSent(harness, "s1", 40) > 0);
     }
 
     @Test
-    void ownFreshAnswersGoBeforeAnyWordAndAreToldOn() {
-        PolicyHarness rig = rig();
-        assertTrue(sent(rig, "s1", 40) > 0);
-        rig.actions.clear();
-        told(rig, "s1", Evidence.FAILING, 1, true);
-        assertEquals(List.of("evidence s1 GOOD"), rig.actionsWith("evidence "));
-        assertTrue(sent(rig, "s1", 40) > 0);
-        // Old ones don't.
-        rig.advance(10 * S);
-        rig.actions.clear();
-        told(rig, "s1", Evidence.FAILING, 1, true);
-        assertEquals(List.of(), rig.actionsWith("evidence "));
-        assertEquals(0, sent(rig, "s1", 40));
+    void recentOwnSuccessesOutweighAVerdictAndAreReported() {
+        PolicyHarness harness = harness();
+        assertTrue(countSent(harness, "s1", 40) > 0);
+        harness.actions.clear();
+        setVerdict(harness, "s1", Evidence.FAILING, 1, true);
+        assertEquals(List.of("evidence s1 GOOD"), harness.actionsWith("evidence "));
+        assertTrue(countSent(harness, "s1", 40) > 0);
+        // Old successes do not.
+        harness.advance(10 * SECOND_US);
+        harness.actions.clear();
+        setVerdict(harness, "s1", Evidence.FAILING, 1, true);
+        assertEquals(List.of(), harness.actionsWith("evidence "));
+        assertEquals(0, countSent(harness, "s1", 40));
     }
 
     @Test
-    void noWordUndoesACordonOrADrain() {
-        PolicyHarness rig = rig();
-        rig.policy.onCordon(rig.now, "s1", true, rig.now);
-        rig.receiveList(
+    void verdictDoesNotUndoACordonOrADrain() {
+        PolicyHarness harness = harness();
+        harness.policy.onCordon(harness.now, "s1", true, harness.now);
+        harness.receiveList(
                 PolicyHarness.upstream("s0", "za", 0),
                 PolicyHarness.upstream("s1", "za", 1),
                 new Upstream("s2", "za", "k", 2, 0, 1, UpstreamState.DRAINING));
-        told(rig, "s1", Evidence.GOOD, 1, true);
-        told(rig, "s2", Evidence.GOOD, 1, true);
-        told(rig, "nobody", Evidence.SILENT, 1, true);
-        assertEquals(0, sent(rig, "s1", 20) + sent(rig, "s2", 20));
-        assertEquals(20, sent(rig, "s0", 20));
+        setVerdict(harness, "s1", Evidence.GOOD, 1, true);
+        setVerdict(harness, "s2", Evidence.GOOD, 1, true);
+        setVerdict(harness, "nobody", Evidence.SILENT, 1, true);
+        assertEquals(0, countSent(harness, "s1", 20) + countSent(harness, "s2", 20));
+        assertEquals(20, countSent(harness, "s0", 20));
     }
 
     @Test
-    void whatWasSeenOfAServerIsTold() {
-        PolicyHarness rig = rig();
-        rig.request("a");
-        String at = rig.sentTo("a", 0);
-        rig.advance(1_000).outcome("a", 0, at, Outcome.CONNECT_FAILED, 1_000);
-        assertEquals(List.of("evidence " + at + " SILENT"), rig.actionsWith("evidence "));
-        rig.advance(3 * S);
-        sent(rig, at, 60);
+    void ownObservationsAreReported() {
+        PolicyHarness harness = harness();
+        harness.request("a");
+        String at = harness.sentTo("a", 0);
+        harness.advance(1_000).outcome("a", 0, at, Outcome.CONNECT_FAILED, 1_000);
+        assertEquals(List.of("evidence " + at + " SILENT"), harness.actionsWith("evidence "));
+        harness.advance(3 * SECOND_US);
+        countSent(harness, at, 60);
         assertTrue(
-                rig.actionsWith("evidence ").contains("evidence " + at + " GOOD"),
-                rig.actionsWith("evidence ").toString());
+                harness.actionsWith("evidence ").contains("evidence " + at + " GOOD"),
+                harness.actionsWith("evidence ").toString());
     }
 
     @Test
-    void errorsThatComeFasterThanAnAnswerCouldAreToldAsSuch() {
-        PolicyHarness rig = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0));
+    void errorsFasterThanAnAnswerAreReportedAsFastFailures() {
+        PolicyHarness harness = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0));
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            rig.advance(1_000).request("a" + i);
-            if (rig.sentTo("a" + i, 0) != null) {
+            harness.advance(1_000).request("a" + i);
+            if (harness.sentTo("a" + i, 0) != null) {
                 ids.add("a" + i);
             }
         }
-        ids.forEach(id -> rig.advance(200).outcome(id, 0, "s0", Outcome.ERROR, 200));
-        assertTrue(rig.actionsWith("evidence ").contains("evidence s0 FAILING_FAST"), rig.actions.toString());
+        ids.forEach(id -> harness.advance(200).outcome(id, 0, "s0", Outcome.ERROR, 200));
+        assertTrue(harness.actionsWith("evidence ").contains("evidence s0 FAILING_FAST"), harness.actions.toString());
     }
 
     @Test
-    void aRestartThatTheListDoesNotTellMakesAServerCold() {
-        PolicyHarness rig = rig();
-        long warm = sent(rig, "s1", 60);
-        rig.advance(10 * S);
-        told(rig, "s1", Evidence.COLD, 0, true);
-        long cold = sent(rig, "s1", 60);
+    void verdictOnAnUnlistedRestartMakesTheServerCold() {
+        PolicyHarness harness = harness();
+        long warm = countSent(harness, "s1", 60);
+        harness.advance(10 * SECOND_US);
+        setVerdict(harness, "s1", Evidence.COLD, 0, true);
+        long cold = countSent(harness, "s1", 60);
         assertTrue(cold < warm, cold + " and " + warm);
-        // Nobody's word makes it warm before its time.
+        // A verdict never makes a server warm before its ramp ends.
         PolicyHarness other = new PolicyHarness()
                 .start()
                 .receiveList(
                         PolicyHarness.upstream("s0", "za", 0),
-                        new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
-        other.now = rig.now;
-        told(other, "s1", Evidence.COLD, 1_000, true);
+                        new Upstream("s1", "za", "k", 1, harness.now - SECOND_US, 1, UpstreamState.READY));
+        other.now = harness.now;
+        setVerdict(other, "s1", Evidence.COLD, 1_000, true);
         PolicyHarness without = new PolicyHarness()
                 .start()
                 .receiveList(
                         PolicyHarness.upstream("s0", "za", 0),
-                        new Upstream("s1", "za", "k", 1, rig.now - S, 1, UpstreamState.READY));
-        without.now = rig.now;
-        assertEquals(sent(without, "s1", 60), sent(other, "s1", 60));
+                        new Upstream("s1", "za", "k", 1, harness.now - SECOND_US, 1, UpstreamState.READY));
+        without.now = harness.now;
+        assertEquals(countSent(without, "s1", 60), countSent(other, "s1", 60));
     }
 
-    private static void share(PolicyHarness rig, boolean inFlight, double share, double alone) {
-        rig.policy.onLimitShares(
-                rig.now, List.of(new LimitShare("l", LimitScope.CLASS, "c", inFlight, share, alone, rig.now + S)));
+    private static void setShare(PolicyHarness harness, boolean inFlight, double share, double fallback) {
+        harness.policy.onLimitShares(
+                harness.now,
+                List.of(new LimitShare(
+                        "l", LimitScope.CLASS, "c", inFlight, share, fallback, harness.now + SECOND_US)));
     }
 
-    private static int refusedOf(PolicyHarness rig, int requests, long everyUs) {
-        int before = rig.actionsWith("refuse ").size();
+    private static int countRefused(PolicyHarness harness, int requests, long everyUs) {
+        int before = harness.actionsWith("refuse ").size();
         for (int i = 0; i < requests; i++) {
-            String id = "q" + rig.now;
-            rig.advance(everyUs).request(id);
-            if (rig.sentTo(id, 0) != null) {
-                rig.outcome(id, 0, rig.sentTo(id, 0), Outcome.OK, 1_000);
+            String id = "q" + harness.now;
+            harness.advance(everyUs).request(id);
+            if (harness.sentTo(id, 0) != null) {
+                harness.outcome(id, 0, harness.sentTo(id, 0), Outcome.OK, 1_000);
             }
         }
-        return rig.actionsWith("refuse ").size() - before;
+        return harness.actionsWith("refuse ").size() - before;
     }
 
     @Test
-    void moreThanTheShareIsRefusedAndPastItsTimeThePartAlone() {
-        PolicyHarness rig = rig();
-        share(rig, false, 20, 5);
-        int refused = refusedOf(rig, 100, 9_000);
+    void requestsBeyondTheShareAreRefusedAndAfterItsEndBeyondTheFallback() {
+        PolicyHarness harness = harness();
+        setShare(harness, false, 20, 5);
+        int refused = countRefused(harness, 100, 9_000);
         assertTrue(refused >= 75 && refused <= 82, "of 100 in 0.9 s, 18 and a burst of 5 pass: " + refused);
-        assertEquals(100 / 0.9, rig.policy.collectLimitDemands(900_000).get("l"), 0.1);
-        rig.advance(S);
-        refused = refusedOf(rig, 100, 10_000);
+        assertEquals(100 / 0.9, harness.policy.collectLimitDemands(900_000).get("l"), 0.1);
+        harness.advance(SECOND_US);
+        refused = countRefused(harness, 100, 10_000);
         assertTrue(refused >= 93 && refused <= 95, "5 a second: " + refused);
     }
 
     @Test
-    void placesInFlightAreGivenBackWithEachEnd() {
-        PolicyHarness rig = rig();
-        share(rig, true, 2, 1);
-        rig.request("a").request("b").request("c");
-        assertEquals(List.of("refuse c"), rig.actionsWith("refuse "));
-        assertEquals(3, rig.policy.collectLimitDemands(S).get("l"));
-        rig.advance(5_000).outcome("a", 0, rig.sentTo("a", 0), Outcome.OK, 5_000);
-        rig.request("d");
-        assertFalse(rig.actionsWith("refuse ").contains("refuse d"));
-        rig.policy.onLimitShares(rig.now, List.of());
-        rig.request("e").request("f");
-        assertEquals(1, rig.actionsWith("refuse ").size(), "no limit any more");
+    void inFlightLimitIsReleasedWhenARequestEnds() {
+        PolicyHarness harness = harness();
+        setShare(harness, true, 2, 1);
+        harness.request("a").request("b").request("c");
+        assertEquals(List.of("refuse c"), harness.actionsWith("refuse "));
+        assertEquals(3, harness.policy.collectLimitDemands(SECOND_US).get("l"));
+        harness.advance(5_000).outcome("a", 0, harness.sentTo("a", 0), Outcome.OK, 5_000);
+        harness.request("d");
+        assertFalse(harness.actionsWith("refuse ").contains("refuse d"));
+        harness.policy.onLimitShares(harness.now, List.of());
+        harness.request("e").request("f");
+        assertEquals(1, harness.actionsWith("refuse ").size(), "no limit applies any more");
     }
 
-    private static void weigh(PolicyHarness rig, Map<String, Double> of) {
-        rig.policy.onServerWeights(rig.now, new Balancer.ServerWeights(of, rig.now + 1_000 * S));
+    private static void setWeights(PolicyHarness harness, Map<String, Double> of) {
+        harness.policy.onServerWeights(harness.now, new Balancer.ServerWeights(of, harness.now + 1_000 * SECOND_US));
     }
 
     @Test
-    void aServerGetsThePartOfItsShareThatItsWeightSays() {
-        PolicyHarness rig = rig();
-        weigh(rig, Map.of("s1", 0.2));
-        long part = sent(rig, "s1", 600);
-        // Without a weight a third; of 1 + 1 + 0.2 shares a server of 0.2 is drawn first or second and wins in some 200
-        // / 2.2 cases.
+    void weightScalesAServersShare() {
+        PolicyHarness harness = harness();
+        setWeights(harness, Map.of("s1", 0.2));
+        long part = countSent(harness, "s1", 600);
+        // Without a weight it would get a third. With 0.2 of 2.2 shares it is drawn as first or second, and used, in
+        // about
+        // 200 / 2.2 cases.
         assertTrue(part > 20 && part < 110, "of 600: " + part);
-        weigh(rig, Map.of("s1", 0.0));
-        assertEquals(0, sent(rig, "s1", 200));
-        weigh(rig, Map.of());
-        assertTrue(sent(rig, "s1", 300) > 60);
+        setWeights(harness, Map.of("s1", 0.0));
+        assertEquals(0, countSent(harness, "s1", 200));
+        setWeights(harness, Map.of());
+        assertTrue(countSent(harness, "s1", 300) > 60);
     }
 
     @Test
-    void whatIsFullElsewhereIsNotSentAgainstAWeightOfNone() {
-        PolicyHarness rig = rig();
-        weigh(rig, Map.of("s0", 0.0, "s1", 0.0, "s2", 0.0));
-        rig.request("a");
-        assertEquals(List.of(), rig.actionsWith("send "));
-        rig.advance(1_000 * S).fireTimer("hold").request("b");
-        assertEquals(1, rig.actionsWith("send b ").size(), "past its time it counts as never told");
+    void serversOfWeightZeroGetNoRequestsEvenIfNoOtherIsFree() {
+        PolicyHarness harness = harness();
+        setWeights(harness, Map.of("s0", 0.0, "s1", 0.0, "s2", 0.0));
+        harness.request("a");
+        assertEquals(List.of(), harness.actionsWith("send "));
+        harness.advance(1_000 * SECOND_US).fireTimer("hold").request("b");
+        assertEquals(1, harness.actionsWith("send b ").size(), "past its time it counts as never setVerdict");
     }
 
     @Test
-    void aColdServersTurnsGoByItsWeightToo() {
+    void weightAlsoScalesAColdServersTurns() {
         Upstream cold = new Upstream("s1", "za", "k", 1, 1_000_000_000L, 1, UpstreamState.READY);
         PolicyHarness with = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0), cold);
-        weigh(with, Map.of("s1", 0.05));
+        setWeights(with, Map.of("s1", 0.05));
         PolicyHarness without = new PolicyHarness().start().receiveList(PolicyHarness.upstream("s0", "za", 0), cold);
-        long few = sent(with, "s1", 600);
-        long many = sent(without, "s1", 600);
+        long few = countSent(with, "s1", 600);
+        long many = countSent(without, "s1", 600);
         assertTrue(4 * few < many, few + " and " + many);
     }
 
-    /** Two of many servers refuse connections; this sidecar is a witness against both, and their ejections are over. */
-    private static PolicyHarness witness() {
-        PolicyHarness rig = new PolicyHarness();
-        rig.otherClasses = List.of(
+    /** Two of many servers refuse connections; this sidecar is a witnessHarness against both, and their ejections are over. */
+    private static PolicyHarness witnessHarness() {
+        PolicyHarness harness = new PolicyHarness();
+        harness.otherClasses = List.of(
                 new RequestClass("unsafe", Semantics.UNSAFE, DedupScope.ALL, 0, 300_000, 0, 800_000, 3, 0, false));
         Upstream[] all = new Upstream[40];
         Arrays.setAll(all, i -> PolicyHarness.upstream("s" + i, "za", i));
-        rig.start().receiveList(all);
+        harness.start().receiveList(all);
         for (int i = 0;
-                rig.actionsWith("evidence s0 ").isEmpty()
-                        || rig.actionsWith("evidence s1 ").isEmpty();
+                harness.actionsWith("evidence s0 ").isEmpty()
+                        || harness.actionsWith("evidence s1 ").isEmpty();
                 i++) {
-            String to = rig.advance(1_000).request("w" + i).sentTo("w" + i, 0);
+            String to = harness.advance(1_000).request("w" + i).sentTo("w" + i, 0);
             boolean down = to.equals("s0") || to.equals("s1");
-            rig.outcome("w" + i, 0, to, down ? Outcome.CONNECT_FAILED : Outcome.OK, 20_000);
+            harness.outcome("w" + i, 0, to, down ? Outcome.CONNECT_FAILED : Outcome.OK, 20_000);
             if (down) {
-                rig.outcome("w" + i, 1, rig.sentTo("w" + i, 1), Outcome.OK, 20_000);
+                harness.outcome("w" + i, 1, harness.sentTo("w" + i, 1), Outcome.OK, 20_000);
             }
         }
-        rig.advance(S);
-        rig.policy.onVerdicts(
-                rig.now,
+        harness.advance(SECOND_US);
+        harness.policy.onVerdicts(
+                harness.now,
                 List.of(
-                        new Verdict("s0", Evidence.SILENT, 1, 2, true, true, rig.now + 2 * S),
-                        new Verdict("s1", Evidence.SILENT, 1, 2, true, true, rig.now + 2 * S)));
-        return rig;
+                        new Verdict("s0", Evidence.SILENT, 1, 2, true, true, harness.now + 2 * SECOND_US),
+                        new Verdict("s1", Evidence.SILENT, 1, 2, true, true, harness.now + 2 * SECOND_US)));
+        return harness;
     }
 
-    /** Guards against a request that fails at one server known to be out and is then used to try the next such one. */
+    /** Guards against a request that fails at one server known to be out and is then sent to another such server. */
     @Test
-    void aRequestTriesOneServerThatIsOutAtMost() {
-        PolicyHarness rig = witness().request("a");
-        assertEquals("s0", rig.sentTo("a", 0));
-        rig.outcome("a", 0, "s0", Outcome.CONNECT_FAILED, 1_000);
-        assertNotEquals("s1", rig.sentTo("a", 1));
-        assertEquals("s1", rig.request("b").sentTo("b", 0));
+    void requestTriesAtMostOneEjectedServer() {
+        PolicyHarness harness = witnessHarness().request("a");
+        assertEquals("s0", harness.sentTo("a", 0));
+        harness.outcome("a", 0, "s0", Outcome.CONNECT_FAILED, 1_000);
+        assertNotEquals("s1", harness.sentTo("a", 1));
+        assertEquals("s1", harness.request("b").sentTo("b", 0));
     }
 
-    /** Guards against a server known to be out that is tried by a request which nobody may send again. */
+    /** Guards against trying a server known to be out with a request that can't be retried. */
     @Test
-    void whatMayNotBeRepeatedTriesNoServerThatIsOut() {
-        PolicyHarness rig = witness();
-        rig.policy.onRequest(rig.now, new Balancer.Request("a", -1, false, true, 0, 800_000, null, "unsafe", false));
-        assertFalse(List.of("s0", "s1").contains(rig.sentTo("a", 0)));
-        assertEquals("s0", rig.request("b").sentTo("b", 0));
+    void unsafeRequestTriesNoEjectedServer() {
+        PolicyHarness harness = witnessHarness();
+        harness.policy.onRequest(
+                harness.now, new Balancer.Request("a", -1, false, true, 0, 800_000, null, "unsafe", false));
+        assertFalse(List.of("s0", "s1").contains(harness.sentTo("a", 0)));
+        assertEquals("s0", harness.request("b").sentTo("b", 0));
     }
 
-    /** Guards against a first failure of a new process that is told as one more of the process before it. */
+    /** Guards against a first failure of a new process that is setVerdict as one more of the process before it. */
     @Test
-    void aProcessThatIsNewIsNotAccusedForTheOneBefore() {
-        PolicyHarness rig = witness();
-        rig.receiveList(new Upstream("s0", "za", "k", 0, rig.now - 100 * S, 1, UpstreamState.READY));
-        rig.actions.clear();
-        for (int i = 0; rig.actionsWith("send a" + (i - 1) + " s0 ").isEmpty(); i++) {
-            rig.advance(1_000).request("a" + i).outcome("a" + i, 0, rig.sentTo("a" + i, 0), Outcome.TIMEOUT, 800_000);
+    void restartedServerIsNotAccusedForItsPreviousProcess() {
+        PolicyHarness harness = witnessHarness();
+        harness.receiveList(new Upstream("s0", "za", "k", 0, harness.now - 100 * SECOND_US, 1, UpstreamState.READY));
+        harness.actions.clear();
+        for (int i = 0; harness.actionsWith("send a" + (i - 1) + " s0 ").isEmpty(); i++) {
+            harness.advance(1_000)
+                    .request("a" + i)
+                    .outcome("a" + i, 0, harness.sentTo("a" + i, 0), Outcome.TIMEOUT, 800_000);
         }
-        assertEquals(List.of(), rig.actionsWith("evidence s0 "));
+        assertEquals(List.of(), harness.actionsWith("evidence s0 "));
     }
 
-    /** Guards against a second request that is lost to a silent server each time that it is tried. */
+    /** Guards against losing a second request with each trial of a silent server. */
     @Test
-    void aTrialOfAServerThatStaysSilentLosesOneRequest() {
-        PolicyHarness rig = witness().request("a");
-        assertEquals("s0", rig.sentTo("a", 0));
-        rig.advance(800_000).outcome("a", 0, "s0", Outcome.TIMEOUT, 800_000);
-        assertEquals("s1", rig.request("b").sentTo("b", 0));
+    void trialOfASilentServerLosesOneRequestOnly() {
+        PolicyHarness harness = witnessHarness().request("a");
+        assertEquals("s0", harness.sentTo("a", 0));
+        harness.advance(800_000).outcome("a", 0, "s0", Outcome.TIMEOUT, 800_000);
+        assertEquals("s1", harness.request("b").sentTo("b", 0));
     }
 }
