--- a/src/test/java/rushproxy/FleetSlowStartTest.java
+++ b/src/test/java/rushproxy/FleetSlowStartTest.java
@@ -30,8 +30,8 @@
 import rushproxy.Balancer.UpstreamState;
 
 /**
- * Slow start of one server under a fleet of sidecars that don't communicate: what totalRate of them send to it in any window, compared
- * with the budget N of its true capacity plus an allowance for chance of 2 * sqrt(N) + 2. Speeds and work are speedPerCore sidecar's own
+ * Slow start of one server under a fleet of sidecars that don't communicate: what all of them send to it in any window, compared
+ * with the budget N of its true capacity plus an allowance for chance of 2 * sqrt(N) + 2. Speeds and work are each sidecar's own
  * estimates from the few answers it sees, and traffic is spread unevenly over the sidecars.
  */
 @Timeout(900)
@@ -42,7 +42,7 @@
 
     /**
      * Result of a simulation: {@code calls} and {@code work} (in calls of mean work) by which the worst window exceeds N + 2 * sqrt(N)
-     * + 2, the calls to the coldShare server, and the fraction of requests served.
+     * + 2, the calls to the cold server, and the fraction of requests served.
      */
     record Result(double calls, double work, int callsToCold, double served) {}
 
@@ -87,7 +87,7 @@
                 (a, b) -> a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
         final List<Policy> fleet = new ArrayList<>();
         final Server[] servers = new Server[SERVERS];
-        final java.util.Map<String, double[]> requestWork = new java.util.HashMap<>();
+        final Map<String, double[]> requestWork = new java.util.HashMap<>();
         final List<double[]> callsToCold = new ArrayList<>();
         final double coldShare;
         final long rampUs;
@@ -116,14 +116,14 @@
             }
             int slow = random.nextInt(2);
             for (int i = 0; i < SERVERS; i++) {
-                // Two speeds, and speedPerCore server somewhat off its kind.
+                // Two speeds, and each server deviates somewhat from its kind.
                 servers[i] = new Server(
                         (i % 2 == slow ? 0.9 : 1.8) * Math.exp(0.15 * random.nextGaussian()),
                         i == 0 ? now + 4 * SECOND_US : 0);
             }
-            for (int me = 0; me < sidecarCount; me++) {
+            for (int index = 0; index < sidecarCount; index++) {
                 Settings settings = new Settings(
-                        me,
+                        index,
                         sidecarCount,
                         "z",
                         List.of("z"),
@@ -139,7 +139,7 @@
                         0.1,
                         new Prices(0, 0, 0, 0, 0),
                         1_000);
-                int sidecar = me;
+                int sidecar = index;
                 fleet.add(new Policy(settings, random.nextLong(), now, new SimulatedActions(sidecar)));
             }
         }
@@ -148,15 +148,15 @@
             events.add(new Event(us, order++, action));
         }
 
-        List<Upstream> list(boolean restarted) {
-            List<Upstream> totalRate = new ArrayList<>();
+        List<Upstream> upstreams(boolean restarted) {
+            List<Upstream> entries = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
                 if (i > 0 || restarted) {
-                    totalRate.add(
+                    entries.add(
                             new Upstream("s" + i, "z", "k" + i % 2, 0, servers[i].startedUs, 1, UpstreamState.READY));
                 }
             }
-            return totalRate;
+            return entries;
         }
 
         double capacity(Server s, long us) {
@@ -167,11 +167,11 @@
         }
 
         Result run() {
-            double mean = (meanWorkUs[0] + meanWorkUs[1] + meanWorkUs[2]) / 3;
-            double totalRate =
-                    Arrays.stream(servers).mapToDouble(s -> CORES * s.speed).sum() * 1e6 / mean;
+            double meanUs = (meanWorkUs[0] + meanWorkUs[1] + meanWorkUs[2]) / 3;
+            double capacityRate =
+                    Arrays.stream(servers).mapToDouble(s -> CORES * s.speed).sum() * 1e6 / meanUs;
             // From low load to an overload that the servers can't handle.
-            double rate = totalRate * (0.4 + 1.6 * random.nextDouble());
+            double arrivalRate = capacityRate * (0.4 + 1.6 * random.nextDouble());
             double[] rateShare = new double[sidecarCount];
             double sum = 0;
             for (int i = 0; i < sidecarCount; i++) {
@@ -180,27 +180,27 @@
             }
             long end = servers[0].startedUs + rampUs + SECOND_US;
             for (int i = 0; i < sidecarCount; i++) {
-                int me = i;
-                fleet.get(i).onUpstreamList(now, ListKind.FULL, list(false));
-                double own = rate * rateShare[i] / sum / 1e6;
-                at(now + nextArrivalUs(own), () -> arriveRequest(me, own, end));
+                int sidecar = i;
+                fleet.get(i).onUpstreamList(now, ListKind.FULL, upstreams(false));
+                double ownRate = arrivalRate * rateShare[i] / sum / 1e6;
+                at(now + nextArrivalUs(ownRate), () -> arriveRequest(sidecar, ownRate, end));
                 at(
                         servers[0].startedUs + random.nextInt(100_000),
-                        () -> fleet.get(me).onUpstreamList(now, ListKind.FULL, list(true)));
+                        () -> fleet.get(sidecar).onUpstreamList(now, ListKind.FULL, upstreams(true)));
             }
-            for (Event e; (e = events.poll()) != null && e.atUs < end; ) {
-                now = e.atUs;
-                e.action.run();
+            for (Event event; (event = events.poll()) != null && event.atUs < end; ) {
+                now = event.atUs;
+                event.action.run();
             }
-            return compareWithBudget(mean);
+            return compareWithBudget(meanUs);
         }
 
         private long nextArrivalUs(double perUs) {
             return 1 + (long) (-Math.log(1 - random.nextDouble()) / perUs);
         }
 
-        private void arriveRequest(int sidecar, double own, long end) {
-            at(now + nextArrivalUs(own), () -> arriveRequest(sidecar, own, end));
+        private void arriveRequest(int sidecar, double ownRate, long end) {
+            at(now + nextArrivalUs(ownRate), () -> arriveRequest(sidecar, ownRate, end));
             int c = random.nextInt(3);
             String id = "r" + requested++;
             double coefficientOfVariation = 0.7;
@@ -212,18 +212,18 @@
                     .onRequest(now, new Request(id, -1, false, false, 0, (long) (meanWorkUs[c] * 16), null, "c" + c));
         }
 
-        private void startQueued(Server s) {
-            while (s.running < CORES && !s.queue.isEmpty()) {
-                Call call = s.queue.poll();
-                s.running++;
-                double speedPerCore = capacity(s, now) / CORES;
+        private void startQueued(Server server) {
+            while (server.running < CORES && !server.queue.isEmpty()) {
+                Call call = server.queue.poll();
+                server.running++;
+                double speedPerCore = capacity(server, now) / CORES;
                 at(now + 300 + (long) (call.work / speedPerCore), () -> {
-                    s.running--;
-                    startQueued(s);
+                    server.running--;
+                    startQueued(server);
                     served++;
                     LoadReport report = reports == LoadReporting.NONE
                             ? null
-                            : new LoadReport(s.running + s.queue.size(), s.queue.size(), 0.5);
+                            : new LoadReport(server.running + server.queue.size(), server.queue.size(), 0.5);
                     fleet.get(call.sidecar)
                             .onOutcome(
                                     now,
@@ -238,17 +238,17 @@
             }
         }
 
-        private Result compareWithBudget(double mean) {
+        private Result compareWithBudget(double meanUs) {
             double worstCalls = Double.NEGATIVE_INFINITY;
             double worstWork = Double.NEGATIVE_INFINITY;
             for (int i = 0; i < callsToCold.size(); i++) {
-                double from = callsToCold.get(i)[0];
-                double budget = overloadMultiple * capacity(servers[0], (long) from) * windowUs / mean;
+                double windowStart = callsToCold.get(i)[0];
+                double budget = overloadMultiple * capacity(servers[0], (long) windowStart) * windowUs / meanUs;
                 double allowed = budget + 2 * Math.sqrt(budget) + 2;
                 double work = 0;
                 int calls = 0;
-                for (int j = i; j < callsToCold.size() && callsToCold.get(j)[0] < from + windowUs; j++) {
-                    work += callsToCold.get(j)[1] / mean;
+                for (int j = i; j < callsToCold.size() && callsToCold.get(j)[0] < windowStart + windowUs; j++) {
+                    work += callsToCold.get(j)[1] / meanUs;
                     calls++;
                 }
                 worstCalls = Math.max(worstCalls, calls - allowed);
@@ -258,24 +258,24 @@
         }
 
         private final class SimulatedActions implements Balancer.Actions {
-            private final int me;
+            private final int sidecar;
 
-            SimulatedActions(int me) {
-                this.me = me;
+            SimulatedActions(int sidecar) {
+                this.sidecar = sidecar;
             }
 
             @Override
             public void send(String request, String upstream, long untilUs) {
-                Server s = servers[Integer.parseInt(upstream.substring(1))];
+                Server server = servers[Integer.parseInt(upstream.substring(1))];
                 double[] work = requestWork.get(request);
                 int number = (int) work[1]++;
-                long sent = now;
+                long sentUs = now;
                 at(now + 200, () -> {
-                    if (s == servers[0]) {
+                    if (server == servers[0]) {
                         callsToCold.add(new double[] {now, work[0]});
                     }
-                    s.queue.add(new Call(me, request, number, upstream, work[0], sent));
-                    startQueued(s);
+                    server.queue.add(new Call(sidecar, request, number, upstream, work[0], sentUs));
+                    startQueued(server);
                 });
             }
 
@@ -302,7 +302,7 @@
 
             @Override
             public void startTimer(String mark, long delayUs) {
-                at(now + delayUs, () -> fleet.get(me).onTimer(now, mark));
+                at(now + delayUs, () -> fleet.get(sidecar).onTimer(now, mark));
             }
 
             @Override
@@ -324,11 +324,11 @@
         HARD_SEEDS.forEach((sidecarCount, seeds) -> {
             for (LoadReporting reports : new LoadReporting[] {LoadReporting.NONE, LoadReporting.INLINE}) {
                 for (int seed : seeds) {
-                    Result f = new Simulation(seed, sidecarCount, reports).run();
-                    assertTrue(f.callsToCold > 0, "no call warms the server");
+                    Result result = new Simulation(seed, sidecarCount, reports).run();
+                    assertTrue(result.callsToCold > 0, "no call warms the server");
                     assertTrue(
-                            f.calls <= 0 && f.work <= 0,
-                            () -> sidecarCount + " sidecars, seed " + seed + ", reports " + reports + ": " + f);
+                            result.calls <= 0 && result.work <= 0,
+                            () -> sidecarCount + " sidecars, seed " + seed + ", reports " + reports + ": " + result);
                 }
             }
         });
@@ -349,18 +349,18 @@
             double sent = 0;
             double served = 0;
             for (int seed = from; seed < from + seeds; seed++) {
-                Result f = new Simulation(seed, sidecarCount, reports).run();
-                worst = Math.max(f.calls, f.work) > Math.max(calls, work) ? seed : worst;
-                calls = Math.max(calls, f.calls);
-                work = Math.max(work, f.work);
-                over += f.calls > 0 || f.work > 0 ? 1 : 0;
-                sent += f.callsToCold;
-                served += f.served;
+                Result result = new Simulation(seed, sidecarCount, reports).run();
+                worst = Math.max(result.calls, result.work) > Math.max(calls, work) ? seed : worst;
+                calls = Math.max(calls, result.calls);
+                work = Math.max(work, result.work);
+                over += result.calls > 0 || result.work > 0 ? 1 : 0;
+                sent += result.callsToCold;
+                served += result.served;
             }
             System.out.printf(
                     Locale.ROOT,
                     "reports %s, %d sidecars, %d seeds: excess %.1f calls, %.1f of mean work, over in %d, "
-                            + "worst seed %d, sent %.0f, served %.3f%sidecarCount",
+                            + "worst seed %d, sent %.0f, served %.3f%n",
                     reports,
                     sidecarCount,
                     seeds,
--- a/src/test/java/rushproxy/SilentServerTest.java
+++ b/src/test/java/rushproxy/SilentServerTest.java
@@ -29,7 +29,7 @@
     private static final long EVIDENCE_MAX_AGE_US = 12 * SECOND_US;
 
     /** Evidence on the server that one policy has reported. */
-    private record Report(long us, Evidence kind) {}
+    private record Report(long atUs, Evidence evidence) {}
 
     private final SplittableRandom random = new SplittableRandom(5);
     private final List<PolicyHarness> harnesses = new ArrayList<>();
@@ -39,15 +39,15 @@
     private boolean usedAfterRecovery;
     private SharedSim sim;
 
-    private void simulate(int sidecars, long everyUs) {
+    private void simulate(int sidecars, long intervalUs) {
         sim = new SharedSim(21, sidecars, 2, 0, 0, 30_000).servers(Map.of("s0", 0, "s1", 1, "s2", 0, "s3", 1));
         sim.startAll();
-        for (int m = 0; m < sidecars; m++) {
+        for (int sidecar = 0; sidecar < sidecars; sidecar++) {
             PolicyHarness harness = new PolicyHarness();
-            harness.sidecarIndex = m;
+            harness.sidecarIndex = sidecar;
             harness.sidecarCount = Math.max(2, sidecars);
             harness.connectionPrice = 0.05;
-            harness.now = sim.node(m).clock();
+            harness.now = sim.node(sidecar).clock();
             harnesses.add(harness.start()
                     .receiveList(
                             PolicyHarness.upstream("s0", "za", 0),
@@ -55,61 +55,61 @@
                             PolicyHarness.upstream("s2", "za", 2),
                             PolicyHarness.upstream("s3", "zb", 3)));
             reports.add(new ArrayList<>());
-            sendRequests(m, everyUs, 0);
-            updateVerdicts(m);
+            sendRequests(sidecar, intervalUs, 0);
+            updateVerdicts(sidecar);
         }
         sim.until(END_US);
     }
 
-    private PolicyHarness harness(int m) {
-        PolicyHarness harness = harnesses.get(m);
-        harness.now = sim.node(m).clock();
+    private PolicyHarness harness(int sidecar) {
+        PolicyHarness harness = harnesses.get(sidecar);
+        harness.now = sim.node(sidecar).clock();
         return harness;
     }
 
-    private void sendRequests(int m, long everyUs, int number) {
-        harness(m).request("r" + number);
-        performActions(m);
-        sim.later(everyUs / 2 + random.nextLong(everyUs), () -> sendRequests(m, everyUs, number + 1));
+    private void sendRequests(int sidecar, long intervalUs, int number) {
+        harness(sidecar).request("r" + number);
+        performActions(sidecar);
+        sim.later(intervalUs / 2 + random.nextLong(intervalUs), () -> sendRequests(sidecar, intervalUs, number + 1));
     }
 
     /** Passes the fleet's verdicts to the policy every second, and checks them. */
-    private void updateVerdicts(int m) {
-        List<Verdicts.Case> cases = sim.node(m).cases();
-        harness(m)
+    private void updateVerdicts(int sidecar) {
+        List<Verdicts.Case> cases = sim.node(sidecar).cases();
+        harness(sidecar)
                 .policy
                 .onVerdicts(
-                        harnesses.get(m).now,
+                        harnesses.get(sidecar).now,
                         cases.stream().map(Verdicts.Case::verdict).toList());
-        performActions(m);
+        performActions(sidecar);
         boolean out = cases.stream()
                 .map(Verdicts.Case::verdict)
                 .anyMatch(v -> v.upstream().equals("s0") && v.evidence() == Evidence.SILENT && v.confirmed());
         boolean due = sim.us() > SILENT_FROM_US + DETECTION_TIME_US && sim.us() < SILENT_TO_US;
         if (due && !out || sim.us() > SILENT_TO_US + RECOVERY_TIME_US && out) {
-            violations.add("n" + m + " at " + sim.us() / SECOND_US + " s: " + cases);
+            violations.add("n" + sidecar + " at " + sim.us() / SECOND_US + " s: " + cases);
         }
-        sim.later(SECOND_US, () -> updateVerdicts(m));
+        sim.later(SECOND_US, () -> updateVerdicts(sidecar));
     }
 
     /** Carries out the policy's actions. */
-    private void performActions(int m) {
-        List<String> actions = List.copyOf(harnesses.get(m).actions);
-        harnesses.get(m).actions.clear();
+    private void performActions(int sidecar) {
+        List<String> actions = List.copyOf(harnesses.get(sidecar).actions);
+        harnesses.get(sidecar).actions.clear();
         for (String action : actions) {
-            String[] word = action.split(" ");
-            switch (word[0]) {
-                case "send" -> answer(m, word[1], word[2]);
+            String[] words = action.split(" ");
+            switch (words[0]) {
+                case "send" -> answer(sidecar, words[1], words[2]);
                 case "timer" ->
-                    sim.later(Long.parseLong(word[2]), () -> {
-                        harness(m).fireTimer(word[1]);
-                        performActions(m);
+                    sim.later(Long.parseLong(words[2]), () -> {
+                        harness(sidecar).fireTimer(words[1]);
+                        performActions(sidecar);
                     });
                 case "evidence" -> {
-                    Evidence kind = Evidence.valueOf(word[2]);
-                    sim.node(m).verdicts().evidence(sim.node(m).clock(), word[1], kind, 1_000);
-                    if (word[1].equals("s0")) {
-                        reports.get(m).add(new Report(sim.us(), kind));
+                    Evidence evidence = Evidence.valueOf(words[2]);
+                    sim.node(sidecar).verdicts().evidence(sim.node(sidecar).clock(), words[1], evidence, 1_000);
+                    if (words[1].equals("s0")) {
+                        reports.get(sidecar).add(new Report(sim.us(), evidence));
                     }
                 }
                 default -> {}
@@ -117,22 +117,22 @@
         }
     }
 
-    private void answer(int m, String request, String server) {
-        int attempt = attempts.merge(m + request, 1, Integer::sum) - 1;
+    private void answer(int sidecar, String request, String server) {
+        int attempt = attempts.merge(sidecar + request, 1, Integer::sum) - 1;
         boolean silent = server.equals("s0") && sim.us() >= SILENT_FROM_US && sim.us() < SILENT_TO_US;
         usedAfterRecovery |= server.equals("s0") && sim.us() > SILENT_TO_US + RECOVERY_TIME_US;
         long us = silent ? 400_000 : 15_000 + random.nextLong(10_000);
         sim.later(us, () -> {
-            harness(m).outcome(request, attempt, server, silent ? Outcome.TIMEOUT : Outcome.OK, us);
-            performActions(m);
+            harness(sidecar).outcome(request, attempt, server, silent ? Outcome.TIMEOUT : Outcome.OK, us);
+            performActions(sidecar);
         });
     }
 
     /** Reports from the first one of silence until the server answered again. */
-    private List<Report> reportsWhileSilent(int m) {
-        return reports.get(m).stream()
-                .dropWhile(t -> t.kind != Evidence.SILENT)
-                .filter(t -> t.us < SILENT_TO_US)
+    private List<Report> reportsWhileSilent(int sidecar) {
+        return reports.get(sidecar).stream()
+                .dropWhile(t -> t.evidence != Evidence.SILENT)
+                .filter(t -> t.atUs < SILENT_TO_US)
                 .toList();
     }
 
@@ -151,23 +151,23 @@
         "SLOW, 8, 40000",
         "SLOW, 8, 1000000"
     })
-    void noOtherEvidenceIsReportedWhileTheServerIsSilent(Evidence other, int sidecars, long everyUs) {
-        simulate(sidecars, everyUs);
-        for (int m = 0; m < sidecars; m++) {
-            List<Report> of = reportsWhileSilent(m);
-            assertTrue(of.stream().noneMatch(t -> t.kind == other), "n" + m + ": " + of);
+    void noOtherEvidenceIsReportedWhileTheServerIsSilent(Evidence other, int sidecars, long intervalUs) {
+        simulate(sidecars, intervalUs);
+        for (int sidecar = 0; sidecar < sidecars; sidecar++) {
+            List<Report> of = reportsWhileSilent(sidecar);
+            assertTrue(of.stream().noneMatch(t -> t.evidence == other), "n" + sidecar + ": " + of);
         }
     }
 
     /** Guards against evidence that expires during the silence, as time-outs are rare where requests are. */
     @ParameterizedTest
     @CsvSource({"40000", "1000000"})
-    void silenceIsReportedAgainBeforeTheEvidenceExpires(long everyUs) {
-        simulate(1, everyUs);
+    void silenceIsReportedAgainBeforeTheEvidenceExpires(long intervalUs) {
+        simulate(1, intervalUs);
         List<Report> of = reportsWhileSilent(0);
         for (int i = 0; i < of.size(); i++) {
-            long next = i + 1 < of.size() ? of.get(i + 1).us : SILENT_TO_US;
-            assertTrue(next - of.get(i).us < EVIDENCE_MAX_AGE_US, of.toString());
+            long next = i + 1 < of.size() ? of.get(i + 1).atUs : SILENT_TO_US;
+            assertTrue(next - of.get(i).atUs < EVIDENCE_MAX_AGE_US, of.toString());
         }
     }
 
@@ -177,8 +177,8 @@
      */
     @ParameterizedTest
     @CsvSource({"8, 40000", "8, 1000000", "16, 1000000"})
-    void verdictOfSilenceHoldsUntilTheServerAnswersAgain(int sidecars, long everyUs) {
-        simulate(sidecars, everyUs);
+    void verdictOfSilenceHoldsUntilTheServerAnswersAgain(int sidecars, long intervalUs) {
+        simulate(sidecars, intervalUs);
         assertEquals(List.of(), violations);
         assertTrue(usedAfterRecovery);
     }
--- a/src/test/java/rushproxy/VerdictsAndLimitsTest.java
+++ b/src/test/java/rushproxy/VerdictsAndLimitsTest.java
@@ -213,8 +213,7 @@
         setWeights(harness, Map.of("s1", 0.2));
         long part = countSent(harness, "s1", 600);
         // Without a weight it would get a third. With 0.2 of 2.2 shares it is drawn as first or second, and used, in
-        // about
-        // 200 / 2.2 cases.
+        // about 200 / 2.2 cases.
         assertTrue(part > 20 && part < 110, "of 600: " + part);
         setWeights(harness, Map.of("s1", 0.0));
         assertEquals(0, countSent(harness, "s1", 200));
@@ -229,7 +228,7 @@
         harness.request("a");
         assertEquals(List.of(), harness.actionsWith("send "));
         harness.advance(1_000 * SECOND_US).fireTimer("hold").request("b");
-        assertEquals(1, harness.actionsWith("send b ").size(), "past its time it counts as never setVerdict");
+        assertEquals(1, harness.actionsWith("send b ").size(), "expired weights have no effect");
     }
 
     @Test
@@ -243,7 +242,7 @@
         assertTrue(4 * few < many, few + " and " + many);
     }
 
-    /** Two of many servers refuse connections; this sidecar is a witnessHarness against both, and their ejections are over. */
+    /** Two of many servers refuse connections; this sidecar has witnessed both outages, and its own ejections are over. */
     private static PolicyHarness witnessHarness() {
         PolicyHarness harness = new PolicyHarness();
         harness.otherClasses = List.of(
@@ -291,7 +290,7 @@
         assertEquals("s0", harness.request("b").sentTo("b", 0));
     }
 
-    /** Guards against a first failure of a new process that is setVerdict as one more of the process before it. */
+    /** Guards against reporting the first failure of a new process as a further one of its predecessor. */
     @Test
     void restartedServerIsNotAccusedForItsPreviousProcess() {
         PolicyHarness harness = witnessHarness();
