--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -8,9 +8,8 @@
  *
  * <p>Implements HALO Power-of-D with D = 2: Eq. (4) of the paper splits the fleet's request rate among the
  * server kinds; each request draws two servers with probability p_i/k_i and goes to the less loaded one.
- * Servers that are much faster or slower than their kind form groups of their own. Full servers are not
- * drawn, and requests that find no server wait in a queue. Sends, refusals and failures each pass one method
- * that enforces the protocol rules.
+ * Outliers form groups of their own. Full servers are not drawn; requests that find no server are queued.
+ * Sends, refusals and failures each pass one method that enforces the protocol rules.
  */
 public final class Policy implements Balancer {
     // ---- constants ------------------------------------------------------------------------------
@@ -58,7 +57,7 @@
     private static final double FAST_FAILURE_RATIO = 4;
     /** Burst of a rate limit, in seconds of its share. */
     private static final double RATE_LIMIT_BURST_SECONDS = 0.25;
-    /** In points of the score: above these, pairs are not probed and requests keep to their zone. */
+    /** In points of the score: pairs are probed up to the one, requests keep to their zone from the other. */
     private static final double MAX_PROBE_PAIR_PRICE = 0.005, MIN_CROSS_ZONE_PRICE = 0.02;
 
     private static final long MIN_DISCOVERY_RETRY_US = 500_000, PROBE_TIMEOUT_US = 100_000;
@@ -73,6 +72,8 @@
     /** A connection idle for less than this is not suspected of having been dropped. */
     private static final long MIN_IDLE_LIMIT_US = 200_000, IDLE_LIMIT_TTL_US = 5_000_000;
 
+    private static final String SWEEP = "hold", GOSSIP = "tell", DISCOVERY = "ask"; // timers
+
     private final Settings config;
     private final Actions actions;
     private final SplittableRandom rng;
@@ -107,7 +108,7 @@
                 && 2 * config.prices().probe() <= MAX_PROBE_PAIR_PRICE;
         usesSubset = config.prices().connection() > 0 && config.prices().handshake() > 0;
         if (limits.peers() && config.sidecarCount() > 1) {
-            this.actions.startTimer("tell", PEER_INTERVAL_US / 2 + rng.nextLong(PEER_INTERVAL_US));
+            this.actions.startTimer(GOSSIP, PEER_INTERVAL_US / 2 + rng.nextLong(PEER_INTERVAL_US));
         }
         slowStart = new SlowStart(config, probesLoad);
         serverLoadUnknown = !probesLoad && config.sidecarCount() > SIDECARS_PER_SERVER;
@@ -614,8 +615,8 @@
     private final List<Server> warmingServers = new ArrayList<>();
 
     /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers
-     * of the own zone come first (or, for the part that a crowded zone gives away, the others); then any with
-     * a free core; then any below its bound. Servers due for a request precede. Null if it has to wait. */
+     * of the own zone come first (or the others, for the part that an overloaded zone gives away); then any
+     * with a free core; then any below its bound. Servers due for a request precede. Null: it has to wait. */
     private Server pickServer(long now, ActiveRequest active) {
         refreshShares(now);
         Server due = null;
@@ -835,7 +836,7 @@
     private void scheduleSweep() {
         if (sweepScheduled || queue.isEmpty()) return;
         sweepScheduled = true;
-        actions.startTimer("hold", SWEEP_INTERVAL_US);
+        actions.startTimer(SWEEP, SWEEP_INTERVAL_US);
     }
 
     /** Sends queued requests in order while there is room; {@code sweep} also ends those too late. */
@@ -1183,13 +1184,13 @@
     @Override
     public void onTimer(long now, String mark) {
         switch (mark) {
-            case "hold" -> {
+            case SWEEP -> {
                 sweepScheduled = false;
                 dispatchQueue(now, true);
                 scheduleSweep();
             }
-            case "tell" -> sendPeerMessage(now);
-            case "ask" -> subscribe();
+            case GOSSIP -> sendPeerMessage(now);
+            case DISCOVERY -> subscribe();
         }
     }
 
@@ -1208,7 +1209,7 @@
         listRequested = false;
         subscribed = kind != ListKind.FAILED;
         // Jittered, so that sidecars that failed together do not retry together.
-        if (!subscribed) actions.startTimer("ask", discoveryRetryUs / 2 + rng.nextLong(discoveryRetryUs));
+        if (!subscribed) actions.startTimer(DISCOVERY, discoveryRetryUs / 2 + rng.nextLong(discoveryRetryUs));
         discoveryRetryUs = subscribed
                 ? MIN_DISCOVERY_RETRY_US
                 : Math.min(discoveryRetryUs * 2, config.rules().discoveryRetryUs() / 2 + 1);
@@ -1243,7 +1244,7 @@
         actions.sendToPeer(
                 (config.sidecarIndex() + 1 + rng.nextInt(config.sidecarCount() - 1)) % config.sidecarCount(),
                 message.encode());
-        actions.startTimer("tell", PEER_INTERVAL_US);
+        actions.startTimer(GOSSIP, PEER_INTERVAL_US);
     }
 
     /** Speeds weigh by their numbers of answers. A false message has little effect; later ones undo it. */
--- a/src/main/java/rushproxy/wire/SimHost.java
+++ b/src/main/java/rushproxy/wire/SimHost.java
@@ -35,7 +35,7 @@
     /** The instance that the reply's last BY line names. */
     private String lastWrittenInstance;
     /** A policy call has thrown: no further calls are made. */
-    private boolean moduleFailed;
+    private boolean policyFailed;
 
     /** A policy instance, and the names of the values in its load reports, in order. */
     private record Instance(Balancer balancer, List<String> loadReportFields) {}
@@ -141,7 +141,7 @@
                 long seed = fields.nextLong();
                 SettingsReader reader = new SettingsReader(fields);
                 Balancer.Settings settings = reader.read();
-                callModule(
+                callPolicy(
                         name,
                         () -> instances.put(
                                 name,
@@ -160,7 +160,7 @@
                 if (entries == null) {
                     throw new WireException("ANNOUNCE names PAGE " + number + ", which was never sent");
                 }
-                callModule(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
+                callPolicy(name, () -> instance.balancer.onUpstreamList(now, kind, entries));
             }
             case "ACCEPT" -> {
                 String id = fields.nextText();
@@ -171,7 +171,7 @@
                 long remaining = fields.nextLong();
                 String tenant = fields.nextTextOrNull();
                 Request request = new Request(id, key, repeat, write, hint, remaining, tenant, fields.nextText());
-                callModule(name, () -> instance.balancer.onRequest(now, request));
+                callPolicy(name, () -> instance.balancer.onRequest(now, request));
             }
             case "REPORT_BACK" -> {
                 String id = fields.nextText();
@@ -181,7 +181,7 @@
                 long latency = fields.nextLongOr(0);
                 boolean done = fields.nextBoolean();
                 LoadReport report = parseLoadReport(fields.nextTextOrNull(), instance.loadReportFields);
-                callModule(
+                callPolicy(
                         name,
                         () -> instance.balancer.onOutcome(now, id, attempt, upstream, outcome, latency, done, report));
             }
@@ -190,40 +190,40 @@
                 int attempt = (int) fields.nextLong();
                 long latency = fields.nextLongOr(0);
                 String upstream = fields.nextText();
-                callModule(name, () -> instance.balancer.onStreamStart(now, id, attempt, upstream, latency));
+                callPolicy(name, () -> instance.balancer.onStreamStart(now, id, attempt, upstream, latency));
             }
             case "PROBED" -> {
                 String upstream = fields.nextText();
                 Outcome outcome = parseOutcome(fields.nextText());
                 long latency = fields.nextLongOr(0);
                 LoadReport report = parseLoadReport(fields.nextTextOrNull(), instance.loadReportFields);
-                callModule(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
+                callPolicy(name, () -> instance.balancer.onProbeResult(now, upstream, outcome, latency, report));
             }
             case "EXPIRED" -> {
                 String id = fields.nextText();
-                callModule(name, () -> instance.balancer.onRequestExpired(now, id));
+                callPolicy(name, () -> instance.balancer.onRequestExpired(now, id));
             }
             case "MAIL" -> {
                 int peer = (int) fields.nextLong();
                 byte[] message = decodeBase64(fields.nextTextOrNull());
-                callModule(name, () -> instance.balancer.onPeerMessage(now, peer, message));
+                callPolicy(name, () -> instance.balancer.onPeerMessage(now, peer, message));
             }
             case "DEADLINE_HIT" -> {
                 String mark = fields.nextText();
-                callModule(name, () -> instance.balancer.onTimer(now, mark));
+                callPolicy(name, () -> instance.balancer.onTimer(now, mark));
             }
             default -> throw new WireException("message '" + event + "' is unknown");
         }
     }
 
-    private void callModule(String name, Runnable call) {
-        if (moduleFailed) {
+    private void callPolicy(String name, Runnable call) {
+        if (policyFailed) {
             return;
         }
         try {
             call.run();
         } catch (RuntimeException e) {
-            moduleFailed = true;
+            policyFailed = true;
             writeInstance(name);
             StackTraceElement[] trace = e.getStackTrace();
             reply.append("DIE ")
--- a/src/test/java/rushproxy/PolicyTest.java
+++ b/src/test/java/rushproxy/PolicyTest.java
@@ -455,10 +455,10 @@
             work = Math.max(0, work - warmth * 5_000);
             double held = Math.ceil(work / 100_000);
             for (PolicyHarness harness : harnesses) {
-                boolean asked = !harness.actionsWith("probe").isEmpty();
+                boolean probed = !harness.actionsWith("probe").isEmpty();
                 harness.actions.clear();
                 harness.advance(5_000);
-                if (asked) {
+                if (probed) {
                     harness.policy.onProbeResult(
                             harness.now, "a", Outcome.OK, 1_000, new LoadReport(held, Math.max(0, held - 1), 1));
                 }
