--- a/src/test/java/rushproxy/sidecar/BulkTest.java
+++ b/src/test/java/rushproxy/sidecar/MessageTransferTest.java
@@ -17,7 +17,7 @@
 
 /** Messages of any length and form pass whole, in pieces, or so that both sides can tell that they did not. */
 @Timeout(120)
-class BulkTest {
+class MessageTransferTest {
     private static final int LONG = 8 << 20;
 
     private static String post(String id, String framing) {
@@ -56,7 +56,7 @@
             }
             head.append((char) c);
         }
-        Peer.Message m = new Peer.Message(head.toString(), "");
+        TestServer.Message m = new TestServer.Message(head.toString(), "");
         if (m.header("Content-Length") != null) {
             int n = Integer.parseInt(m.header("Content-Length"));
             byte[] body = in.readNBytes(n);
@@ -116,7 +116,7 @@
             for (int n : new int[] {0, 1, 65_535, 65_536, 65_537, 300_000, LONG}) {
                 byte[] body = bytes(n);
                 for (boolean chunked : new boolean[] {false, true}) {
-                    try (Peer.Client c = rig.client()) {
+                    try (TestServer.Client c = rig.client()) {
                         String name = "b" + id++;
                         Thread sender = new Thread(() -> {
                             try {
@@ -151,7 +151,7 @@
     void answersOfAllFormsArriveWhole() throws Exception {
         byte[] body = bytes(500_000);
         String text = new String(body, StandardCharsets.ISO_8859_1);
-        List<Peer.Script> forms = List.of(
+        List<TestServer.Handler> forms = List.of(
                 (m, line) -> line.answer("200 OK", "", text),
                 (m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunks(body, 9_999, ";x", "T: 1\r\n")),
@@ -161,11 +161,11 @@
                 },
                 (m, line) -> line.raw("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + text));
-        for (Peer.Script form : forms) {
+        for (TestServer.Handler form : forms) {
             try (Rig rig = new Rig()) {
                 rig.upstream(form);
                 rig.start();
-                try (Peer.Client c = rig.client()) {
+                try (TestServer.Client c = rig.client()) {
                     for (int i = 0; i < 2; i++) {
                         c.send(Rig.get("a" + i, 20_000));
                         org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
@@ -190,7 +190,7 @@
                     line.socket().close();
                 });
                 rig.start();
-                try (Peer.Client c = rig.client()) {
+                try (TestServer.Client c = rig.client()) {
                     c.send(Rig.get("a1", 20_000));
                     assertEquals(null, answer(c.socket.getInputStream()));
                     assertEquals("outcome a1 0 RESET true -", rig.await("outcome"));
@@ -200,7 +200,8 @@
     }
 
     /** Sends chunks of so many bytes, so long apart. */
-    private static void chunksApart(Peer.Line line, int count, int bytes, long ms) throws java.io.IOException {
+    private static void chunksApart(TestServer.Connection line, int count, int bytes, long ms)
+            throws java.io.IOException {
         String chunk = Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n";
         try {
             for (int i = 0; i < count; i++) {
@@ -222,7 +223,7 @@
                 line.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("a1", 500));
                 rig.await("begins a1");
                 assertEquals(40_004, answer(c.socket.getInputStream()).length);
@@ -240,7 +241,7 @@
                 line.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("a1", 500));
                 assertEquals(70_004, answer(c.socket.getInputStream()).length);
             }
@@ -261,7 +262,7 @@
             // longer than any of them.
             rig.time.stop();
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("a1", 20_000));
                 stopped.acquire();
                 rig.time.move(20_000);
@@ -284,7 +285,7 @@
                 chunksApart(line, 10, 1_000, 10);
             });
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 long sent = System.nanoTime();
                 c.send(Rig.get("a1", 800));
                 rig.await("begins a1");
@@ -317,7 +318,7 @@
                 }
             });
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.socket.setReceiveBufferSize(64 << 10);
                 c.send(Rig.get("a1", 20_000));
                 rig.await("begins");
@@ -343,7 +344,7 @@
             rig.upstream(
                     (m, line) -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000)));
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("a1", 20_000));
                 rig.await("begins a1");
             }
@@ -355,7 +356,7 @@
     @Test
     void aBodyThatHasBegunToFlowIsNotSentAgain() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.reset());
+            TestServer up = rig.upstream((m, line) -> line.reset());
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == rushproxy.Balancer.Outcome.NOT_SENT) {
                     out.refuse(id, 0);
@@ -365,7 +366,7 @@
             };
             up.script = (m, line) -> {};
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
                 rig.await("request a1");
                 // Its head is there, and its body flows behind it.
@@ -383,13 +384,13 @@
         try (Rig rig = new Rig()) {
             echo(rig, new ArrayList<>());
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(post("a1", "Expect: 100-continue\r\nContent-Length: 4\r\n"));
                 assertEquals(100, c.status());
                 c.send("body");
                 assertEquals("body", c.answer().body());
             }
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(post("a2", "Expect: a-miracle\r\nContent-Length: 4\r\n"));
                 assertEquals(417, c.status());
             }
@@ -400,7 +401,7 @@
     @Test
     void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
             for (String framing : new String[] {
                 "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -417,7 +418,7 @@
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: xchunked\r\n"
             }) {
-                try (Peer.Client c = rig.client()) {
+                try (TestServer.Client c = rig.client()) {
                     c.send(post("f1", framing) + "3\r\nabc\r\n0\r\n\r\n");
                     assertEquals(400, c.status(), framing);
                 }
@@ -429,7 +430,7 @@
                 "\r\n\r\n",
                 "fffffffffffffffff\r\nabc"
             }) {
-                try (Peer.Client c = rig.client()) {
+                try (TestServer.Client c = rig.client()) {
                     c.send(post("f2", "Transfer-Encoding: chunked\r\n") + body);
                     assertEquals(400, c.status(), body);
                 }
@@ -453,7 +454,7 @@
                 }
             });
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
                 rig.peers.get(0).next();
             }
@@ -466,9 +467,9 @@
     @Test
     void aBodyThatRestsTooLongEndsItsAttemptAtOnce() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("a0", 20_000));
                 assertEquals(200, c.status());
                 BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
@@ -502,7 +503,7 @@
             };
             rig.start();
             byte[] body = bytes(65_536);
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(post("a1", "Content-Length: 65536\r\n"));
                 c.socket.getOutputStream().write(body);
                 org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
--- a/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
@@ -97,7 +97,7 @@
         faults.set(call, CHANCE);
         play(client -> {
             for (int i = 0; i < REQUESTS_EACH; i++) {
-                try (Peer.Client connection = sidecar.client()) {
+                try (TestServer.Client connection = sidecar.client()) {
                     request(connection, id(client, i));
                 }
             }
@@ -112,7 +112,7 @@
         start();
         faults.set(call, CHANCE);
         play(client -> {
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 for (int i = 0; i < REQUESTS_EACH; i++) {
                     request(connection, id(client, i));
                 }
@@ -129,7 +129,7 @@
             faults.set(call, OFTEN);
             start();
             faults.clear();
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 request(connection, id(0, i));
             }
             assertEquals(List.of(), List.copyOf(wrong));
@@ -145,7 +145,7 @@
                 faults.set(Call.NAME_FAILS, OFTEN);
                 SidecarProcess process = standIns.startOn(socket, folder, faults.environment());
                 faults.clear();
-                try (Peer.Client connection = new Peer.Client(socket.address())) {
+                try (TestServer.Client connection = new TestServer.Client(socket.address())) {
                     request(connection, id(0, i));
                 }
                 assertEquals(List.of(), List.copyOf(wrong));
@@ -159,7 +159,7 @@
     @EnumSource(names = {"CONNECT_FAILS", "SOCKET_FAILS", "NAME_FAILS"})
     void whatCanNotBeDialledForAMomentIsDialledAgain(Call call) throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (TestServer server : standIns.servers) {
             server.script = (m, line) -> {
                 line.answer("200 OK", "Connection: close\r\n", m.header("X-Txn"));
                 line.socket().close();
@@ -167,7 +167,7 @@
         }
         faults.set(call, OFTEN);
         List<String> failed = new ArrayList<>();
-        try (Peer.Client connection = sidecar.client()) {
+        try (TestServer.Client connection = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 long sentNanos = System.nanoTime();
                 connection.send(SidecarProcess.get(id(0, i), "unsafe", REMAINING_MS));
@@ -180,7 +180,7 @@
         }
         faults.clear();
         assertEquals(List.of(), failed, () -> {
-            Peer.await(() -> sidecar.log.stream().anyMatch(line -> line.contains("not served")));
+            TestServer.awaitUntil(() -> sidecar.log.stream().anyMatch(line -> line.contains("not served")));
             return String.join("\n", sidecar.log);
         });
     }
@@ -189,18 +189,18 @@
     @Test
     void nothingIsSentForAClientThatLeftMeanwhile() throws Exception {
         start();
-        try (Peer.Client connection = sidecar.client()) {
+        try (TestServer.Client connection = sidecar.client()) {
             request(connection, "safe-first");
         }
         faults.set(Call.SEND_FAILS, 1);
         for (int i = 0; i < CLIENTS; i++) {
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 connection.send(SidecarProcess.get("safe-left" + i, "safe", REMAINING_MS));
                 pause();
             }
         }
         faults.clear();
-        try (Peer.Client connection = sidecar.client()) {
+        try (TestServer.Client connection = sidecar.client()) {
             request(connection, "safe-last");
         }
         pause();
@@ -213,7 +213,7 @@
     @Test
     void theEndOfAnAnswerIsToldInTime() throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (TestServer server : standIns.servers) {
             server.script = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nwhole");
                 line.socket().close();
@@ -222,7 +222,7 @@
         faults.set(Call.SHUTDOWN_FAILS, OFTEN);
         List<String> late = new ArrayList<>();
         for (int i = 0; i < REQUESTS_EACH; i++) {
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 connection.socket.setSoTimeout((int) REMAINING_MS);
                 connection.send(SidecarProcess.request("GET", "1.0", id(0, i), "safe", REMAINING_MS));
                 if (!connection.rest().endsWith("whole")) {
@@ -240,7 +240,7 @@
     @Test
     void aBrokenAnswerIsRecognised() throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (TestServer server : standIns.servers) {
             server.script = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nhalf");
                 pause();
@@ -252,7 +252,7 @@
         faults.set(Call.OPTION_FAILS, OFTEN);
         List<String> whole = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 connection.send(SidecarProcess.request("GET", "1.0", id(0, i), "unsafe", REMAINING_MS));
                 String text = connection.rest();
                 if (text.startsWith("HTTP/1.1 200")) {
@@ -292,7 +292,7 @@
         });
         signal.start();
         play(client -> {
-            try (Peer.Client connection = sidecar.client()) {
+            try (TestServer.Client connection = sidecar.client()) {
                 for (int i = 0; ; i++) {
                     if (!requestUntilClosed(connection, id(client, i))) {
                         return;
@@ -305,11 +305,11 @@
     }
 
     /** False where the connection had ended between requests, or ends after this answer. */
-    private boolean requestUntilClosed(Peer.Client connection, String id) throws IOException {
+    private boolean requestUntilClosed(TestServer.Client connection, String id) throws IOException {
         connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
         try {
             connection.send(SidecarProcess.get(id, id.startsWith("unsafe") ? "unsafe" : "safe", REMAINING_MS));
-            Peer.Message answer = connection.answer();
+            TestServer.Message answer = connection.answer();
             // An end between requests may cross one, which its client sends again elsewhere.
             return answer != null && !"close".equalsIgnoreCase(answer.header("Connection"));
         } catch (SocketTimeoutException e) {
@@ -324,12 +324,12 @@
         return (number % 2 == 0 ? "unsafe" : "safe") + client + "-" + number;
     }
 
-    private void request(Peer.Client connection, String id) {
+    private void request(TestServer.Client connection, String id) {
         String requestClass = id.startsWith("unsafe") ? "unsafe" : "safe";
         try {
             connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
             connection.send(SidecarProcess.get(id, requestClass, REMAINING_MS));
-            Peer.Message answer = connection.answer();
+            TestServer.Message answer = connection.answer();
             if (answer == null) {
                 wrong.add(id + " was closed with no answer");
             } else if (answer.head().startsWith("HTTP/1.1 200")
--- a/src/test/java/rushproxy/sidecar/NativePartIT.java
+++ b/src/test/java/rushproxy/sidecar/NativePartIT.java
@@ -23,7 +23,7 @@
         try (StandIns standIns = new StandIns()) {
             standIns.servers(1, (message, line) -> line.answer("200 OK", "", "served"));
             SidecarProcess sidecar = standIns.start(folder, Map.of("_JAVA_OPTIONS", options));
-            try (Peer.Client client = sidecar.client()) {
+            try (TestServer.Client client = sidecar.client()) {
                 client.send(SidecarProcess.get("a", "safe", 800));
                 assertEquals(200, client.status());
             }
--- a/src/test/java/rushproxy/sidecar/OutcomesTest.java
+++ b/src/test/java/rushproxy/sidecar/OutcomesTest.java
@@ -11,11 +11,11 @@
 /** What an upstream does, and the outcome that the module is told. */
 @Timeout(60)
 class OutcomesTest {
-    private static void outcome(String expected, int status, Peer.Script script) throws Exception {
+    private static void outcome(String expected, int status, TestServer.Handler script) throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream(script);
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals("outcome a1 0 " + expected, rig.await("outcome"));
                 assertEquals(status, client.status());
@@ -77,7 +77,7 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {}).close();
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome"));
             }
@@ -88,10 +88,10 @@
     @Test
     void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> {});
+            TestServer up = rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
@@ -114,7 +114,7 @@
                 out.cancel(r.id(), 0);
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals("outcome a1 0 CANCELLED false -", rig.await("outcome"));
             }
@@ -125,9 +125,9 @@
     @Test
     void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
+            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(200, client.status());
                 rig.await("outcome a1");
@@ -147,9 +147,9 @@
     @Test
     void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
+            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 for (String id : new String[] {"a1", "a2"}) {
                     client.send(Rig.get(id, 20_000));
                     assertEquals(200, client.status());
@@ -162,15 +162,16 @@
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+            TestServer up =
+                    rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(
                         "POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\n"
                                 + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
-                Peer.Message answer = client.answer();
+                TestServer.Message answer = client.answer();
                 assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), answer.body());
-                Peer.Message sent = up.next();
+                TestServer.Message sent = up.next();
                 assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
                 assertEquals("q7", sent.header("X-Txn"));
                 assertEquals("k9", sent.header("Idempotency-Key"));
@@ -228,11 +229,12 @@
             line.raw(answer + answer);
         });
         for (int cut : new int[] {1, 12, 30, 39}) {
-            nextRequestGetsItsOwnAnswer(new Peer.Script() {
+            nextRequestGetsItsOwnAnswer(new TestServer.Handler() {
                 private String rest = "";
 
                 @Override
-                public synchronized void handle(Peer.Message m, Peer.Line line) throws java.io.IOException {
+                public synchronized void handle(TestServer.Message m, TestServer.Connection line)
+                        throws java.io.IOException {
                     String answer = answerTo(m);
                     String late = rest;
                     rest = answer.substring(cut);
@@ -242,18 +244,19 @@
         }
     }
 
-    private static String answerTo(Peer.Message m) {
+    private static String answerTo(TestServer.Message m) {
         String id = m.header("X-Txn");
         return "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
     }
 
-    private static void nextRequestGetsItsOwnAnswer(Peer.Script script) throws Exception {
+    private static void nextRequestGetsItsOwnAnswer(TestServer.Handler script) throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream(new Peer.Script() {
+            rig.upstream(new TestServer.Handler() {
                 private java.net.Socket first;
 
                 @Override
-                public synchronized void handle(Peer.Message m, Peer.Line line) throws java.io.IOException {
+                public synchronized void handle(TestServer.Message m, TestServer.Connection line)
+                        throws java.io.IOException {
                     if (first == null || first == line.socket()) {
                         first = line.socket();
                         script.handle(m, line);
@@ -273,8 +276,8 @@
                 }
             };
             rig.start();
-            try (Peer.Client one = rig.client();
-                    Peer.Client two = rig.client()) {
+            try (TestServer.Client one = rig.client();
+                    TestServer.Client two = rig.client()) {
                 one.send(Rig.get("a1", 20_000));
                 rig.await("request a1");
                 two.send(Rig.get("a2", 20_000));
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -39,7 +39,7 @@
                 out.fail(r.id());
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(502, client.status());
             }
@@ -72,7 +72,10 @@
             InetSocketAddress address = (InetSocketAddress) free.getLocalSocketAddress();
             free.close();
             Peers peers = new Peers(
-                    new Clock(), new Decisions(), List.of((InetSocketAddress) peer.getLocalSocketAddress()), null);
+                    new Clock(),
+                    new BalancerDispatcher(),
+                    List.of((InetSocketAddress) peer.getLocalSocketAddress()),
+                    null);
             peers.listen(group.next(), address);
             Channel first = bound(peers, null);
             first.close().sync();
--- a/src/test/java/rushproxy/sidecar/RequestGuardTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestGuardTest.java
@@ -39,8 +39,8 @@
 
     private Exchange exchange(String requestClass) {
         Request request = new Request("id", -1, false, false, 0, SECOND_US, null, requestClass, false);
-        Body body = new Body(() -> {}, 0);
-        body.end();
+        RequestBody body = new RequestBody(() -> {}, 0);
+        body.finish();
         return new Exchange(
                 request,
                 HttpMethod.GET,
@@ -51,7 +51,7 @@
                 2 * SECOND_US,
                 clock.now() + SECOND_US,
                 new NoAnswer(),
-                new RequestTimes(0, 0, 0, 0, 0));
+                new RequestTimestamps(0, 0, 0, 0, 0));
     }
 
     private UpstreamCall attempt(Exchange x) {
@@ -71,10 +71,10 @@
     @Test
     void aSecondFinalAnswerIsStoppedAndCounted() {
         Exchange x = exchange("safe");
-        assertTrue(guard.become(x, RequestState.ATTEMPTING));
-        assertTrue(guard.become(x, RequestState.ANSWERED));
-        assertFalse(guard.become(x, RequestState.ANSWERED));
-        assertFalse(guard.become(x, RequestState.PASSING_ON));
+        assertTrue(guard.transition(x, RequestState.ATTEMPTING));
+        assertTrue(guard.transition(x, RequestState.ANSWERED));
+        assertFalse(guard.transition(x, RequestState.ANSWERED));
+        assertFalse(guard.transition(x, RequestState.PASSING_ON));
         assertEquals(RequestState.ANSWERED, x.state);
         assertEquals(Map.of(Breach.TRANSITION, 2), invariants.counts());
     }
@@ -82,20 +82,20 @@
     @Test
     void whatWasPassedOnEndsWholeOrBrokenAndIsNeverRefusedOrSentAgain() {
         Exchange x = exchange("safe");
-        guard.become(x, RequestState.ATTEMPTING);
-        assertTrue(guard.become(x, RequestState.PASSING_ON));
-        assertFalse(guard.become(x, RequestState.ATTEMPTING));
-        assertTrue(guard.become(x, RequestState.BROKEN_OFF));
-        assertFalse(guard.become(x, RequestState.ANSWERED));
+        guard.transition(x, RequestState.ATTEMPTING);
+        assertTrue(guard.transition(x, RequestState.PASSING_ON));
+        assertFalse(guard.transition(x, RequestState.ATTEMPTING));
+        assertTrue(guard.transition(x, RequestState.BROKEN_OFF));
+        assertFalse(guard.transition(x, RequestState.ANSWERED));
     }
 
     @Test
     void everyOtherStateHasItsNextOnes() {
         for (RequestState from : RequestState.values()) {
-            assertFalse(from.mayBecome(RequestState.TAKEN), from + " is never taken again");
+            assertFalse(from.canBecome(RequestState.TAKEN), from + " is never taken again");
             boolean last =
                     from == RequestState.ANSWERED || from == RequestState.BROKEN_OFF || from == RequestState.LEFT;
-            assertEquals(!last, from.mayBecome(RequestState.LEFT), from + " and a client that leaves");
+            assertEquals(!last, from.canBecome(RequestState.LEFT), from + " and a client that leaves");
         }
     }
 
@@ -103,9 +103,9 @@
     void nothingIsSentForARequestThatIsOver() {
         Exchange x = exchange("safe");
         UpstreamCall call = attempt(x);
-        assertNull(guard.whyNotSend(x, call));
-        guard.become(x, RequestState.ANSWERED);
-        assertNotNull(guard.whyNotSend(x, call));
+        assertNull(guard.reasonNotToSend(x, call));
+        guard.transition(x, RequestState.ANSWERED);
+        assertNotNull(guard.reasonNotToSend(x, call));
         assertEquals(Map.of(Breach.SENT_AFTER_ITS_END, 1), invariants.counts());
     }
 
@@ -114,13 +114,13 @@
         Exchange x = exchange("safe");
         UpstreamCall call = attempt(x);
         clientIsThere = false;
-        assertEquals("the client has gone", guard.whyNotSend(x, call));
+        assertEquals("the client has gone", guard.reasonNotToSend(x, call));
         clientIsThere = true;
-        x.unwatched = true;
-        assertEquals("the client can't be watched", guard.whyNotSend(x, call));
-        x.unwatched = false;
+        x.disconnectUndetectable = true;
+        assertEquals("the client can't be watched", guard.reasonNotToSend(x, call));
+        x.disconnectUndetectable = false;
         UpstreamCall late = new UpstreamCall("u", clock.now() - 1, false, left -> null, null, (c, o, r, b) -> {});
-        assertEquals("no time left", guard.whyNotSend(x, late));
+        assertEquals("no time left", guard.reasonNotToSend(x, late));
         assertEquals(0, invariants.total(), "these are ordinary");
     }
 
@@ -129,11 +129,11 @@
         for (String requestClass : List.of("unsafe", "no such class")) {
             Exchange x = exchange(requestClass);
             begun(x);
-            assertEquals("it may have run", guard.whyNotSend(x, attempt(x)), requestClass);
+            assertEquals("it may have run", guard.reasonNotToSend(x, attempt(x)), requestClass);
         }
         Exchange safe = exchange("safe");
         begun(safe);
-        assertNull(guard.whyNotSend(safe, attempt(safe)));
+        assertNull(guard.reasonNotToSend(safe, attempt(safe)));
         assertEquals(Map.of(Breach.REPEATED, 2), invariants.counts());
     }
 
@@ -142,7 +142,7 @@
         for (Outcome outcome : Outcome.values()) {
             Exchange x = exchange("unsafe");
             begun(x).end(outcome, null, null);
-            assertEquals(outcome.mayHaveRun, guard.whyNotSend(x, attempt(x)) != null, outcome.toString());
+            assertEquals(outcome.mayHaveRun, guard.reasonNotToSend(x, attempt(x)) != null, outcome.toString());
         }
     }
 
@@ -150,18 +150,18 @@
     void aKeyIsRememberedForItsWindow() {
         Exchange x = exchange("keyed");
         UpstreamCall earlier = begun(x);
-        assertNull(guard.whyNotSend(x, attempt(x)));
+        assertNull(guard.reasonNotToSend(x, attempt(x)));
         earlier.sentAt(new RunningTime.Mark(clock.now() - 11 * SECOND_US, 0));
-        assertEquals("it may have run", guard.whyNotSend(x, attempt(x)));
+        assertEquals("it may have run", guard.reasonNotToSend(x, attempt(x)));
     }
 
     @Test
     void whatMayRunIsNotRefused() {
         Exchange x = exchange("safe");
         attempt(x);
-        assertTrue(guard.mayRefuse(x));
+        assertTrue(guard.canRefuse(x));
         begun(x);
-        assertFalse(guard.mayRefuse(x));
+        assertFalse(guard.canRefuse(x));
         assertEquals(Map.of(Breach.REFUSED_WHAT_MAY_HAVE_RUN, 1), invariants.counts());
     }
 
@@ -169,45 +169,45 @@
     void anUpstreamIsNeverToldMoreThanTheClientHasLeft() {
         Exchange x = exchange("safe");
         long untilUs = clock.now() + SECOND_US;
-        long toldUs = guard.tellUs(x, untilUs);
+        long toldUs = guard.remainingForUpstreamUs(x, untilUs);
         assertTrue(toldUs <= SECOND_US && toldUs >= untilUs - clock.now(), toldUs + " us");
         assertEquals(Map.of(), invariants.counts());
-        assertTrue(guard.tellUs(x, clock.now() + 3 * SECOND_US) <= 2 * SECOND_US);
+        assertTrue(guard.remainingForUpstreamUs(x, clock.now() + 3 * SECOND_US) <= 2 * SECOND_US);
         assertEquals(Map.of(Breach.TOLD_TOO_MUCH_TIME, 1), invariants.counts());
     }
 
     @Test
     void aCloseWithARequestIsCountedByItsName() {
-        guard.closesWith("id", CloseReason.ROOM_NEEDED);
+        guard.recordCloseWithRequest("id", CloseReason.ROOM_NEEDED);
         assertEquals(Map.of(Breach.CLOSED_WITH_A_REQUEST, 1), invariants.counts());
     }
 
-    private final class NoAnswer implements Exchange.Answer {
+    private final class NoAnswer implements Exchange.ResponseWriter {
         @Override
-        public void served(ByteBuf body) {}
+        public void succeed(ByteBuf body) {}
 
         @Override
-        public void refused(long retryAfterUs) {}
+        public void refuse(long retryAfterUs) {}
 
         @Override
-        public void failed() {}
+        public void fail() {}
 
         @Override
-        public void begins(long length, Runnable more) {}
+        public void beginStream(long length, Runnable more) {}
 
         @Override
-        public boolean piece(ByteBuf piece) {
+        public boolean writePart(ByteBuf piece) {
             return true;
         }
 
         @Override
-        public void ends() {}
+        public void endStream() {}
 
         @Override
-        public void breaks() {}
+        public void abortStream() {}
 
         @Override
-        public boolean clientIsThere() {
+        public boolean isClientConnected() {
             return clientIsThere;
         }
     }
--- a/src/test/java/rushproxy/sidecar/RequestLifeTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLifecycleTest.java
@@ -9,7 +9,7 @@
 
 /** Every request taken gets one final answer, whatever the module does. */
 @Timeout(60)
-class RequestLifeTest {
+class RequestLifecycleTest {
     @Test
     void aRefusalIsSaidAtOnceWithTheTimeToComeBack() throws Exception {
         try (Rig rig = new Rig()) {
@@ -19,9 +19,9 @@
                 out.refuse(r.id(), 0);
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
-                Peer.Message answer = client.answer();
+                TestServer.Message answer = client.answer();
                 assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
                 assertEquals("0.165", answer.header("Retry-After"));
                 // The next answer belongs to the next request: nothing more came about the first.
@@ -37,7 +37,7 @@
         try (Rig rig = new Rig()) {
             rig.onRequest = (now, r, out) -> {};
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 300));
                 assertEquals(502, client.status());
                 assertEquals("expired a1", rig.await("expired"));
@@ -51,7 +51,7 @@
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 60_000_000);
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 300));
                 assertEquals(502, client.status());
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
@@ -65,10 +65,10 @@
         try (Rig rig = new Rig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", 20_000));
                 assertEquals(503, client.status());
-                Peer.Client[] fresh = new Peer.Client[1];
+                TestServer.Client[] fresh = new TestServer.Client[1];
                 rig.holdUp(500, () -> {
                     client.send(Rig.get("a1", 300));
                     fresh[0] = rig.client().send(Rig.get("a2", 300));
@@ -91,9 +91,9 @@
         try (Rig rig = new Rig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
-            Peer.Client[] fresh = new Peer.Client[1];
+            TestServer.Client[] fresh = new TestServer.Client[1];
             rig.holdUp(500, () -> fresh[0] = rig.client().send(Rig.get("a1", 300)));
-            try (Peer.Client client = fresh[0]) {
+            try (TestServer.Client client = fresh[0]) {
                 assertEquals(503, client.status());
                 assertEquals(1, remaining(rig, "a1"));
                 Thread.sleep(15);
@@ -111,7 +111,7 @@
         try (Rig rig = new Rig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", 2_000));
                 assertEquals(503, client.status());
                 long before = remaining(rig, "a0");
@@ -145,7 +145,7 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {});
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 long sent = System.nanoTime();
                 client.send(Rig.get("a1", 4_000));
                 rig.peers.get(0).next();
@@ -170,7 +170,7 @@
                 throw new IllegalStateException("as the test wants");
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(502, client.status());
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
@@ -191,13 +191,13 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {});
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 rig.await("request");
             }
             assertEquals("expired a1", rig.await("expired"));
             rig.onRequest = (now, r, out) -> out.fail(r.id());
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a2", 20_000));
                 assertEquals(502, client.status());
             }
@@ -218,21 +218,21 @@
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
             rig.onOutcome = (id, outcome, done, out) -> {};
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 rig.peers.get(0).next();
                 rig.onRequest = (now, r, out) -> {
                     out.send("a1", "u1", 0);
                     out.fail(r.id());
                 };
-                try (Peer.Client other = rig.client()) {
+                try (TestServer.Client other = rig.client()) {
                     other.send(Rig.get("a2", 20_000));
                     assertEquals(502, other.status());
                 }
                 assertEquals("second", client.answer().body());
                 assertEquals("outcome a1 1 OK true -", rig.await("outcome"));
                 synchronized (held) {
-                    ((Peer.Line) held[0]).answer("200 OK", "", "first");
+                    ((TestServer.Connection) held[0]).answer("200 OK", "", "first");
                 }
                 assertEquals("outcome a1 0 OK true -", rig.await("outcome"));
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -244,7 +244,7 @@
     @Test
     void attemptsBeyondWhatIsAllowedAreNotSent() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
+            TestServer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == Outcome.NOT_SENT) {
                     out.fail(id);
@@ -253,7 +253,7 @@
                 }
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(502, client.status());
                 assertEquals(4, up.messages.size());
@@ -266,7 +266,7 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 40; i++) {
                     all.append(Rig.get("p" + i, 20_000));
--- a/src/test/java/rushproxy/sidecar/RequestLogTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLogTest.java
@@ -52,7 +52,7 @@
                 }
             };
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("followed", 20_000));
                 assertEquals(200, c.status());
                 rig.await("outcome followed 1 OK");
@@ -94,14 +94,14 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> line.reset());
             rig.start();
-            try (Peer.Client c = rig.client()) {
+            try (TestServer.Client c = rig.client()) {
                 c.send(Rig.get("failed", 20_000));
                 assertEquals(502, c.status());
                 rig.onRequest = (now, r, out) -> out.refuse(r.id(), 1_000);
                 c.send(Rig.get("refused", 20_000));
                 assertEquals(503, c.status());
             }
-            Peer.await(() -> any(".*not served.*"));
+            TestServer.awaitUntil(() -> any(".*not served.*"));
             assertTrue(
                     any(
                             ".*not served \\{failed, attempts \\[RESET\\], under \\d+ ms=1, refused, attempts \\[\\], under \\d+ ms=1\\}.*"),
--- a/src/test/java/rushproxy/sidecar/AnswerDeadlinesTest.java
+++ b/src/test/java/rushproxy/sidecar/ResponseDeadlinesTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 import rushproxy.Balancer.RequestClass;
 
-class AnswerDeadlinesTest {
+class ResponseDeadlinesTest {
     private static final long SENT = 1_000_000;
     private final LoopDelay loopDelay = new LoopDelay();
-    private final AnswerDeadlines deadlines = new AnswerDeadlines(classes(), loopDelay);
+    private final ResponseDeadlines deadlines = new ResponseDeadlines(classes(), loopDelay);
 
     private static List<RequestClass> classes() {
         try {
@@ -30,14 +30,14 @@
     }
 
     private long marginUs(String requestClass, long remainingUs) {
-        return SENT + remainingUs - deadlines.dueUs(requestClass, SENT, remainingUs);
+        return SENT + remainingUs - deadlines.deadlineUs(requestClass, SENT, remainingUs);
     }
 
     @Test
     void aPartOfTheTimeAfterTheAimIsKeptForAHoldUp() {
-        assertEquals(AnswerDeadlines.MOST_RESERVE_US, marginUs("c", 800_000));
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US, marginUs("tight", 800_000));
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US, marginUs("no such class", 800_000));
+        assertEquals(ResponseDeadlines.MAX_RESERVE_US, marginUs("c", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US, marginUs("no such class", 800_000));
     }
 
     /** The pages name a hold-up of 0.15 s at any time; a client was seen to stay 60 ms after its time (incident-1, play 2). */
@@ -51,18 +51,18 @@
     @Test
     void holdUpsOfLateAddToItAndFade() {
         loopDelay.delayed(SENT, 50_000);
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US + 50_000, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US + 50_000, marginUs("tight", 800_000));
         // The beats that were missed meanwhile come at once, and are no time that has passed.
         for (int beat = 0; beat < 20; beat++) {
             loopDelay.delayed(SENT, 0);
         }
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US + 50_000, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US + 50_000, marginUs("tight", 800_000));
         loopDelay.delayed(SENT + 250_000, 0);
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US + 25_000, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US + 25_000, marginUs("tight", 800_000));
         for (int beat = 0; beat < 40; beat++) {
             loopDelay.delayed(SENT + 250_000 + beat * LoopDelay.BEAT_US, 0);
         }
-        assertTrue(marginUs("tight", 800_000) < AnswerDeadlines.LEAST_MARGIN_US + 1_000);
+        assertTrue(marginUs("tight", 800_000) < ResponseDeadlines.MIN_MARGIN_US + 1_000);
     }
 
     @Test
@@ -77,10 +77,10 @@
     void eachTurnTellsHowLongATimeOutWaitsInIt() {
         loopDelay.begins(SENT);
         loopDelay.looked(SENT, SENT + 50_000, SENT + 50_000);
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US, marginUs("tight", 800_000));
         // It wakes 30 ms late, works for 40 ms, and looks again before what it woke for runs.
         loopDelay.looked(SENT + 50_000, SENT + 100_000, SENT + 130_000);
         loopDelay.looked(SENT + 170_000, SENT + 170_000, SENT + 170_000);
-        assertEquals(AnswerDeadlines.LEAST_MARGIN_US + 70_000, marginUs("tight", 800_000));
+        assertEquals(ResponseDeadlines.MIN_MARGIN_US + 70_000, marginUs("tight", 800_000));
     }
 }
--- a/src/test/java/rushproxy/sidecar/Rig.java
+++ b/src/test/java/rushproxy/sidecar/Rig.java
@@ -36,8 +36,8 @@
     }
 
     final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    final List<Peer> peers = new ArrayList<>();
-    final Peer discovery;
+    final List<TestServer> peers = new ArrayList<>();
+    final TestServer discovery;
     volatile OnRequest onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
     volatile OnOutcome onOutcome = (id, outcome, done, out) -> {
         if (!done) {
@@ -69,8 +69,8 @@
 
     private volatile Balancer.Actions actions;
 
-    Rig(Peer.Script discovers) throws IOException {
-        discovery = new Peer(discovers);
+    Rig(TestServer.Handler discovers) throws IOException {
+        discovery = new TestServer(discovers);
     }
 
     /** Discovery that keeps every watch waiting. */
@@ -78,8 +78,8 @@
         this((m, line) -> {});
     }
 
-    Peer upstream(Peer.Script script) throws IOException {
-        Peer p = new Peer(script);
+    TestServer upstream(TestServer.Handler script) throws IOException {
+        TestServer p = new TestServer(script);
         peers.add(p);
         return p;
     }
@@ -143,13 +143,13 @@
 
     /** Opens a second address and says how the operators' call was answered. */
     String call(String line) throws IOException {
-        try (Peer.Client c = operator()) {
+        try (TestServer.Client c = operator()) {
             return c.send(line + "\n").rest();
         }
     }
 
-    Peer.Client operator() throws IOException {
-        return new Peer.Client(sidecar.administered());
+    TestServer.Client operator() throws IOException {
+        return new TestServer.Client(sidecar.administered());
     }
 
     Rig withAdmin() {
@@ -157,8 +157,8 @@
         return this;
     }
 
-    Peer.Client client() throws IOException {
-        return new Peer.Client(address());
+    TestServer.Client client() throws IOException {
+        return new TestServer.Client(address());
     }
 
     static String get(String id, long remainingMs) {
@@ -222,7 +222,7 @@
             sidecar.end();
         }
         discovery.close();
-        for (Peer p : peers) {
+        for (TestServer p : peers) {
             p.close();
         }
     }
--- a/src/test/java/rushproxy/sidecar/WholeWaitsTest.java
+++ b/src/test/java/rushproxy/sidecar/RoundingUpIoHandlerTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class WholeWaitsTest {
+class RoundingUpIoHandlerTest {
     private static final int TIMES = 50;
     /** One turn ends the wait and runs what is due, one finds that nothing is left to do. */
     private static final int TURNS_EACH = 2;
@@ -23,10 +23,12 @@
         AtomicInteger turns = new AtomicInteger();
         SelectStrategy strategy = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(
-                1, WholeWaits.of(NioIoHandler.newFactory(SelectorProvider.provider(), () -> (ready, hasTasks) -> {
-                    turns.incrementAndGet();
-                    return strategy.calculateStrategy(ready, hasTasks);
-                })));
+                1,
+                RoundingUpIoHandler.wrap(
+                        NioIoHandler.newFactory(SelectorProvider.provider(), () -> (ready, hasTasks) -> {
+                            turns.incrementAndGet();
+                            return strategy.calculateStrategy(ready, hasTasks);
+                        })));
         try {
             CountDownLatch times = new CountDownLatch(TIMES);
             group.next().scheduleAtFixedRate(times::countDown, 7_300, 7_300, TimeUnit.MICROSECONDS);
--- a/src/test/java/rushproxy/sidecar/ShutdownTest.java
+++ b/src/test/java/rushproxy/sidecar/ShutdownTest.java
@@ -34,9 +34,9 @@
             });
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client();
-                    Peer.Client half = rig.client();
-                    Peer.Client idle = rig.client()) {
+            try (TestServer.Client held = rig.client();
+                    TestServer.Client half = rig.client();
+                    TestServer.Client idle = rig.client()) {
                 held.send(Rig.get("held", 30_000));
                 rig.await("request held");
                 idle.send(Rig.get("before", 30_000));
@@ -44,7 +44,7 @@
                 String text = Rig.get("half", 30_000);
                 half.send(text.substring(0, 30));
                 rig.sidecar.stop(stopped::countDown);
-                try (Peer.Client fresh = rig.client()) {
+                try (TestServer.Client fresh = rig.client()) {
                     fresh.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                     assertEquals(503, fresh.status());
                     for (int i = 0; i < 3; i++) {
@@ -76,9 +76,9 @@
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
-            try (Peer.Client late = rig.client()) {
+            try (TestServer.Client late = rig.client()) {
                 late.send(Rig.get("late", 30_000));
-                Peer.Message m = late.answer();
+                TestServer.Message m = late.answer();
                 assertTrue(m.head().startsWith("HTTP/1.1 502 "), m.head());
                 assertEquals("close", m.header("Connection"));
             }
@@ -93,11 +93,11 @@
             rig.upstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client()) {
+            try (TestServer.Client held = rig.client()) {
                 held.send(Rig.get("held", 30_000));
                 rig.await("request held");
                 rig.sidecar.stop(stopped::countDown);
-                Peer.Message m = held.answer();
+                TestServer.Message m = held.answer();
                 assertTrue(m != null && m.head().startsWith("HTTP/1.1 502 "), () -> "" + m);
                 rig.await("outcome held 0 TIMEOUT");
             }
@@ -123,7 +123,7 @@
             });
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client reads = rig.client()) {
+            try (TestServer.Client reads = rig.client()) {
                 reads.send(Rig.get("long", 30_000));
                 rig.await("begins long");
                 rig.sidecar.stop(stopped::countDown);
@@ -145,7 +145,7 @@
                         + Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n"));
                 rig.start();
                 CountDownLatch stopped = new CountDownLatch(1);
-                try (Peer.Client reads = rig.client()) {
+                try (TestServer.Client reads = rig.client()) {
                     reads.send(Rig.get("long", 30_000));
                     rig.peers.get(0).next();
                     long sinceNanos = System.nanoTime();
@@ -167,14 +167,14 @@
             rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client idle = rig.client()) {
+            try (TestServer.Client idle = rig.client()) {
                 idle.send(Rig.get("before", 30_000));
                 assertEquals("before", idle.answer().body());
                 rig.sidecar.stop(stopped::countDown);
                 assertEquals(null, idle.answer());
                 // The loop looks every 20 ms: several looks are over before the client is back.
                 assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "it has left with the close");
-                try (Peer.Client again = rig.client()) {
+                try (TestServer.Client again = rig.client()) {
                     again.send(Rig.get("again", 30_000));
                     assertEquals("again", again.answer().body());
                 }
@@ -190,8 +190,8 @@
             rig.upstream((m, line) -> line.answer("200 OK", "", m.body()));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client half = rig.client();
-                    Peer.Client other = rig.client()) {
+            try (TestServer.Client half = rig.client();
+                    TestServer.Client other = rig.client()) {
                 half.send(Rig.get("half", 30_000)
                         .replace("GET", "POST")
                         .replace("\r\n\r\n", "\r\nContent-Length: 6\r\n\r\nabc"));
@@ -217,8 +217,8 @@
             rig.start();
             CountDownLatch over = new CountDownLatch(1);
             CountDownLatch looked = new CountDownLatch(1);
-            try (Peer.Client answered = rig.client();
-                    Peer.Client half = rig.client()) {
+            try (TestServer.Client answered = rig.client();
+                    TestServer.Client half = rig.client()) {
                 answered.send(Rig.get("a1", 9_000));
                 assertEquals(200, answered.status());
                 rig.sidecar.stop(() -> {
@@ -263,7 +263,7 @@
         try (Rig rig = new Rig()) {
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client half = rig.client()) {
+            try (TestServer.Client half = rig.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
                 rig.sidecar.stop(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
@@ -279,14 +279,14 @@
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.sockets = 48 + 2 * 16;
             rig.start();
-            Peer.Client[] clients = new Peer.Client[40];
+            TestServer.Client[] clients = new TestServer.Client[40];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = rig.client();
                 clients[i].send(Rig.get("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
             assertEquals(null, clients[0].answer());
-            for (Peer.Client c : clients) {
+            for (TestServer.Client c : clients) {
                 c.close();
             }
         }
--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -53,7 +53,8 @@
     }
 
     /** {@code environment}: what it is started with besides, such as a library of faults. */
-    static SidecarProcess start(Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
+    static SidecarProcess start(
+            Path folder, TestServer discovery, List<TestServer> upstreams, Map<String, String> environment)
             throws Exception {
         return new SidecarProcess(
                 command(folder, discovery, upstreams, environment).start());
@@ -61,7 +62,11 @@
 
     /** It takes its clients from {@code socket}, its descriptor 0. */
     static SidecarProcess startOn(
-            SharedSocket socket, Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
+            SharedSocket socket,
+            Path folder,
+            TestServer discovery,
+            List<TestServer> upstreams,
+            Map<String, String> environment)
             throws Exception {
         ProcessBuilder command = command(folder, discovery, upstreams, environment);
         command.environment().put("BALANCER_ACCEPT_FD", "0");
@@ -69,7 +74,8 @@
     }
 
     private static ProcessBuilder command(
-            Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment) throws Exception {
+            Path folder, TestServer discovery, List<TestServer> upstreams, Map<String, String> environment)
+            throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < upstreams.size(); i++) {
             entries.add(Rig.entry("u" + i, upstreams.get(i).address(), "Ready", 0));
@@ -115,8 +121,8 @@
         readsLog = false;
     }
 
-    Peer.Client client() throws IOException {
-        return new Peer.Client(address);
+    TestServer.Client client() throws IOException {
+        return new TestServer.Client(address);
     }
 
     static String request(String method, String version, String id, String requestClass, long remainingMs) {
--- a/src/test/java/rushproxy/sidecar/StandIns.java
+++ b/src/test/java/rushproxy/sidecar/StandIns.java
@@ -9,16 +9,16 @@
 
 /** What a real sidecar meets in a test: discovery that says nothing, and servers; closed together with the sidecar. */
 final class StandIns implements AutoCloseable {
-    final List<Peer> servers = new ArrayList<>();
-    final Peer discovery = new Peer((message, line) -> {});
+    final List<TestServer> servers = new ArrayList<>();
+    final TestServer discovery = new TestServer((message, line) -> {});
     private SidecarProcess sidecar;
 
     StandIns() throws IOException {}
 
     /** So many more servers that answer so. */
-    void servers(int count, Peer.Script script) throws IOException {
+    void servers(int count, TestServer.Handler script) throws IOException {
         for (int i = 0; i < count; i++) {
-            servers.add(new Peer(script));
+            servers.add(new TestServer(script));
         }
     }
 
@@ -39,7 +39,7 @@
         if (sidecar != null) {
             sidecar.close();
         }
-        for (Peer server : servers) {
+        for (TestServer server : servers) {
             server.close();
         }
         discovery.close();
--- a/src/test/java/rushproxy/sidecar/Peer.java
+++ b/src/test/java/rushproxy/sidecar/TestServer.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** A server on loopback that answers each message as the test says: an upstream or discovery. */
-final class Peer implements AutoCloseable {
+final class TestServer implements AutoCloseable {
     /** What a test does with one message; to write nothing leaves the sender waiting. */
-    interface Script {
-        void handle(Message message, Line line) throws IOException;
+    interface Handler {
+        void handle(Message message, Connection line) throws IOException;
     }
 
     record Message(String head, String body) {
@@ -38,7 +38,7 @@
     }
 
     /** One connection as its server sees it. */
-    record Line(Socket socket) {
+    record Connection(Socket socket) {
         void raw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             socket.getOutputStream().flush();
@@ -58,9 +58,9 @@
     final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
-    volatile Script script;
+    volatile Handler script;
 
-    Peer(Script script) throws IOException {
+    TestServer(Handler script) throws IOException {
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         start(this::accept);
@@ -101,7 +101,7 @@
         try {
             for (Message m; (m = read(socket.getInputStream())) != null; ) {
                 messages.add(m);
-                script.handle(m, new Line(socket));
+                script.handle(m, new Connection(socket));
             }
         } catch (IOException e) {
             // the other side ended
@@ -133,7 +133,7 @@
     }
 
     /** Waits for what is not told; 10 s at most, which is no failure. */
-    static void await(java.util.function.BooleanSupplier what) {
+    static void awaitUntil(java.util.function.BooleanSupplier what) {
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!what.getAsBoolean() && System.nanoTime() < untilNanos) {
             try {
--- a/src/test/java/rushproxy/sidecar/UnreadLogIT.java
+++ b/src/test/java/rushproxy/sidecar/UnreadLogIT.java
@@ -25,7 +25,7 @@
             standIns.servers(1, (m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             SidecarProcess sidecar = standIns.start(folder, Map.of("BALANCER_LOG_LEVEL", "debug"));
             sidecar.stopReadingLog();
-            try (Peer.Client client = sidecar.client()) {
+            try (TestServer.Client client = sidecar.client()) {
                 for (int i = 0; i < REQUESTS; i++) {
                     client.send(SidecarProcess.get("unread-" + i, "safe", REMAINING_MS));
                     assertEquals(200, client.status(), "request " + i);
--- a/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
+++ b/src/test/java/rushproxy/sidecar/UnreadRequestAgeTest.java
@@ -28,7 +28,7 @@
 
 /** A request's time runs while it lies unread in the kernel, and no longer than it lay there. */
 @Timeout(60)
-class UnreadAgeTest {
+class UnreadRequestAgeTest {
     private static final long WAIT_MS = 400;
     private static final long HOLD_UP_MS = 900;
     private static final long REMAINING_MS = 2_000;
@@ -69,18 +69,18 @@
             rig.onRequest = (now, r, out) -> {};
             rig.sockets = 48 + 2 * 16;
             rig.start();
-            List<Peer.Client> clients = new ArrayList<>();
+            List<TestServer.Client> clients = new ArrayList<>();
             try {
                 // As many as are let in, and some more.
                 for (int i = 0; i < 48; i++) {
                     clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
                 }
                 rig.await("request busy0");
-                try (Peer.Client waits = rig.client()) {
+                try (TestServer.Client waits = rig.client()) {
                     waits.send(Rig.get("waits", REMAINING_MS));
                     long sentNanos = System.nanoTime();
                     Thread.sleep(WAIT_MS);
-                    for (Peer.Client c : clients) {
+                    for (TestServer.Client c : clients) {
                         c.close();
                     }
                     long leastWaitUs = (System.nanoTime() - sentNanos) / 1_000;
@@ -88,7 +88,7 @@
                     assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + STEP_US, toldUs + " " + leastWaitUs);
                 }
             } finally {
-                for (Peer.Client c : clients) {
+                for (TestServer.Client c : clients) {
                     c.close();
                 }
             }
@@ -101,10 +101,10 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
-            try (Peer.Client known = rig.client()) {
+            try (TestServer.Client known = rig.client()) {
                 known.send(Rig.get("a0", REMAINING_MS));
                 assertEquals(200, known.status());
-                List<Peer.Client> fresh = new ArrayList<>();
+                List<TestServer.Client> fresh = new ArrayList<>();
                 rig.holdUp(0, () -> {
                     Thread.sleep(HOLD_UP_MS);
                     known.send(Rig.get("a1", REMAINING_MS));
@@ -128,7 +128,7 @@
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", REMAINING_MS));
                 assertEquals(200, client.status());
                 rig.holdUp(0, () -> {
@@ -148,15 +148,15 @@
         Clock clock = new Clock();
         LoopDelay loopDelay = new LoopDelay();
         BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
-        ClientInput input = new ClientInput(clock, loopDelay, new Budget(1 << 20), new ClientInput.Listener() {
+        ClientInput input = new ClientInput(clock, loopDelay, new MemoryBudget(1 << 20), new ClientInput.Listener() {
             @Override
-            public void arrived(long sentUs) {
+            public void onBytes(long sentUs) {
                 agesUs.add(clock.now() - sentUs);
                 loopDelay.beat(clock.now());
             }
 
             @Override
-            public void unwatched() {}
+            public void onDisconnectUndetectable() {}
         });
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, SocketLook.handlers());
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -192,26 +192,27 @@
         // What is written counts as new, however late this machine is: an embedded loop has no sockets to look at.
         MovableTime clock = new MovableTime();
         clock.stop();
-        ClientInput input = new ClientInput(clock, new LoopDelay(), new Budget(1 << 20), new ClientInput.Listener() {
-            @Override
-            public void arrived(long sentUs) {}
+        ClientInput input =
+                new ClientInput(clock, new LoopDelay(), new MemoryBudget(1 << 20), new ClientInput.Listener() {
+                    @Override
+                    public void onBytes(long sentUs) {}
 
-            @Override
-            public void unwatched() {
-                told.incrementAndGet();
-            }
-        });
+                    @Override
+                    public void onDisconnectUndetectable() {
+                        told.incrementAndGet();
+                    }
+                });
         EmbeddedChannel channel = new EmbeddedChannel(input);
         channel.freezeTime();
-        input.regulate(true, false);
-        channel.writeInbound(Unpooled.wrappedBuffer(new byte[ClientInput.MOST_KEPT]));
+        input.setFlow(true, false);
+        channel.writeInbound(Unpooled.wrappedBuffer(new byte[ClientInput.MAX_BUFFERED_BYTES]));
         for (int times = 1; times <= 3; times++) {
-            channel.advanceTimeBy(ClientInput.UNWATCHED_MS, TimeUnit.MILLISECONDS);
+            channel.advanceTimeBy(ClientInput.MAX_UNREAD_MS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
             assertEquals(times, told.get());
         }
-        input.regulate(false, false);
-        channel.advanceTimeBy(ClientInput.UNWATCHED_MS, TimeUnit.MILLISECONDS);
+        input.setFlow(false, false);
+        channel.advanceTimeBy(ClientInput.MAX_UNREAD_MS, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
         assertEquals(3, told.get());
         channel.finishAndReleaseAll();
--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamsTest.java
@@ -49,7 +49,7 @@
                         restUs,
                         dialTimeoutUs,
                         () -> most,
-                        new Budget(1 << 20)))
+                        new MemoryBudget(1 << 20)))
                 .get();
     }
 
@@ -81,8 +81,8 @@
      */
     @Test
     void nothingIsSentToAnUpstreamThatChangedWhileItsConnectionCameUp() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
-                Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"));
+                TestServer moved = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
             UpstreamList ready = list(true, Rig.entry("u", up.address(), "Ready", 0));
             for (UpstreamList change : new UpstreamList[] {
@@ -106,7 +106,7 @@
     /** Guards against a repeat that a process, held up between its last look at the clock and the write, sends after its window. */
     @Test
     void whatMayNotBeginAnyMoreAtItsFirstByteIsNotSent() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
             java.util.concurrent.atomic.AtomicLong closesUs =
                     new java.util.concurrent.atomic.AtomicLong(Long.MAX_VALUE);
@@ -149,7 +149,7 @@
     /** The same upstream named again, as in every whole list, is no change: its connections stay. */
     @Test
     void aListThatSaysTheSameKeepsTheConnections() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
@@ -165,7 +165,7 @@
     /** An upstream drops idle connections unseen; a request written to one from then on would end as a reset. */
     @Test
     void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(1, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
@@ -199,9 +199,9 @@
             loop.execute(() ->
                     upstreams.update(list(true, Rig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
             for (int i = 0; i < 50; i++) {
-                Body body = new Body(() -> {}, -1);
+                RequestBody body = new RequestBody(() -> {}, -1);
                 loop.execute(() -> {
-                    body.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100]));
+                    body.append(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100]));
                     upstreams.start(new UpstreamCall(
                             "u",
                             clock.now() + 20_000_000,
@@ -218,7 +218,7 @@
     /** It says nothing about the upstream, which was never asked. */
     @Test
     void aCallWhoseTimeEndsWhileItsConnectionRestsWasNotSent() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 5_000_000, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
@@ -232,8 +232,8 @@
     /** The second answer comes once the next call waits for the connection: it must not be taken for that call's. */
     @Test
     void anAnswerThatComesTwiceIsNotTheNextCalls() throws Exception {
-        Peer.Line[] first = new Peer.Line[1];
-        try (Peer up = new Peer((m, line) -> {
+        TestServer.Connection[] first = new TestServer.Connection[1];
+        try (TestServer up = new TestServer((m, line) -> {
             if (first[0] == null) {
                 first[0] = line;
                 line.answer("503 Busy", "X-Turned-Away: 1\r\n", "");
@@ -266,7 +266,7 @@
     }
 
     private void threeCallsUseOneConnection(long restUs, long pauseMs) throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "served"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "served"))) {
             Upstreams upstreams = upstreams(15_000_000, restUs, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
@@ -281,8 +281,8 @@
     /** Descriptors are few: at the cap an idle connection elsewhere makes room, and without one nothing is sent. */
     @Test
     void connectionsStayWithinTheirCap() throws Exception {
-        try (Peer a = new Peer((m, line) -> line.answer("200 OK", "", ""));
-                Peer silent = new Peer((m, line) -> {})) {
+        try (TestServer a = new TestServer((m, line) -> line.answer("200 OK", "", ""));
+                TestServer silent = new TestServer((m, line) -> {})) {
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
                     true, Rig.entry("a", a.address(), "Ready", 0), Rig.entry("silent", silent.address(), "Ready", 0))));
@@ -299,8 +299,8 @@
     /** What never came up holds no place: otherwise a crashed upstream would use up the cap by and by. */
     @Test
     void connectionsThatFailFreeTheirPlace() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
-                Peer gone = new Peer((m, line) -> {})) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
+                TestServer gone = new TestServer((m, line) -> {})) {
             gone.close();
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
@@ -328,7 +328,7 @@
     }
 
     /** With an upstream that has answered once before, so that no code runs for the first time. */
-    private Upstreams used(Peer up) throws Exception {
+    private Upstreams used(TestServer up) throws Exception {
         Upstreams upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
         loop.submit(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))))
                 .get();
@@ -357,7 +357,7 @@
     /** The dial's time-out is due when the loop goes on, and so is the news that the connection is up: the news counts. */
     @Test
     void aConnectionThatCameUpInAHoldUpIsUsed() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
             Upstreams upstreams = used(up);
             startAndHoldUp(upstreams, call("u"));
             assertEquals("u OK", outcome());
@@ -367,7 +367,7 @@
     /** Guards against a time-out that runs behind a look which passed over its socket, whose registration was being made anew. */
     @Test
     void anAnswerBehindAWithdrawnRegistrationIsTaken() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = used(up);
             UpstreamCall call = call("u", DIAL_US);
             loop.execute(() -> {
@@ -384,7 +384,7 @@
     /** It is up, but its call's time was used up here. */
     @Test
     void aCallWhoseTimeEndsInAHoldUpIsNoFailureOfItsUpstream() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
             Upstreams upstreams = used(up);
             startAndHoldUp(upstreams, call("u", DIAL_US / 2));
             assertEquals("u NOT_SENT", outcome());
@@ -412,7 +412,7 @@
 
     @Test
     void anAnswerThatCameInAHoldUpIsTaken() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = used(up);
             startAndHoldUp(upstreams, call("u", DIAL_US));
             assertEquals("u OK", outcome());
@@ -422,7 +422,7 @@
     /** It may have run, but whether its upstream is silent is not known. */
     @Test
     void aCallThatWasHeldUpForMostOfItsTimeIsNoSilenceOfItsUpstream() throws Exception {
-        try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
+        try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = used(up);
             up.script = (m, line) -> {};
             UpstreamCall call = call("u", DIAL_US);
@@ -441,7 +441,7 @@
     /** Without a hold-up both are what they were. */
     @Test
     void silenceAndConnectionsThatNeverComeUpAreTheUpstreams() throws Exception {
-        try (Peer silent = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
+        try (TestServer silent = new TestServer((m, line) -> line.answer("200 OK", "", "sent"));
                 java.net.ServerSocket full = full()) {
             Upstreams upstreams = used(silent);
             silent.script = (m, line) -> {};
@@ -472,9 +472,9 @@
     @Test
     void aTimeOutThatComesLateTakesNoFurtherTurn() throws Exception {
         BlockingQueue<String> order = new LinkedBlockingQueue<>();
-        TimeOuts timeOuts = new TimeOuts(loop, new RunningTime(clock, loopDelay));
+        SocketTimeouts timeOuts = new SocketTimeouts(loop, new RunningTime(clock, loopDelay));
         loop.execute(() -> {
-            timeOuts.at(clock.now(), () -> true, () -> order.add("time-out"));
+            timeOuts.schedule(clock.now(), () -> true, () -> order.add("time-out"));
             Runnable turnEnds = () -> order.add("end of the turn");
             loop.schedule(
                     () -> ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(turnEnds),
--- a/src/test/java/rushproxy/sidecar/WarmUpTest.java
+++ b/src/test/java/rushproxy/sidecar/WarmUpTest.java
@@ -18,7 +18,7 @@
     @Test
     void allOfItsRequestsAreServedAndNoneReachesTheModule() throws Exception {
         try (Rig rig = new Rig()) {
-            Peer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            TestServer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             WarmUp warmUp = new WarmUp(
                     rig.sidecar.loop(),
@@ -30,7 +30,7 @@
                             .settings());
             CountDownLatch done = new CountDownLatch(1);
             rig.sidecar.loop().execute(() -> {
-                rig.sidecar.clients().warmsUp(warmUp);
+                rig.sidecar.clients().beginWarmUp(warmUp);
                 warmUp.begin(rig.address(), done::countDown);
             });
             assertTrue(done.await(30, TimeUnit.SECONDS));
@@ -47,7 +47,7 @@
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             rig.sidecar.warmUp();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000).replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
                 assertEquals("served", client.answer().body());
             }
