--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnection.java
@@ -32,92 +32,92 @@
 /** One connection of the application: its requests in turn, each answered once, whole or so that the client can tell. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientInput.Listener {
     /** Parts of requests sent ahead of their turn before no more is read. */
-    private static final int MOST_AHEAD = 32;
+    private static final int MAX_QUEUED_PARTS = 32;
     /** A body has this long to get going, and then comes at half the pace at least of a client on a poor link. */
-    private static final long BODY_STARTS_US = 2_200_000;
+    private static final long BODY_START_GRACE_US = 2_200_000;
 
-    private static final long BODY_BYTES_PER_S = 32_000;
+    private static final long MIN_BODY_BYTES_PER_S = 32_000;
     /** A body that rests for so long while it is waited for does not go on; a request may be written in 2 s. */
-    private static final long BODY_RESTS_US = 2_200_000;
+    private static final long MAX_BODY_PAUSE_US = 2_200_000;
     /** An upstream that takes nothing of a body for so long does not go on either. */
-    private static final long STUCK_US = 10_000_000;
+    private static final long MAX_UPSTREAM_BLOCKED_US = 10_000_000;
     /** Room for a body is waited for so long; a refusal says that nothing was sent. */
-    private static final long ROOM_US = 1_000_000;
+    private static final long MAX_MEMORY_WAIT_US = 1_000_000;
     /** A client that takes nothing of its answer for so long is no longer there to read it. */
-    private static final long UNREAD_US = 20_000_000;
+    private static final long MAX_UNREAD_RESPONSE_US = 20_000_000;
     /** As the socket was: its close waits for nothing, and what is written still leaves. */
-    private static final int NO_LINGER = -1;
+    private static final int LINGER_DISABLED = -1;
     /** A client sends its first request as soon as its connection is up. */
-    private static final long YOUNG_US = 200_000;
+    private static final long NEW_CONNECTION_US = 200_000;
     /** What the client has been given of an answer that broke off waits for the client to take it so long. */
-    private static final long BROKEN_US = 1_000_000;
+    private static final long MAX_ABORT_FLUSH_US = 1_000_000;
 
     private final TcpConnection channel;
     private final Clock clock;
     /** Those that the request in hand belongs to. */
-    private RequestCoordinator requests;
+    private RequestCoordinator coordinator;
 
     private final Set<String> classes;
     private final ClientServer server;
-    private final MemoryBudget budget;
+    private final MemoryBudget memoryBudget;
     private final ResponseDeadlines deadlines;
     private final RequestGuard guard;
     private final ClientInput input;
-    private final ArrayDeque<Arrival> ahead = new ArrayDeque<>();
+    private final ArrayDeque<QueuedPart> queued = new ArrayDeque<>();
     /** When the request being read sent its first byte; 0 between requests. */
-    private long readingSinceUs;
+    private long readStartUs;
     /** When the head that was decoded last sent its first byte. */
-    private long headSinceUs;
+    private long headStartUs;
 
-    private long activeUs;
+    private long lastActiveUs;
     private final long openedUs;
     /** When its first bytes came by the kernel, where that was before it was accepted; 0 before they are read. */
-    private long firstBytesUs;
+    private long firstReceivedUs;
     /** Since when what was read last may have lain there. */
     private long sentUs;
     /** Whether a whole request has come: such a client may be quiet for as long as it likes. */
-    private boolean proven;
+    private boolean hasSentRequest;
 
     // ---- the request in hand, from its head to the end of its answer
     private boolean busy;
     /** Its end has not come yet. */
     private boolean receiving;
 
-    private boolean answered;
+    private boolean responded;
     /** The kernel has the last byte of its answer. */
-    private boolean written;
+    private boolean flushed;
     /** No other request follows on this connection. */
-    private boolean last;
+    private boolean closeAfterResponse;
     /** The output has ended, and all that still comes is discarded. */
-    private boolean lingers;
+    private boolean lingering;
     /** What comes on this connection is refused, since its client can't be watched any more. */
-    private boolean refuses;
+    private boolean refusing;
     /** An answer may still be on its way to the client. */
-    private boolean anyAnswer;
+    private boolean hasSentResponse;
 
     private HttpRequest head;
     /** What its head says; that of the request before where it is none of the protocol. */
-    private RequestHead asked;
+    private RequestHead requestHead;
 
     private RequestBody body;
     /** When its first byte was read. */
     private long firstByteUs;
 
-    private long bodySinceUs;
-    private long pieceUs;
+    private long bodyStartUs;
+    private long lastPartUs;
+    private long bodyBytesSinceStart;
     private long bodyBytes;
-    private long size;
-    private int reserved;
+    private int reservedBytes;
     /** Takes back a wish for memory that has not been granted; null where none is open. */
-    private Runnable asking;
+    private Runnable cancelReservation;
     /** Since when its body has had to wait for room, unread in the kernel; 0 where it has not. */
     private long unreadSinceUs;
 
-    private Exchange current;
+    private Exchange exchange;
     /** Asks for more of an answer that comes in pieces; null where none does. */
-    private Runnable resume;
+    private Runnable resumeUpstream;
 
-    private record Arrival(HttpObject part, long atUs) {}
+    private record QueuedPart(HttpObject part, long sentUs) {}
 
     ClientConnection(
             TcpConnection channel,
@@ -132,11 +132,11 @@
         this.clock = clock;
         this.classes = classes;
         this.server = server;
-        this.budget = budget;
+        this.memoryBudget = budget;
         this.deadlines = deadlines;
         this.guard = guard;
         input = new ClientInput(clock, loopDelay, budget, this);
-        activeUs = openedUs = clock.now();
+        lastActiveUs = openedUs = clock.now();
     }
 
     TcpConnection channel() {
@@ -151,52 +151,52 @@
     /** Half a request is no quiet. */
     @Override
     public void onBytes(long sinceUs) {
-        activeUs = clock.now();
+        lastActiveUs = clock.now();
         sentUs = sinceUs;
-        if (firstBytesUs == 0) {
+        if (firstReceivedUs == 0) {
             long agoUs = channel.lastReceivedAgoUs();
-            firstBytesUs = agoUs == TcpInfo.UNKNOWN ? openedUs : Math.min(openedUs, activeUs - agoUs);
+            firstReceivedUs = agoUs == TcpInfo.UNKNOWN ? openedUs : Math.min(openedUs, lastActiveUs - agoUs);
         }
-        if (readingSinceUs == 0) {
-            readingSinceUs = activeUs;
+        if (readStartUs == 0) {
+            readStartUs = lastActiveUs;
         }
     }
 
     /** What has been read is answered, without an attempt that could begin after its client's end; then the connection ends. */
     @Override
     public void onDisconnectUndetectable() {
-        if (lingers || asking != null || current != null && !current.body.isReplayable()) {
+        if (lingering || cancelReservation != null || exchange != null && !exchange.body.isReplayable()) {
             // Nothing begins before there is room; what flows to an upstream has begun, and begins no second time.
             return;
         }
         input.stopReading();
-        refuses = true;
-        if (current != null) {
-            requests.onDisconnectUndetectable(current);
+        refusing = true;
+        if (exchange != null) {
+            coordinator.onDisconnectUndetectable(exchange);
         }
     }
 
     /** The decoder gets no more than there is room for; the socket is read for as long as it may tell of the client's end. */
-    private void regulate() {
+    private void updateReading() {
         input.setFlow(
-                ahead.size() >= MOST_AHEAD || body != null && body.isFull(),
-                asking != null || body != null && body.isBlocked());
+                queued.size() >= MAX_QUEUED_PARTS || body != null && body.isFull(),
+                cancelReservation != null || body != null && body.isBlocked());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         HttpObject part = (HttpObject) message;
         if (part instanceof HttpRequest) {
-            headSinceUs = readingSinceUs == 0 ? activeUs : readingSinceUs;
+            headStartUs = readStartUs == 0 ? lastActiveUs : readStartUs;
         }
         if (part instanceof LastHttpContent) {
-            readingSinceUs = 0;
-            proven |= part.decoderResult().isSuccess();
+            readStartUs = 0;
+            hasSentRequest |= part.decoderResult().isSuccess();
         }
-        if (busy && !receiving || !ahead.isEmpty()) {
-            ahead.add(new Arrival(part, sentUs));
-            if (ahead.size() >= MOST_AHEAD) {
-                regulate();
+        if (busy && !receiving || !queued.isEmpty()) {
+            queued.add(new QueuedPart(part, sentUs));
+            if (queued.size() >= MAX_QUEUED_PARTS) {
+                updateReading();
             }
         } else {
             handle(part, sentUs);
@@ -204,27 +204,27 @@
     }
 
     /** What came ahead has its turn, up to the end of the next request. */
-    private void next() {
-        if (!ahead.isEmpty()) {
-            while ((!busy || receiving) && !ahead.isEmpty() && channel.isActive()) {
-                Arrival arrival = ahead.poll();
-                handle(arrival.part, arrival.atUs);
+    private void handleQueued() {
+        if (!queued.isEmpty()) {
+            while ((!busy || receiving) && !queued.isEmpty() && channel.isActive()) {
+                QueuedPart arrival = queued.poll();
+                handle(arrival.part, arrival.sentUs);
             }
-            regulate();
+            updateReading();
         }
     }
 
     private void handle(HttpObject part, long atUs) {
         try {
             if (part instanceof HttpRequest request) {
-                begin(request);
+                beginRequest(request);
             }
             if (part instanceof HttpContent content) {
-                go(content, atUs);
+                handleContent(content, atUs);
             }
         } catch (RuntimeException e) {
             Log.trouble("a handler failed", e);
-            if (busy && !answered && current == null) {
+            if (busy && !responded && exchange == null) {
                 reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
             }
         } finally {
@@ -232,19 +232,19 @@
         }
     }
 
-    private void begin(HttpRequest m) {
+    private void beginRequest(HttpRequest m) {
         busy = receiving = true;
-        answered = written = false;
+        responded = flushed = false;
         head = m;
         body = null;
-        bodySinceUs = pieceUs = clock.now();
-        firstByteUs = headSinceUs;
+        bodyStartUs = lastPartUs = clock.now();
+        firstByteUs = headStartUs;
         unreadSinceUs = 0;
-        bodyBytes = size = 0;
-        last = !HttpUtil.isKeepAlive(m);
-        requests = server.coordinatorFor(m);
+        bodyBytesSinceStart = bodyBytes = 0;
+        closeAfterResponse = !HttpUtil.isKeepAlive(m);
+        coordinator = server.coordinatorFor(m);
         if (!m.decoderResult().isSuccess() || !RequestDecoder.hasUnambiguousFraming(m)) {
-            last = true;
+            closeAfterResponse = true;
             reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
@@ -258,40 +258,40 @@
             write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0);
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             reject(HttpResponseStatus.NOT_FOUND);
-        } else if (!fits(m)) {
+        } else if (!parseHead(m)) {
             reject(HttpResponseStatus.BAD_REQUEST);
         } else if (m.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(m)) {
             reject(HttpResponseStatus.EXPECTATION_FAILED);
         } else {
-            receive(m);
+            receiveBody(m);
         }
     }
 
     /** Whether it is a request of the protocol, of a class that there is, and of an id that is not held already. */
-    private boolean fits(HttpRequest m) {
+    private boolean parseHead(HttpRequest m) {
         RequestHead parsed = RequestHead.parse(m).orElse(null);
-        if (parsed == null || requests.isOpen(parsed.id()) || !classes.contains(parsed.requestClass())) {
+        if (parsed == null || coordinator.isOpen(parsed.id()) || !classes.contains(parsed.requestClass())) {
             return false;
         }
-        asked = parsed;
+        requestHead = parsed;
         return true;
     }
 
-    private void receive(HttpRequest m) {
+    private void receiveBody(HttpRequest m) {
         long length = HttpUtil.isTransferEncodingChunked(m) ? -1 : HttpUtil.getContentLength(m, 0L);
         if (length > Headers.MAX_BODY_BYTES) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        body = new RequestBody(this::regulate, length);
+        body = new RequestBody(this::updateReading, length);
         if (length == 0) {
             return;
         }
         // Until there is room for it no more is read; what the client is asked for it may send.
-        asking = budget.reserve(body.maxKeptBytes(), () -> {
-            asking = null;
-            reserved = body.maxKeptBytes();
-            bodySinceUs = pieceUs = clock.now();
+        cancelReservation = memoryBudget.reserve(body.maxKeptBytes(), () -> {
+            cancelReservation = null;
+            reservedBytes = body.maxKeptBytes();
+            bodyStartUs = lastPartUs = clock.now();
             if (!HttpUtil.is100ContinueExpected(m)) {
                 input.setUnreadSince(unreadSinceUs);
             } else {
@@ -300,24 +300,25 @@
             }
             body.updateFlow();
         });
-        if (reserved > 0) {
-            asking = null;
+        if (reservedBytes > 0) {
+            cancelReservation = null;
         } else {
-            awaitRoom();
+            scheduleMemoryTimeout();
         }
-        regulate();
+        updateReading();
     }
 
     /** Its client may have sent all of it already, and counts from then: what finds no room in time is refused in time. */
-    private void awaitRoom() {
+    private void scheduleMemoryTimeout() {
         HttpRequest waits = head;
         unreadSinceUs = sentUs;
         long untilUs = Math.min(
-                clock.now() + ROOM_US, deadlines.deadlineUs(asked.requestClass(), sentUs, asked.remainingUs()));
+                clock.now() + MAX_MEMORY_WAIT_US,
+                deadlines.deadlineUs(requestHead.requestClass(), sentUs, requestHead.remainingUs()));
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            if (asking != null && head == waits) {
+                            if (cancelReservation != null && head == waits) {
                                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                             }
                         },
@@ -325,35 +326,35 @@
                         TimeUnit.MICROSECONDS);
     }
 
-    private void go(HttpContent content, long atUs) {
+    private void handleContent(HttpContent content, long atUs) {
         boolean ends = content instanceof LastHttpContent;
         if (!receiving) {
             return;
         }
         receiving = !ends;
         if (content.decoderResult().isFailure()) {
-            spoilt();
+            rejectMalformed();
             return;
         }
-        if (!answered && body != null) {
-            took(content.content(), ends, atUs);
+        if (!responded && body != null) {
+            receivePart(content.content(), ends, atUs);
         }
-        if (ends && answered) {
+        if (ends && responded) {
             // What came ahead may be many requests that are answered as fast: not one within the other.
-            if (ahead.isEmpty()) {
-                turn();
+            if (queued.isEmpty()) {
+                finishRequest();
             } else {
-                channel.eventLoop().execute(this::turn);
+                channel.eventLoop().execute(this::finishRequest);
             }
         }
     }
 
-    private void took(ByteBuf piece, boolean ends, long atUs) {
-        pieceUs = clock.now();
+    private void receivePart(ByteBuf piece, boolean ends, long atUs) {
+        lastPartUs = clock.now();
+        bodyBytesSinceStart += piece.readableBytes();
         bodyBytes += piece.readableBytes();
-        size += piece.readableBytes();
-        if (size > Headers.MAX_BODY_BYTES) {
-            abort();
+        if (bodyBytes > Headers.MAX_BODY_BYTES) {
+            abandonExchange();
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -363,58 +364,59 @@
         if (ends) {
             body.finish();
         }
-        if (current != null) {
+        if (exchange != null) {
             if (ends) {
-                requests.onBodyComplete(current, atUs, deadline(atUs));
+                coordinator.onBodyComplete(exchange, atUs, deadlineUs(atUs));
             }
         } else if (ends || body.isFull()) {
-            take(atUs);
+            accept(atUs);
         }
     }
 
-    private void take(long atUs) {
-        if (refuses) {
+    private void accept(long atUs) {
+        if (refusing) {
             reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        long deadline = deadline(atUs);
+        long deadline = deadlineUs(atUs);
         Request request = new Request(
-                asked.id(),
-                asked.key(),
-                asked.resent(),
+                requestHead.id(),
+                requestHead.key(),
+                requestHead.resent(),
                 false,
-                asked.estimateUs(),
+                requestHead.estimateUs(),
                 Math.max(1, deadline - clock.now()),
-                asked.tenant(),
-                asked.requestClass(),
+                requestHead.tenant(),
+                requestHead.requestClass(),
                 !body.isComplete());
         RequestTimestamps times = new RequestTimestamps(
-                openedUs, firstByteUs, body.isComplete() ? clock.now() : 0, atUs, atUs + asked.remainingUs());
-        current = new Exchange(
+                openedUs, firstByteUs, body.isComplete() ? clock.now() : 0, atUs, atUs + requestHead.remainingUs());
+        exchange = new Exchange(
                 request,
                 head.method(),
                 head.uri(),
-                asked.idempotencyKey(),
+                requestHead.idempotencyKey(),
                 body,
                 atUs,
-                asked.remainingUs(),
+                requestHead.remainingUs(),
                 deadline,
-                new Answer(),
+                new ConnectionResponseWriter(),
                 times);
-        requests.accept(current);
+        coordinator.accept(exchange);
     }
 
     /** A request's time runs from its last byte: who writes slowly has no less of it. */
-    private long deadline(long sentUs) {
+    private long deadlineUs(long sentUs) {
         return Math.min(
-                server.latestDeadlineUs(), deadlines.deadlineUs(asked.requestClass(), sentUs, asked.remainingUs()));
+                server.latestDeadlineUs(),
+                deadlines.deadlineUs(requestHead.requestClass(), sentUs, requestHead.remainingUs()));
     }
 
     /** The end of the request can't be found: whatever has been made of it is not what the client meant. */
-    private void spoilt() {
-        last = true;
-        if (!answered) {
-            abort();
+    private void rejectMalformed() {
+        closeAfterResponse = true;
+        if (!responded) {
+            abandonExchange();
             reject(HttpResponseStatus.BAD_REQUEST);
         } else {
             closeGracefully(CloseReason.NO_HTTP);
@@ -422,16 +424,16 @@
     }
 
     /** No attempt goes on for the request in hand, and its answer is not awaited any more. */
-    private void abort() {
-        if (current != null) {
-            Exchange gone = current;
-            current = null;
+    private void abandonExchange() {
+        if (exchange != null) {
+            Exchange gone = exchange;
+            exchange = null;
             log(gone, "given up");
-            requests.onClientLeft(gone);
+            coordinator.onClientLeft(gone);
         }
     }
 
-    private final class Answer implements Exchange.ResponseWriter {
+    private final class ConnectionResponseWriter implements Exchange.ResponseWriter {
         @Override
         public void succeed(ByteBuf content) {
             write(HttpResponseStatus.OK, content, 0);
@@ -449,7 +451,7 @@
 
         @Override
         public void beginStream(long length, Runnable more) {
-            release();
+            releaseMemory();
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (length >= 0) {
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
@@ -458,11 +460,11 @@
             } else {
                 // The end of the connection is the end of the answer: that of a broken one is a reset, whatever ends
                 // the process.
-                last = true;
+                closeAfterResponse = true;
                 channel.options().set(StandardSocketOptions.SO_LINGER, 0);
             }
-            closeOrKeep(response);
-            resume = more;
+            setConnectionHeader(response);
+            resumeUpstream = more;
             channel.writeAndFlush(response);
         }
 
@@ -474,27 +476,27 @@
 
         @Override
         public void endStream() {
-            resume = null;
+            resumeUpstream = null;
             if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-                channel.options().set(StandardSocketOptions.SO_LINGER, NO_LINGER);
+                channel.options().set(StandardSocketOptions.SO_LINGER, LINGER_DISABLED);
             }
-            over(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), "streamed");
+            awaitFlush(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), "streamed");
         }
 
         @Override
         public boolean isClientConnected() {
-            return channel.isActive() && !lingers;
+            return channel.isActive() && !lingering;
         }
 
         @Override
         public void abortStream() {
-            resume = null;
-            if (current == null) {
+            resumeUpstream = null;
+            if (exchange == null) {
                 // The client has gone, and what flowed to it was called off.
                 return;
             }
-            log(current, "broken off");
-            current = null;
+            log(exchange, "broken off");
+            exchange = null;
             if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
                 // The end of the connection would be the end of the answer.
                 channel.options().set(StandardSocketOptions.SO_LINGER, 0);
@@ -502,7 +504,7 @@
                 return;
             }
             var stuck = channel.eventLoop()
-                    .schedule(() -> close(CloseReason.ANSWER_BROKEN), BROKEN_US, TimeUnit.MICROSECONDS);
+                    .schedule(() -> close(CloseReason.ANSWER_BROKEN), MAX_ABORT_FLUSH_US, TimeUnit.MICROSECONDS);
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
                 stuck.cancel(false);
                 closeGracefully(CloseReason.ANSWER_BROKEN);
@@ -516,29 +518,29 @@
     }
 
     private void write(HttpResponseStatus status, ByteBuf content, long retryAfterUs) {
-        release();
+        releaseMemory();
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-        closeOrKeep(response);
+        setConnectionHeader(response);
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
         }
-        over(channel.writeAndFlush(response), "answered " + status.code());
+        awaitFlush(channel.writeAndFlush(response), "answered " + status.code());
     }
 
     /** What the client still sends of a request that has been answered may be long: nothing follows on it. */
-    private void closeOrKeep(HttpResponse response) {
-        anyAnswer = true;
+    private void setConnectionHeader(HttpResponse response) {
+        hasSentResponse = true;
         channel.history().answered();
-        last |= !server.keepsConnectionsOpen() || receiving && bodyComes();
-        if (last) {
+        closeAfterResponse |= !server.keepsConnectionsOpen() || receiving && expectsBody();
+        if (closeAfterResponse) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
 
-    private boolean bodyComes() {
+    private boolean expectsBody() {
         return !head.decoderResult().isSuccess()
                 || HttpUtil.isTransferEncodingChunked(head)
                 || HttpUtil.getContentLength(head, 0L) > 0;
@@ -548,55 +550,55 @@
         x.timestamps.log(x.request.id(), end, x.attempts.size(), clock.now());
     }
 
-    private void over(ChannelFuture written, String end) {
-        if (current != null) {
-            Exchange x = current;
+    private void awaitFlush(ChannelFuture written, String end) {
+        if (exchange != null) {
+            Exchange x = exchange;
             x.timestamps.recordResponse(clock.now());
             written.addListener(f -> log(x, f.isSuccess() ? end : "not written"));
         }
-        current = null;
-        answered = true;
-        activeUs = clock.now();
+        exchange = null;
+        responded = true;
+        lastActiveUs = clock.now();
         written.addListener(f -> {
-            this.written = true;
-            if (last) {
+            this.flushed = true;
+            if (closeAfterResponse) {
                 closeGracefully(CloseReason.LAST_ANSWER);
             } else if (!receiving) {
                 // Not from within: an answer may come while the one before is still being handled.
-                channel.eventLoop().execute(this::turn);
+                channel.eventLoop().execute(this::finishRequest);
             }
         });
     }
 
     /** The request in hand is over, both ways. */
-    private void turn() {
-        if (!busy || receiving || !answered || !written || last) {
+    private void finishRequest() {
+        if (!busy || receiving || !responded || !flushed || closeAfterResponse) {
             return;
         }
         busy = false;
         body = null;
-        next();
-        if (refuses && !busy && ahead.isEmpty() && input.isEmpty()) {
+        handleQueued();
+        if (refusing && !busy && queued.isEmpty() && input.isEmpty()) {
             closeGracefully(CloseReason.UNWATCHED);
         }
     }
 
-    private void release() {
-        if (asking != null) {
-            asking.run();
-            asking = null;
+    private void releaseMemory() {
+        if (cancelReservation != null) {
+            cancelReservation.run();
+            cancelReservation = null;
         }
-        int back = reserved;
-        reserved = 0;
+        int back = reservedBytes;
+        reservedBytes = 0;
         if (back > 0) {
-            budget.release(back);
+            memoryBudget.release(back);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (resume != null && channel.isWritable()) {
-            resume.run();
+        if (resumeUpstream != null && channel.isWritable()) {
+            resumeUpstream.run();
         }
     }
 
@@ -607,21 +609,21 @@
 
     /** Between requests: nothing is held, and no part of the next one has come. */
     boolean isIdle() {
-        return !busy && ahead.isEmpty() && readingSinceUs == 0 && !lingers;
+        return !busy && queued.isEmpty() && readStartUs == 0 && !lingering;
     }
 
     /** It has brought no request yet, and is so new that its first one may be on its way. */
     boolean isNew() {
-        return !proven && clock.now() - openedUs < YOUNG_US;
+        return !hasSentRequest && clock.now() - openedUs < NEW_CONNECTION_US;
     }
 
     /** A whole request has come, and its answer is not wholly with the kernel yet. */
     boolean owesResponse() {
-        return busy && !receiving && !lingers;
+        return busy && !receiving && !lingering;
     }
 
     long lastActiveUs() {
-        return activeUs;
+        return lastActiveUs;
     }
 
     /**
@@ -629,20 +631,20 @@
      * just come. True where it closes.
      */
     boolean closeIfIdle(long sinceUs, long halfSinceUs, boolean sparesYoung, CloseReason reason) {
-        if (!isQuietSince(sinceUs, halfSinceUs) || sparesYoung && isNew()) {
+        if (!isIdleSince(sinceUs, halfSinceUs) || sparesYoung && isNew()) {
             return false;
         }
         channel.readNow();
-        boolean closes = isQuietSince(sinceUs, halfSinceUs) && channel.isActive();
+        boolean closes = isIdleSince(sinceUs, halfSinceUs) && channel.isActive();
         if (closes) {
             closeGracefully(reason);
         }
         return closes;
     }
 
-    private boolean isQuietSince(long sinceUs, long halfSinceUs) {
-        boolean untaken = !busy || receiving && current == null && !answered;
-        return activeUs < (isIdle() ? sinceUs : halfSinceUs) && untaken && ahead.isEmpty() && !lingers;
+    private boolean isIdleSince(long sinceUs, long halfSinceUs) {
+        boolean untaken = !busy || receiving && exchange == null && !responded;
+        return lastActiveUs < (isIdle() ? sinceUs : halfSinceUs) && untaken && queued.isEmpty() && !lingering;
     }
 
     /** Gives its descriptor back at once, unless a request lies in its socket. True where it is closed by now. */
@@ -667,19 +669,19 @@
      * one. A new peer's wait begins with its connection, or with its first bytes where they waited in the kernel's queue.
      */
     void closeIfTimedOut(long now, long patienceUs, long firstPatienceUs) {
-        if (lingers) {
+        if (lingering) {
             return;
         }
         if (busy) {
-            if (answered && !written && now - activeUs >= UNREAD_US) {
+            if (responded && !flushed && now - lastActiveUs >= MAX_UNREAD_RESPONSE_US) {
                 close(CloseReason.ANSWER_UNREAD);
-            } else if (receiving && !answered && body != null) {
-                lookAtBody(now);
+            } else if (receiving && !responded && body != null) {
+                checkBodyProgress(now);
             }
-        } else if (ahead.isEmpty()) {
-            boolean late = !proven
-                    ? now - beganUs() >= firstPatienceUs && !isNew()
-                    : readingSinceUs != 0 && now - readingSinceUs >= patienceUs;
+        } else if (queued.isEmpty()) {
+            boolean late = !hasSentRequest
+                    ? now - requestWaitStartUs() >= firstPatienceUs && !isNew()
+                    : readStartUs != 0 && now - readStartUs >= patienceUs;
             if (late) {
                 closeGracefully(CloseReason.REQUEST_UNFINISHED);
             }
@@ -687,59 +689,63 @@
     }
 
     /** Since when its peer, which has sent no whole request yet, is known to be there. */
-    private long beganUs() {
-        return firstBytesUs == 0 ? openedUs : firstBytesUs;
+    private long requestWaitStartUs() {
+        return firstReceivedUs == 0 ? openedUs : firstReceivedUs;
     }
 
-    private void lookAtBody(long now) {
-        if (asking != null) {
+    private void checkBodyProgress(long now) {
+        if (cancelReservation != null) {
             return;
         }
         long stuckUs = body.blockedSinceUs(now);
         if (body.isFull() || stuckUs > 0) {
             // It is not read: this time is not the client's.
-            bodySinceUs = pieceUs = now;
-            bodyBytes = 0;
-            if (stuckUs > 0 && now - stuckUs >= STUCK_US) {
-                abort();
+            bodyStartUs = lastPartUs = now;
+            bodyBytesSinceStart = 0;
+            if (stuckUs > 0 && now - stuckUs >= MAX_UPSTREAM_BLOCKED_US) {
+                abandonExchange();
                 reject(HttpResponseStatus.BAD_GATEWAY);
             }
             return;
         }
-        long sinceUs = now - bodySinceUs;
-        boolean slow =
-                sinceUs >= BODY_STARTS_US && bodyBytes < BODY_BYTES_PER_S * (sinceUs - BODY_STARTS_US) / 1_000_000 + 1;
-        if (slow || now - pieceUs >= BODY_RESTS_US) {
-            abort();
+        long sinceUs = now - bodyStartUs;
+        boolean slow = sinceUs >= BODY_START_GRACE_US
+                && bodyBytesSinceStart < MIN_BODY_BYTES_PER_S * (sinceUs - BODY_START_GRACE_US) / 1_000_000 + 1;
+        if (slow || now - lastPartUs >= MAX_BODY_PAUSE_US) {
+            abandonExchange();
             closeGracefully(CloseReason.BODY_TOO_SLOW);
         }
     }
 
     /** Ends the connection so that its client still gets what it has been answered; nothing may be waiting to be written. */
     void closeGracefully(CloseReason reason) {
-        if (lingers || answersFirst(reason)) {
+        if (lingering || answerBeforeClose(reason)) {
             return;
         }
-        if (!anyAnswer) {
+        if (!hasSentResponse) {
             close(reason);
             return;
         }
         RequestLog.recordClose(channel, reason);
-        lingers = true;
+        lingering = true;
         input.discard();
-        release();
+        releaseMemory();
         server.addLingering(this);
         LingeringClose.start(channel, Math.min(LingeringClose.MAX_LINGER_US, server.closeDeadlineUs() - clock.now()));
     }
 
     /** A whole request that has no part of an answer yet gets one before its connection ends, which then follows on it. */
-    private boolean answersFirst(CloseReason reason) {
-        boolean owed =
-                busy && !receiving && !answered && current != null && !current.state.isDecided() && channel.isActive();
+    private boolean answerBeforeClose(CloseReason reason) {
+        boolean owed = busy
+                && !receiving
+                && !responded
+                && exchange != null
+                && !exchange.state.isDecided()
+                && channel.isActive();
         if (owed) {
-            guard.recordCloseWithRequest(current.request.id(), reason);
-            last = true;
-            abort();
+            guard.recordCloseWithRequest(exchange.request.id(), reason);
+            closeAfterResponse = true;
+            abandonExchange();
             reject(HttpResponseStatus.BAD_GATEWAY);
         }
         return owed;
@@ -747,12 +753,12 @@
 
     /** Whether the output has ended, and only the client's end is waited for. */
     boolean isLingering() {
-        return lingers;
+        return lingering;
     }
 
     /** Gives its descriptor back at once. */
     void close(CloseReason reason) {
-        if (answersFirst(reason) || !guard.canClose(isNew() && !lingers, reason)) {
+        if (answerBeforeClose(reason) || !guard.canClose(isNew() && !lingering, reason)) {
             return;
         }
         RequestLog.recordClose(channel, reason);
@@ -762,20 +768,20 @@
     /** While reads fail the client's end can't be seen: no attempt begins any more for what has been read whole. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == TcpConnection.ReadsFail.FOR_LONG && current != null && current.body.isReplayable()) {
-            requests.onDisconnectUndetectable(current);
+        if (event == TcpConnection.ReadsFail.FOR_LONG && exchange != null && exchange.body.isReplayable()) {
+            coordinator.onDisconnectUndetectable(exchange);
         }
         ctx.fireUserEventTriggered(event);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        for (Arrival a; (a = ahead.poll()) != null; ) {
+        for (QueuedPart a; (a = queued.poll()) != null; ) {
             ReferenceCountUtil.release(a.part);
         }
-        resume = null;
-        release();
-        abort();
+        resumeUpstream = null;
+        releaseMemory();
+        abandonExchange();
     }
 
     @Override
@@ -788,12 +794,12 @@
         }
         channel.history().failed(ConnectionHistory.Call.HANDLER, cause);
         Log.trouble("a client's connection failed", cause);
-        if (busy && !answered && current == null) {
-            last = true;
+        if (busy && !responded && exchange == null) {
+            closeAfterResponse = true;
             reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
-        } else if (busy && answered && !written) {
+        } else if (busy && responded && !flushed) {
             // Its answer is on its way, and the connection ends behind it.
-            last = true;
+            closeAfterResponse = true;
         } else {
             close(CloseReason.FAILED);
         }
--- a/src/main/java/rushproxy/sidecar/ClientConnectionLimiter.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnectionLimiter.java
@@ -17,28 +17,28 @@
  */
 final class ClientConnectionLimiter {
     /** So many quiet connections are read once more, in search of one that brings nothing. */
-    private static final int MOST_LOOKED_AT = 3;
+    private static final int MAX_IDLE_CHECKS = 3;
     /** At most this part of the connections may be waiting for their clients' end. */
-    private static final int LINGERING_PART = 8;
+    private static final int LINGERING_DIVISOR = 8;
 
-    private static final long LOOK_AGAIN_MS = 20;
+    private static final long RETRY_INTERVAL_MS = 20;
 
     private final EventLoop loop;
     /** As many may be open now: it follows what upstreams take. */
     private final IntSupplier limit;
     /** Raises the limit by a place that upstreams have borrowed and do not use now; false where there is none. */
-    private final BooleanSupplier takeBack;
+    private final BooleanSupplier reclaimUpstreamSlot;
 
     private final Set<ClientConnection> connections = new HashSet<>();
     /** Those of them whose output has ended, the oldest first. */
     private final ArrayDeque<ClientConnection> lingering = new ArrayDeque<>();
     /** A further look for a place is due. */
-    private boolean looksAgain;
+    private boolean retryScheduled;
 
     ClientConnectionLimiter(EventLoop loop, IntSupplier limit, BooleanSupplier takeBack) {
         this.loop = loop;
         this.limit = limit;
-        this.takeBack = takeBack;
+        this.reclaimUpstreamSlot = takeBack;
     }
 
     void add(ClientConnection connection) {
@@ -74,7 +74,7 @@
     /** Its output has ended. No more than a few wait so at once, and none where its descriptor is wanted. */
     void addLingering(ClientConnection connection) {
         lingering.add(connection);
-        int most = hasFreeSlot() ? Math.max(1, limit() / LINGERING_PART) : 0;
+        int most = hasFreeSlot() ? Math.max(1, limit() / LINGERING_DIVISOR) : 0;
         while (lingering.size() > most) {
             lingering.poll().close(CloseReason.ROOM_NEEDED);
         }
@@ -83,22 +83,22 @@
     /** Ends connections until a place is free. Where too few can end now they are looked at again soon, for as long as none is. */
     void evictUntilSlotFree() {
         while (!hasFreeSlot()) {
-            if (!takeBack.getAsBoolean() && !freeOne()) {
-                lookAgain();
+            if (!reclaimUpstreamSlot.getAsBoolean() && !evictOne()) {
+                scheduleRetry();
                 return;
             }
         }
     }
 
-    private void lookAgain() {
-        if (!looksAgain) {
-            looksAgain = true;
+    private void scheduleRetry() {
+        if (!retryScheduled) {
+            retryScheduled = true;
             loop.schedule(
                     () -> {
-                        looksAgain = false;
+                        retryScheduled = false;
                         evictUntilSlotFree();
                     },
-                    LOOK_AGAIN_MS,
+                    RETRY_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -107,14 +107,14 @@
      * One that only waits for its client's end goes, else one between requests: its client opens another where it needs one. One that
      * has just come may be about to bring its first request.
      */
-    private boolean freeOne() {
+    private boolean evictOne() {
         int before = openCount();
         ClientConnection lingers = lingering.poll();
         if (lingers != null) {
             lingers.close(CloseReason.ROOM_NEEDED);
         }
-        for (int looks = 0; openCount() >= before && looks < MOST_LOOKED_AT; looks++) {
-            Optional<ClientConnection> quietest = quietest();
+        for (int looks = 0; openCount() >= before && looks < MAX_IDLE_CHECKS; looks++) {
+            Optional<ClientConnection> quietest = longestIdle();
             if (quietest.isEmpty()) {
                 break;
             }
@@ -123,7 +123,7 @@
         return openCount() < before;
     }
 
-    private Optional<ClientConnection> quietest() {
+    private Optional<ClientConnection> longestIdle() {
         return connections.stream()
                 .filter(connection -> connection.isIdle() && !connection.isNew())
                 .min(Comparator.comparingLong(ClientConnection::lastActiveUs));
--- a/src/main/java/rushproxy/sidecar/ClientInput.java
+++ b/src/main/java/rushproxy/sidecar/ClientInput.java
@@ -21,9 +21,9 @@
     /** An attempt may begin 100 ms after its client's end; that is not seen while nothing is read. */
     static final long MAX_UNREAD_MS = 80;
     /** What lies in the kernel is read without such a gap. */
-    private static final long PAUSE_US = 5_000;
+    private static final long READ_PAUSE_US = 5_000;
     /** Each head has it in its first line. */
-    private static final ByteBuf VERSION =
+    private static final ByteBuf HTTP_VERSION_PREFIX =
             Unpooled.unreleasableBuffer(Unpooled.wrappedBuffer("HTTP/1.".getBytes(StandardCharsets.US_ASCII))
                     .asReadOnly());
 
@@ -35,35 +35,35 @@
         void onDisconnectUndetectable();
     }
 
-    private record Kept(ByteBuf bytes, long sentUs) {}
+    private record BufferedRead(ByteBuf bytes, long sentUs) {}
 
     private final Clock clock;
     private final LoopDelay loopDelay;
-    private final MemoryBudget budget;
+    private final MemoryBudget memoryBudget;
     private final Listener listener;
     private final long openedUs;
-    private final ArrayDeque<Kept> kept = new ArrayDeque<>();
+    private final ArrayDeque<BufferedRead> buffered = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private int keptBytes;
+    private int reservedBytes;
     /** Since when what is read may have lain there. */
     private long sentUs;
     /** What is read without a pause may have lain there since then, nothing having been read meanwhile; 0 otherwise. */
     private long unreadSinceUs;
 
-    private long readAtUs;
+    private long lastReadUs;
     /** The socket was found empty after this: what is read from then on has come since. */
     private long emptySinceUs;
 
-    private int reads;
+    private int readCount;
     /** What was read last had lain in the kernel, and more of it may lie there. */
-    private boolean lay;
+    private boolean readWasDelayed;
 
     private boolean held;
     private boolean paused;
     /** No more may be kept until the decoder has taken what is. */
     private boolean full;
     /** Counts the times at which it became full, for the looks that follow each. */
-    private int fills;
+    private int fillCount;
 
     private boolean passing;
     /** Nothing is read any more. */
@@ -72,7 +72,7 @@
     ClientInput(Clock clock, LoopDelay loopDelay, MemoryBudget budget, Listener listener) {
         this.clock = clock;
         this.loopDelay = loopDelay;
-        this.budget = budget;
+        this.memoryBudget = budget;
         this.listener = listener;
         openedUs = clock.now();
         sentUs = openedUs - loopDelay.behindUs(openedUs);
@@ -82,13 +82,13 @@
     public void handlerAdded(ChannelHandlerContext ctx) {
         context = ctx;
         if (ctx.channel() instanceof TcpConnection connection) {
-            connection.tellsAgeIf(this::mayBeOld);
+            connection.tellsAgeIf(this::mayBeDelayed);
         }
     }
 
     /** What is read next may have lain in the kernel: before the connection was accepted, in a hold-up, or while nothing was read. */
-    private boolean mayBeOld() {
-        return readAtUs == 0 || lay || loopDelay.behindUs(clock.now()) >= LoopDelay.LATE_US;
+    private boolean mayBeDelayed() {
+        return lastReadUs == 0 || readWasDelayed || loopDelay.behindUs(clock.now()) >= LoopDelay.LATE_US;
     }
 
     /**
@@ -98,17 +98,18 @@
     private static long receivedAgoUs(ChannelHandlerContext ctx, ByteBuf bytes) {
         long agoUs =
                 ctx.channel() instanceof TcpConnection connection ? connection.lastReceivedAgoUs() : TcpInfo.UNKNOWN;
-        return agoUs == TcpInfo.UNKNOWN || mayHoldSeveral(bytes) ? TcpInfo.UNKNOWN : agoUs;
+        return agoUs == TcpInfo.UNKNOWN || mayHoldSeveralRequests(bytes) ? TcpInfo.UNKNOWN : agoUs;
     }
 
-    private static boolean mayHoldSeveral(ByteBuf bytes) {
+    private static boolean mayHoldSeveralRequests(ByteBuf bytes) {
         ByteBuf all = bytes.slice();
-        int first = ByteBufUtil.indexOf(VERSION, all);
+        int first = ByteBufUtil.indexOf(HTTP_VERSION_PREFIX, all);
         if (first < 0) {
             return false;
         }
-        ByteBuf rest = all.skipBytes(first + VERSION.readableBytes()).slice();
-        return ByteBufUtil.indexOf(VERSION, rest) >= 0;
+        ByteBuf rest =
+                all.skipBytes(first + HTTP_VERSION_PREFIX.readableBytes()).slice();
+        return ByteBufUtil.indexOf(HTTP_VERSION_PREFIX, rest) >= 0;
     }
 
     @Override
@@ -118,25 +119,25 @@
         if (now - openedUs >= LoopDelay.BEAT_US) {
             sentUs = now - loopDelay.behindUs(now);
         }
-        if (readAtUs > 0 && now - readAtUs >= PAUSE_US) {
+        if (lastReadUs > 0 && now - lastReadUs >= READ_PAUSE_US) {
             unreadSinceUs = 0;
         }
-        readAtUs = now;
+        lastReadUs = now;
         ByteBuf bytes = (ByteBuf) message;
         long agoUs = receivedAgoUs(ctx, bytes);
         if (agoUs != TcpInfo.UNKNOWN) {
             sentUs = now - agoUs;
-            lay = agoUs >= LoopDelay.LATE_US;
+            readWasDelayed = agoUs >= LoopDelay.LATE_US;
         }
         if (unreadSinceUs > 0) {
             sentUs = Math.min(sentUs, unreadSinceUs);
         }
         sentUs = Math.max(sentUs, emptySinceUs);
-        lookIfEmpty(now);
-        if (held || paused || passing || !kept.isEmpty()) {
-            keep(bytes);
+        checkSocketEmpty(now);
+        if (held || paused || passing || !buffered.isEmpty()) {
+            buffer(bytes);
         } else {
-            pass(new Kept(bytes, sentUs));
+            passOn(new BufferedRead(bytes, sentUs));
         }
     }
 
@@ -144,15 +145,15 @@
      * After a hold-up what is read counts as old as that. But what comes after all of it has been read is new, and its client has all
      * of its time.
      */
-    private void lookIfEmpty(long now) {
-        int read = ++reads;
+    private void checkSocketEmpty(long now) {
+        int read = ++readCount;
         if (now - sentUs < LoopDelay.LATE_US) {
             return;
         }
         SocketLook.before((EventLoop) context.executor(), () -> {
-            if (read == reads && context.channel() instanceof TcpConnection connection && connection.reads()) {
+            if (read == readCount && context.channel() instanceof TcpConnection connection && connection.reads()) {
                 emptySinceUs = now;
-                lay = false;
+                readWasDelayed = false;
             }
         });
     }
@@ -160,31 +161,31 @@
     /** What is read from now on, up to the first pause, may have lain there since then. */
     void setUnreadSince(long us) {
         unreadSinceUs = us;
-        readAtUs = 0;
+        lastReadUs = 0;
     }
 
-    private void keep(ByteBuf bytes) {
-        kept.add(new Kept(bytes, sentUs));
+    private void buffer(ByteBuf bytes) {
+        buffered.add(new BufferedRead(bytes, sentUs));
         // What has been read is kept whatever the bound says: it can be given back to nobody.
-        boolean granted = budget.tryReserve(bytes.capacity());
-        keptBytes += granted ? bytes.capacity() : 0;
-        if (!granted || keptBytes >= MAX_BUFFERED_BYTES) {
+        boolean granted = memoryBudget.tryReserve(bytes.capacity());
+        reservedBytes += granted ? bytes.capacity() : 0;
+        if (!granted || reservedBytes >= MAX_BUFFERED_BYTES) {
             full = true;
-            tellIfStillFull(++fills);
-            look();
+            scheduleFullNotice(++fillCount);
+            updateAutoRead();
         }
     }
 
     /** Again and again: what the listener could do nothing about at one time it may at the next, for another request. */
-    private void tellIfStillFull(int fill) {
+    private void scheduleFullNotice(int fill) {
         context.executor()
                 .schedule(
                         () -> {
                             if (full
-                                    && fill == fills
+                                    && fill == fillCount
                                     && !stopped
                                     && context.channel().isActive()) {
-                                tellIfStillFull(fill);
+                                scheduleFullNotice(fill);
                                 listener.onDisconnectUndetectable();
                             }
                         },
@@ -192,7 +193,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void pass(Kept next) {
+    private void passOn(BufferedRead next) {
         passing = true;
         try {
             listener.onBytes(next.sentUs);
@@ -210,54 +211,54 @@
         held = hold;
         paused = pause;
         if (!passing) {
-            release();
-        } else if (!kept.isEmpty()) {
-            context.executor().execute(this::release);
+            passBuffered();
+        } else if (!buffered.isEmpty()) {
+            context.executor().execute(this::passBuffered);
         }
     }
 
-    private void release() {
-        boolean any = !kept.isEmpty();
-        while (!held && !paused && !kept.isEmpty()) {
-            pass(kept.poll());
+    private void passBuffered() {
+        boolean any = !buffered.isEmpty();
+        while (!held && !paused && !buffered.isEmpty()) {
+            passOn(buffered.poll());
         }
-        if (any && kept.isEmpty()) {
-            giveBack();
+        if (any && buffered.isEmpty()) {
+            releaseMemory();
             full = false;
             context.fireChannelReadComplete();
         }
-        look();
+        updateAutoRead();
     }
 
-    private void look() {
+    private void updateAutoRead() {
         context.channel().config().setAutoRead(!paused && !full && !stopped);
     }
 
     /** What is kept is the last of it: nothing more is read. */
     void stopReading() {
         stopped = true;
-        look();
+        updateAutoRead();
     }
 
     /** Whether anything waits for the decoder. */
     boolean isEmpty() {
-        return kept.isEmpty();
+        return buffered.isEmpty();
     }
 
-    private void giveBack() {
-        int back = keptBytes;
-        keptBytes = 0;
+    private void releaseMemory() {
+        int back = reservedBytes;
+        reservedBytes = 0;
         if (back > 0) {
-            budget.release(back);
+            memoryBudget.release(back);
         }
     }
 
     /** What waits is nobody's any more. */
     void discard() {
-        for (Kept k; (k = kept.poll()) != null; ) {
+        for (BufferedRead k; (k = buffered.poll()) != null; ) {
             k.bytes.release();
         }
-        giveBack();
+        releaseMemory();
     }
 
     @Override
--- a/src/main/java/rushproxy/sidecar/RequestCoordinator.java
+++ b/src/main/java/rushproxy/sidecar/RequestCoordinator.java
@@ -16,23 +16,23 @@
 /** The requests held: each is told to the module, carried through its attempts and answered exactly once. */
 final class RequestCoordinator {
     /** The module answers at the deadline, when attempts time out; what it has not by then is answered here. */
-    private static final long OVERDUE_US = 2_000;
+    private static final long OVERDUE_GRACE_US = 2_000;
     /** A deadline is not moved for less. */
     static final long MIN_DEADLINE_CHANGE_US = 5_000;
     /** A body that is still coming has its own bounds, with the client and with the upstream. */
-    private static final long UPLOAD_US = 3_600_000_000L;
+    private static final long UPLOAD_TIMEOUT_US = 3_600_000_000L;
 
     private final EventLoop loop;
     private final Clock clock;
-    private final SocketTimeouts timeOuts;
-    private AttemptListener watch = (upstream, requestClass, outcome, tookUs) -> {};
-    private final BalancerDispatcher decisions;
+    private final SocketTimeouts timeouts;
+    private AttemptListener attemptListener = (upstream, requestClass, outcome, tookUs) -> {};
+    private final BalancerDispatcher dispatcher;
     private final Upstreams upstreams;
     private final RequestGuard guard;
     private final int maxAttempts;
     private final Map<String, Exchange> open = new HashMap<>();
     /** When the process may be killed, once it is to end. */
-    private long endUs = Long.MAX_VALUE;
+    private long processEndUs = Long.MAX_VALUE;
     /** Since the last {@link #reportStats}. */
     private int taken;
 
@@ -41,8 +41,8 @@
     private int failed;
     private int overdue;
     private int left;
-    private int broken;
-    private final UnservedRequestStats unserved = new UnservedRequestStats();
+    private int brokenOff;
+    private final UnservedRequestStats unservedStats = new UnservedRequestStats();
     private final Map<Outcome, Integer> outcomes = new EnumMap<>(Outcome.class);
 
     RequestCoordinator(
@@ -55,8 +55,8 @@
         this.guard = guard;
         this.loop = loop;
         clock = time.clock();
-        timeOuts = new SocketTimeouts(loop, time);
-        this.decisions = decisions;
+        timeouts = new SocketTimeouts(loop, time);
+        this.dispatcher = decisions;
         this.upstreams = upstreams;
         this.maxAttempts = maxAttempts;
     }
@@ -76,16 +76,16 @@
         RequestLog.logTaken(x.request.id(), x.request.requestClass(), x.deadlineUs - clock.now());
         open.put(x.request.id(), x);
         if (x.body.isComplete()) {
-            await(x);
+            scheduleTimeout(x);
         }
-        decisions.call(m -> m.onRequest(clock.now(), x.request), () -> fail(x));
+        dispatcher.call(m -> m.onRequest(clock.now(), x.request), () -> fail(x));
     }
 
-    private void await(Exchange x) {
-        x.timeout = timeOuts.schedule(
-                x.deadlineUs + OVERDUE_US,
+    private void scheduleTimeout(Exchange x) {
+        x.timeout = timeouts.schedule(
+                x.deadlineUs + OVERDUE_GRACE_US,
                 () -> List.copyOf(x.attempts).stream().allMatch(upstreams::readNow),
-                () -> overdue(x));
+                () -> failOverdue(x));
     }
 
     /** The last byte of the request has come: its time runs from now. */
@@ -93,7 +93,7 @@
         if (!x.state.isDecided()) {
             x.sentUs = sentUs;
             x.deadlineUs = deadlineUs;
-            await(x);
+            scheduleTimeout(x);
             for (UpstreamCall call : x.attempts) {
                 upstreams.due(call, deadlineUs);
             }
@@ -102,12 +102,12 @@
 
     /** All that is held has to be over by then. */
     void capDeadlines(long us) {
-        endUs = us;
+        processEndUs = us;
         for (Exchange x : open.values()) {
             if (x.streamingCall != null) {
                 upstreams.endBy(x.streamingCall, us);
             }
-            hasten(x, us);
+            shortenDeadline(x, us);
         }
     }
 
@@ -116,13 +116,13 @@
         for (Exchange x : open.values()) {
             long dueUs = deadlines.deadlineUs(x.request.requestClass(), x.sentUs, x.remainingUs);
             if (x.deadlineUs - dueUs >= MIN_DEADLINE_CHANGE_US) {
-                hasten(x, dueUs);
+                shortenDeadline(x, dueUs);
             }
         }
     }
 
     /** It has to be over by then, if that is sooner than before. What is still coming gets its time when it has come. */
-    private void hasten(Exchange x, long us) {
+    private void shortenDeadline(Exchange x, long us) {
         if (x.state.isDecided() || !x.body.isComplete() || x.deadlineUs <= us) {
             return;
         }
@@ -132,7 +132,7 @@
         for (UpstreamCall call : x.attempts) {
             upstreams.due(call, Math.min(call.untilUs(), us));
         }
-        await(x);
+        scheduleTimeout(x);
     }
 
     /** The client has left: nothing is owed any more, and what is out ends by itself, but for what flows. */
@@ -145,7 +145,7 @@
             left++;
             RequestLog.logState(x.request.id(), "left by its client");
             finish(x, RequestState.LEFT);
-            expired(x);
+            notifyExpired(x);
         }
         if (flows) {
             x.body.discard();
@@ -153,24 +153,24 @@
         }
     }
 
-    private void overdue(Exchange x) {
+    private void failOverdue(Exchange x) {
         if (!x.state.isDecided()) {
             overdue++;
             RequestLog.logState(x.request.id(), "overdue");
             fail(x, "overdue");
-            expired(x);
+            notifyExpired(x);
         }
     }
 
-    private void expired(Exchange x) {
-        decisions.call(m -> m.onExpired(clock.now(), x.request.id()), () -> {});
+    private void notifyExpired(Exchange x) {
+        dispatcher.call(m -> m.onExpired(clock.now(), x.request.id()), () -> {});
     }
 
     /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
     void failPending() {
         for (Exchange x : List.copyOf(open.values())) {
             if (x.hasNoPendingAttempt()) {
-                overdue(x);
+                failOverdue(x);
             }
         }
     }
@@ -182,19 +182,20 @@
         }
         int number = x.attempts.size();
         long now = clock.now();
-        long until =
-                !x.body.isComplete() ? now + UPLOAD_US : untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
-        String moot = whyMoot(x, number, until <= now);
+        long until = !x.body.isComplete()
+                ? now + UPLOAD_TIMEOUT_US
+                : untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
+        String moot = reasonNotToAttempt(x, number, until <= now);
         UpstreamCall call =
-                new UpstreamCall(upstream, until, false, left -> message(x, number), x.body, new CallResult() {
+                new UpstreamCall(upstream, until, false, left -> buildRequest(x, number), x.body, new CallResult() {
                     @Override
                     public void ended(UpstreamCall c, Outcome outcome, LoadReport report, ByteBuf body) {
-                        RequestCoordinator.this.ended(x, number, c, outcome, report, body);
+                        RequestCoordinator.this.onCallEnded(x, number, c, outcome, report, body);
                     }
 
                     @Override
                     public boolean begins(UpstreamCall c, long length, Runnable resume) {
-                        return RequestCoordinator.this.begins(x, number, c, length, resume);
+                        return RequestCoordinator.this.beginStreaming(x, number, c, length, resume);
                     }
 
                     @Override
@@ -210,7 +211,7 @@
                     @Override
                     public void sent(UpstreamCall c) {
                         if (x.request.partial()) {
-                            decisions.call(m -> m.onSent(clock.now(), x.request.id(), number), () -> {});
+                            dispatcher.call(m -> m.onSent(clock.now(), x.request.id(), number), () -> {});
                         }
                     }
                 });
@@ -222,13 +223,13 @@
             call.end(Outcome.NOT_SENT, null, null);
         } else {
             RequestLog.logAttempt(id, number, upstream, until - now);
-            begin(call);
+            startCall(call);
         }
     }
 
     /** Asked just before the first byte, on every way to it: the module, then the guard. */
     private boolean mayBegin(Exchange x, int number, UpstreamCall call) {
-        String why = decisions.query(m -> m.mayBegin(clock.now(), x.request.id(), number))
+        String why = dispatcher.query(m -> m.mayBegin(clock.now(), x.request.id(), number))
                 ? guard.reasonNotToSend(x, call)
                 : "the module says no";
         if (why != null) {
@@ -239,12 +240,12 @@
     }
 
     /** The last byte of an answer that was passed on has come, or none comes any more. */
-    private void endPassing(Exchange x, boolean whole) {
+    private void finishStreaming(Exchange x, boolean whole) {
         if (x.state == RequestState.LEFT) {
             return;
         }
         if (!whole) {
-            broken++;
+            brokenOff++;
         }
         if (guard.transition(x, whole ? RequestState.ANSWERED : RequestState.BROKEN_OFF)) {
             if (whole) {
@@ -256,7 +257,7 @@
     }
 
     /** Why an attempt that the module asks for must not begin; null where it may. */
-    private String whyMoot(Exchange x, int number, boolean late) {
+    private String reasonNotToAttempt(Exchange x, int number, boolean late) {
         if (x.state.isDecided()) {
             return "the request is over";
         }
@@ -274,7 +275,7 @@
     }
 
     /** What lies in the sockets goes first: it may say that this must not be sent any more. */
-    private void begin(UpstreamCall call) {
+    private void startCall(UpstreamCall call) {
         SocketLook.before(loop, () -> {
             if (!call.ended()) {
                 upstreams.start(call);
@@ -294,10 +295,10 @@
         } else {
             fail(x);
         }
-        expired(x);
+        notifyExpired(x);
     }
 
-    private HttpRequest message(Exchange x, int number) {
+    private HttpRequest buildRequest(Exchange x, int number) {
         HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, x.method, x.uri);
         // Where the request still comes its client's time has not begun.
         long left = x.body.isComplete()
@@ -311,41 +312,42 @@
     }
 
     /** An answer too long to be kept, or of which nobody knows how long it is, has begun to come. */
-    private boolean begins(Exchange x, int number, UpstreamCall call, long length, Runnable resume) {
+    private boolean beginStreaming(Exchange x, int number, UpstreamCall call, long length, Runnable resume) {
         if (x.state.isDecided() || !finish(x, RequestState.PASSING_ON)) {
             return false;
         }
         served++;
         RequestLog.logState(x.request.id(), "passing its answer on");
         x.streamingCall = call;
-        upstreams.endBy(call, endUs);
+        upstreams.endBy(call, processEndUs);
         x.response.beginStream(length, resume);
         long now = clock.now();
-        decisions.call(
+        dispatcher.call(
                 m -> m.onStreamStart(now, x.request.id(), number, call.upstream, upstreams.tookUs(call)), () -> {});
         return true;
     }
 
-    private void ended(Exchange x, int number, UpstreamCall call, Outcome outcome, LoadReport report, ByteBuf body) {
+    private void onCallEnded(
+            Exchange x, int number, UpstreamCall call, Outcome outcome, LoadReport report, ByteBuf body) {
         outcomes.merge(outcome, 1, Integer::sum);
         long tookUs = upstreams.tookUs(call);
         RequestLog.logOutcome(x.request.id(), number, call.upstream, outcome, tookUs);
         if (x.streamingCall == call) {
-            endPassing(x, outcome == Outcome.OK);
+            finishStreaming(x, outcome == Outcome.OK);
         } else if (outcome == Outcome.OK && !x.state.isDecided() && finish(x, RequestState.ANSWERED)) {
             served++;
             x.response.succeed(body.retain());
         }
-        forgetIfSettled(x);
+        removeIfSettled(x);
         long now = clock.now();
-        watch.onAttemptEnded(call.upstream, x.request.requestClass(), outcome, tookUs);
-        decisions.call(
+        attemptListener.onAttemptEnded(call.upstream, x.request.requestClass(), outcome, tookUs);
+        dispatcher.call(
                 m -> m.onOutcome(
                         now, x.request.id(), number, call.upstream, outcome, tookUs, x.state.isDecided(), report),
-                () -> failUnlessOut(x));
+                () -> failIfNonePending(x));
     }
 
-    private void failUnlessOut(Exchange x) {
+    private void failIfNonePending(Exchange x) {
         if (x.hasNoPendingAttempt()) {
             fail(x);
         }
@@ -360,7 +362,7 @@
             fail(x);
         } else if (finish(x, RequestState.ANSWERED)) {
             refused++;
-            unserved.add(x, "refused", clock.now());
+            unservedStats.add(x, "refused", clock.now());
             RequestLog.logState(x.request.id(), "refused");
             x.response.refuse(retryAfterUs);
         }
@@ -379,7 +381,7 @@
     private void fail(Exchange x, String reason) {
         if (!x.state.isDecided() && finish(x, RequestState.ANSWERED)) {
             failed++;
-            unserved.add(x, reason, clock.now());
+            unservedStats.add(x, reason, clock.now());
             RequestLog.logState(x.request.id(), "failed");
             x.response.fail();
         }
@@ -391,7 +393,7 @@
     }
 
     void setAttemptListener(AttemptListener now) {
-        watch = now;
+        attemptListener = now;
     }
 
     /** Hears what became of requests and attempts, in words and as fields. */
@@ -404,10 +406,11 @@
         if (taken == 0 && outcomes.isEmpty()) {
             return;
         }
-        String words = taken + " requests: " + served + " served (" + broken + " broken off), " + refused + " refused, "
+        String words = taken + " requests: " + served + " served (" + brokenOff + " broken off), " + refused
+                + " refused, "
                 + failed + " failed (" + overdue + " overdue), " + left + " left by their client; " + open.size()
                 + " held; attempts " + outcomes;
-        Map<String, Integer> reasons = unserved.takeCounts();
+        Map<String, Integer> reasons = unservedStats.takeCounts();
         words += reasons.isEmpty() ? "" : "; not served " + reasons;
         to.accept(
                 words,
@@ -416,7 +419,7 @@
                 "served",
                 served,
                 "broken_off",
-                broken,
+                brokenOff,
                 "refused",
                 refused,
                 "failed",
@@ -431,7 +434,7 @@
                 outcomes,
                 "not_served",
                 reasons);
-        taken = served = refused = failed = overdue = left = broken = 0;
+        taken = served = refused = failed = overdue = left = brokenOff = 0;
         outcomes.clear();
     }
 
@@ -454,11 +457,11 @@
         // A connection may still be coming up for one: whoever has gone, or has been answered, is sent nothing more
         // for.
         List.copyOf(x.attempts).forEach(UpstreamCall::withdraw);
-        forgetIfSettled(x);
+        removeIfSettled(x);
         return true;
     }
 
-    private void forgetIfSettled(Exchange x) {
+    private void removeIfSettled(Exchange x) {
         if (x.isSettled()) {
             open.remove(x.request.id());
         }
