--- a/src/test/java/rushproxy/sidecar/TestServer.java
+++ b/src/test/java/rushproxy/sidecar/TestServer.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback that answers each message as the test says: an upstream or discovery. */
+/** A server on loopback that handles each message as the test specifies, such as an upstream or discovery. */
 final class TestServer implements AutoCloseable {
-    /** What a test does with one message; to write nothing leaves the sender waiting. */
+    /** Handles a message. A handler that writes nothing leaves the sender waiting. */
     interface Handler {
-        void handle(Message message, Connection line) throws IOException;
+        void handle(Message message, Connection connection) throws IOException;
     }
 
     record Message(String head, String body) {
@@ -26,18 +26,18 @@
             return head.split(" ")[1];
         }
 
-        /** Null where there is no such header. */
+        /** Null if there is no such header. */
         String header(String name) {
             return head.lines()
                     .skip(1)
-                    .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
-                    .map(l -> l.substring(name.length() + 1).trim())
+                    .filter(line -> line.toLowerCase().startsWith(name.toLowerCase() + ":"))
+                    .map(line -> line.substring(name.length() + 1).trim())
                     .findFirst()
                     .orElse(null);
         }
     }
 
-    /** One connection as its server sees it. */
+    /** The server's side of a connection. */
     record Connection(Socket socket) {
         void raw(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -77,11 +77,11 @@
     }
 
     Message next() throws InterruptedException {
-        Message m = messages.poll(20, TimeUnit.SECONDS);
-        if (m == null) {
-            throw new AssertionError("no message came");
+        Message message = messages.poll(20, TimeUnit.SECONDS);
+        if (message == null) {
+            throw new AssertionError("no message arrived");
         }
-        return m;
+        return message;
     }
 
     private void accept() {
@@ -99,16 +99,16 @@
 
     private void serve(Socket socket) {
         try {
-            for (Message m; (m = read(socket.getInputStream())) != null; ) {
-                messages.add(m);
-                script.handle(m, new Connection(socket));
+            for (Message message; (message = read(socket.getInputStream())) != null; ) {
+                messages.add(message);
+                script.handle(message, new Connection(socket));
             }
         } catch (IOException e) {
-            // the other side ended
+            // the other side closed the connection
         }
     }
 
-    /** One HTTP message with a body of its stated length; null where the stream ends before one. */
+    /** Reads a message with a body of its stated length; null if the stream ends before one. */
     static Message read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -118,24 +118,24 @@
             }
             head.append((char) c);
         }
-        Message m = new Message(head.toString(), "");
-        String length = m.header("Content-Length");
+        Message message = new Message(head.toString(), "");
+        String length = message.header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Message(m.head, new String(body, StandardCharsets.ISO_8859_1));
+        return new Message(message.head, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 
-    /** Waits for what is not told; 10 s at most, which is no failure. */
-    static void awaitUntil(java.util.function.BooleanSupplier what) {
+    /** Polls until the condition holds or 10 s have passed, which is not a failure. */
+    static void awaitUntil(java.util.function.BooleanSupplier condition) {
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (!what.getAsBoolean() && System.nanoTime() < untilNanos) {
+        while (!condition.getAsBoolean() && System.nanoTime() < untilNanos) {
             try {
                 TimeUnit.MILLISECONDS.sleep(10);
             } catch (InterruptedException e) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** A client's connection to a sidecar. */
+    /** A client connection to a sidecar. */
     static final class Client implements AutoCloseable {
         final Socket socket;
 
@@ -165,17 +165,17 @@
             return this;
         }
 
-        /** The next answer; null where the connection ends without one. */
+        /** The next response; null if the connection ends without one. */
         Message answer() throws IOException {
             return read(socket.getInputStream());
         }
 
         int status() throws IOException {
-            Message m = answer();
-            return m == null ? -1 : Integer.parseInt(m.head.split(" ")[1]);
+            Message message = answer();
+            return message == null ? -1 : Integer.parseInt(message.head.split(" ")[1]);
         }
 
-        /** All that comes until the other side ends the connection. */
+        /** Reads until the other side closes the connection. */
         String rest() throws IOException {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
