--- a/src/test/java/rushproxy/sidecar/BadInputTest.java
+++ b/src/test/java/rushproxy/sidecar/BadInputTest.java
@@ -13,13 +13,13 @@
 @Timeout(60)
 class BadInputTest {
     @Test
-    void whatIsNoRequestOfTheProtocolIsSaidSo() throws Exception {
+    void invalidRequestsAreRejectedWithTheirStatus() throws Exception {
         String good = Rig.get("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
         cases.put(good.replace("X-Txn: a1\r\n", ""), 400);
-        cases.put(good.replace("X-Lane: c", "X-Lane: nobody"), 400);
+        cases.put(good.replace("X-Lane: c", "X-Lane: unknown"), 400);
         cases.put(good.replace("X-Lane: c\r\n", ""), 400);
         for (String time : new String[] {"", "soon", "-5", "0", "1.5", "99999999999999999999"}) {
             cases.put(good.replace("X-Remaining-Ms: 9000", "X-Remaining-Ms: " + time), 400);
@@ -37,23 +37,23 @@
                         + "x".repeat(65_536),
                 200);
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", "ok"));
             rig.start();
-            for (Map.Entry<String, Integer> c : cases.entrySet()) {
+            for (Map.Entry<String, Integer> testCase : cases.entrySet()) {
                 try (TestServer.Client client = rig.client()) {
-                    client.send(c.getKey());
+                    client.send(testCase.getKey());
                     assertEquals(
-                            c.getValue(),
+                            testCase.getValue(),
                             client.status(),
-                            c.getKey().lines().limit(9).toList().toString());
+                            testCase.getKey().lines().limit(9).toList().toString());
                 }
             }
         }
     }
 
-    /** Not ready while there is nobody to send to: the application would begin to lose requests at once. */
+    /** Guards against requests that fail because they arrive before any upstream is known. */
     @Test
-    void readyOnlyOnceThereIsAnUpstream() throws Exception {
+    void isReadyOnlyOnceThereIsAnUpstream() throws Exception {
         try (Rig rig = new Rig()) {
             rig.start();
             try (TestServer.Client client = rig.client()) {
@@ -63,11 +63,14 @@
         }
     }
 
-    /** What has never run is slow: the application is told to come once the program has called itself for a while. */
+    /**
+     * Guards against slow first requests: clients are only invited once the code has been warmed up by requests of its
+     * own.
+     */
     @Test
-    void readyOnlyOnceItHasWarmedUp() throws Exception {
+    void isReadyOnlyOnceItHasWarmedUp() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, connection) -> {});
             rig.start();
             Thread warmUp = new Thread(() -> {
                 try {
@@ -88,16 +91,19 @@
             }
             warmUp.join();
             assertTrue(
-                    rig.told.stream().noneMatch(t -> t.startsWith("request")),
-                    "a request of the warm-up reached the module");
+                    rig.told.stream().noneMatch(event -> event.startsWith("request")),
+                    "a request of the warm-up reached the balancer");
         }
     }
 
-    /** A silent peer, half a request and one byte after the other end in a close; a client between requests stays. */
+    /**
+     * Silent clients, incomplete requests and clients that send byte by byte are closed; a client between requests
+     * stays open.
+     */
     @Test
-    void peersThatNeverFinishARequestAreClosed() throws Exception {
+    void clientsThatNeverCompleteARequestAreClosed() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", "ok"));
             rig.start();
             try (TestServer.Client good = rig.client();
                     TestServer.Client silent = rig.client();
@@ -120,26 +126,26 @@
                         open = false;
                     }
                 }
-                assertFalse(open, "one that sends byte by byte is still open");
+                assertFalse(open, "a client that sends byte by byte is still open");
                 assertEquals(-1, silent.status());
                 assertEquals(-1, half.status());
                 good.send(Rig.get("a3", 9_000));
                 assertEquals(200, good.status());
-                assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request a2")));
+                assertTrue(rig.told.stream().noneMatch(event -> event.startsWith("request a2")));
             }
         }
     }
 
-    private static void broken(String json, String... named) {
+    private static void assertInvalid(String json, String... expected) {
         Config.Broken e = assertThrows(Config.Broken.class, () -> Rig.config(json));
-        for (String name : named) {
+        for (String name : expected) {
             assertTrue(e.getMessage().contains(name), e.getMessage());
         }
         assertEquals(1, e.getMessage().lines().count());
     }
 
     @Test
-    void aBrokenConfigurationIsOneLineThatNamesTheField() throws Exception {
+    void anInvalidConfigurationIsReportedInOneLineThatNamesTheField() throws Exception {
         String good =
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
@@ -147,18 +153,18 @@
                         + ",\"settings\":" + Rig.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(7000, Rig.config(good).known().entries().get(0).upstream().startedUs());
         assertEquals(0x8c1f30d27a5be964L, Rig.config(good).seed());
-        broken("", "JSON");
-        broken("[]", "JSON");
-        broken("{\n\n", "JSON");
-        broken(good.replace("\"listen\"", "\"x\""), "'listen' is missing");
-        broken(good.replace("127.0.0.1:0", "localhost:0"), "listen");
-        broken(good.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
-        broken(good.replace("[\"127.0.0.1:7\"]", "7"), "peers");
-        broken(good.replace("127.0.0.1:7", "7"), "peers");
-        broken(good.replace("8c1f30d27a5be964", "seed!"), "seed");
-        broken(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
-        broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
-        broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
+        assertInvalid("", "JSON");
+        assertInvalid("[]", "JSON");
+        assertInvalid("{\n\n", "JSON");
+        assertInvalid(good.replace("\"listen\"", "\"x\""), "'listen' is missing");
+        assertInvalid(good.replace("127.0.0.1:0", "localhost:0"), "listen");
+        assertInvalid(good.replace("127.0.0.1:9", "127.0.0.1:99999"), "discovery");
+        assertInvalid(good.replace("[\"127.0.0.1:7\"]", "7"), "peers");
+        assertInvalid(good.replace("127.0.0.1:7", "7"), "peers");
+        assertInvalid(good.replace("8c1f30d27a5be964", "seed!"), "seed");
+        assertInvalid(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
+        assertInvalid(good.replace("\"balancers\":2,", ""), "settings", "balancers");
+        assertInvalid(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
         assertThrows(Config.Broken.class, () -> Config.read(Map.of()));
         assertThrows(Config.Broken.class, () -> Config.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
     }
--- a/src/test/java/rushproxy/sidecar/DepartureTest.java
+++ b/src/test/java/rushproxy/sidecar/DepartureTest.java
@@ -94,7 +94,7 @@
     void nothingIsSentWhenTheConnectionComesUpAfterTheClientHasGone() throws Exception {
         try (SlowDoor door = new SlowDoor();
                 Rig rig = new Rig((m, line) -> {})) {
-            rig.discovery.script = (m, line) ->
+            rig.discovery.handler = (m, line) ->
                     line.answer("200 OK", "", Rig.list(50, true, Rig.entry("u0", door.address(), "Ready", 0)));
             rig.upstream((m, line) -> {});
             rig.start();
@@ -182,7 +182,7 @@
         try (SlowDoor door = new SlowDoor();
                 Rig rig = new Rig((m, line) -> {})) {
             TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
-            rig.discovery.script = (m, line) -> line.answer(
+            rig.discovery.handler = (m, line) -> line.answer(
                     "200 OK",
                     "",
                     Rig.list(
--- a/src/test/java/rushproxy/sidecar/DescriptorsTest.java
+++ b/src/test/java/rushproxy/sidecar/DescriptorsTest.java
@@ -150,7 +150,7 @@
                 ready(p, at).close();
                 rest(at, 300);
                 assertEquals("before", served(at, "a1"), this::log);
-                discovery.script = (m, line) -> {
+                discovery.handler = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer("200 OK", "", Rig.list(43, true, Rig.entry("u1", after.address(), "Ready", 0)));
                     }
@@ -179,7 +179,7 @@
                 // No descriptor is left: the answer comes all the same, and in time.
                 known.send(Rig.get("a2", 2_500));
                 assertTrue(List.of(502, 503).contains(known.status()), log());
-                discovery.script = (m, line) -> {
+                discovery.handler = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer("200 OK", "", Rig.list(43, true, Rig.entry("u1", after.address(), "Ready", 0)));
                     }
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -209,7 +209,7 @@
     /** Answers each call to discovery with the news, until one shows that the sidecar has them. */
     private void tell(String news, long generation) throws Exception {
         CountDownLatch has = new CountDownLatch(1);
-        standIns.discovery.script = (m, line) -> {
+        standIns.discovery.handler = (m, line) -> {
             if (m.path().contains("index=" + generation)) {
                 has.countDown();
             } else {
--- a/src/test/java/rushproxy/sidecar/MessageTransferTest.java
+++ b/src/test/java/rushproxy/sidecar/MessageTransferTest.java
@@ -15,89 +15,89 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Messages of any length and form pass whole, in pieces, or so that both sides can tell that they did not. */
+/** Messages of any length and framing are transferred completely, or so that both sides can tell that they were not. */
 @Timeout(120)
 class MessageTransferTest {
-    private static final int LONG = 8 << 20;
+    private static final int LONG_BYTES = 8 << 20;
 
     private static String post(String id, String framing) {
         return "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: c\r\nX-Remaining-Ms: 20000\r\n" + framing
                 + "\r\n";
     }
 
-    private static byte[] bytes(int n) {
-        byte[] b = new byte[n];
-        for (int i = 0; i < n; i++) {
-            b[i] = (byte) (i * 31 + i / 251);
+    private static byte[] bytes(int length) {
+        byte[] bytes = new byte[length];
+        for (int i = 0; i < length; i++) {
+            bytes[i] = (byte) (i * 31 + i / 251);
         }
-        return b;
+        return bytes;
     }
 
     private static String chunks(byte[] body, int size, String extension, String trailer) {
-        StringBuilder s = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (int at = 0; at < body.length; at += size) {
-            int n = Math.min(size, body.length - at);
-            s.append(Integer.toHexString(n))
+            int length = Math.min(size, body.length - at);
+            text.append(Integer.toHexString(length))
                     .append(extension)
                     .append("\r\n")
-                    .append(new String(body, at, n, StandardCharsets.ISO_8859_1))
+                    .append(new String(body, at, length, StandardCharsets.ISO_8859_1))
                     .append("\r\n");
         }
-        return s + "0\r\n" + trailer + "\r\n";
+        return text + "0\r\n" + trailer + "\r\n";
     }
 
-    /** Reads a head, then a body by its length, its chunks or its end. Null where it breaks off. */
-    private static byte[] answer(InputStream in) throws Exception {
+    /** Reads a head, then a body by its length or its chunks. Null if it breaks off. */
+    private static byte[] readBody(InputStream in) throws Exception {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int c = in.read();
-            if (c < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return null;
             }
-            head.append((char) c);
+            head.append((char) next);
         }
-        TestServer.Message m = new TestServer.Message(head.toString(), "");
-        if (m.header("Content-Length") != null) {
-            int n = Integer.parseInt(m.header("Content-Length"));
-            byte[] body = in.readNBytes(n);
-            return body.length == n ? body : null;
+        TestServer.Message message = new TestServer.Message(head.toString(), "");
+        if (message.header("Content-Length") != null) {
+            int length = Integer.parseInt(message.header("Content-Length"));
+            byte[] body = in.readNBytes(length);
+            return body.length == length ? body : null;
         }
         var body = new java.io.ByteArrayOutputStream();
         while (true) {
-            StringBuilder line = new StringBuilder();
-            for (int c; (c = in.read()) != '\n'; ) {
-                if (c < 0) {
+            StringBuilder sizeLine = new StringBuilder();
+            for (int next; (next = in.read()) != '\n'; ) {
+                if (next < 0) {
                     return null;
                 }
-                line.append((char) c);
+                sizeLine.append((char) next);
             }
-            int n = Integer.parseInt(line.toString().trim().split(";")[0], 16);
-            byte[] piece = in.readNBytes(n + 2);
-            if (piece.length < n + 2) {
+            int length = Integer.parseInt(sizeLine.toString().trim().split(";")[0], 16);
+            byte[] piece = in.readNBytes(length + 2);
+            if (piece.length < length + 2) {
                 return null;
             }
-            if (n == 0) {
+            if (length == 0) {
                 return body.toByteArray();
             }
-            body.write(piece, 0, n);
+            body.write(piece, 0, length);
         }
     }
 
-    /** An upstream that answers a body with what it was; requests come whole or in chunks. */
-    private static void echo(Rig rig, List<byte[]> got) throws Exception {
-        rig.upstream((m, line) -> {
+    /** Starts an upstream that echoes the body of each request, which may be chunked. */
+    private static void echo(Rig rig, List<byte[]> received) throws Exception {
+        rig.upstream((message, connection) -> {
             try {
-                InputStream in = line.socket().getInputStream();
-                byte[] body = m.body().getBytes(StandardCharsets.ISO_8859_1);
-                if ("chunked".equalsIgnoreCase(m.header("Transfer-Encoding"))) {
-                    body = answer(new java.io.SequenceInputStream(
+                InputStream in = connection.socket().getInputStream();
+                byte[] body = message.body().getBytes(StandardCharsets.ISO_8859_1);
+                if ("chunked".equalsIgnoreCase(message.header("Transfer-Encoding"))) {
+                    body = readBody(new java.io.SequenceInputStream(
                             new java.io.ByteArrayInputStream("HTTP/1.1 200 OK\r\n\r\n".getBytes()), in));
                 }
-                synchronized (got) {
-                    got.add(body);
+                synchronized (received) {
+                    received.add(body);
                 }
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
-                line.socket().getOutputStream().write(body);
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+                connection.socket().getOutputStream().write(body);
             } catch (java.io.IOException e) {
                 throw e;
             } catch (Exception e) {
@@ -107,40 +107,42 @@
     }
 
     @Test
-    void bodiesOfAllFormsArriveAsTheyWereSent() throws Exception {
+    void requestBodiesOfAnyFramingArriveUnchanged() throws Exception {
         try (Rig rig = new Rig()) {
-            List<byte[]> got = new ArrayList<>();
-            echo(rig, got);
+            List<byte[]> received = new ArrayList<>();
+            echo(rig, received);
             rig.start();
             int id = 0;
-            for (int n : new int[] {0, 1, 65_535, 65_536, 65_537, 300_000, LONG}) {
-                byte[] body = bytes(n);
+            for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, 300_000, LONG_BYTES}) {
+                byte[] body = bytes(length);
                 for (boolean chunked : new boolean[] {false, true}) {
-                    try (TestServer.Client c = rig.client()) {
+                    try (TestServer.Client client = rig.client()) {
                         String name = "b" + id++;
                         Thread sender = new Thread(() -> {
                             try {
-                                OutputStream out = c.socket.getOutputStream();
-                                c.send(post(
+                                OutputStream actions = client.socket.getOutputStream();
+                                client.send(post(
                                         name,
-                                        chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + n + "\r\n"));
-                                out.write(
+                                        chunked
+                                                ? "Transfer-Encoding: chunked\r\n"
+                                                : "Content-Length: " + length + "\r\n"));
+                                actions.write(
                                         chunked
                                                 ? chunks(body, 7_001, ";a=\"b\"", "X-Sum: 1\r\n")
                                                         .getBytes(StandardCharsets.ISO_8859_1)
                                                 : body);
-                                out.flush();
+                                actions.flush();
                             } catch (java.io.IOException e) {
-                                // the answer tells
+                                // the assertion on the response fails
                             }
                         });
                         sender.start();
                         org.junit.jupiter.api.Assertions.assertArrayEquals(
-                                body, answer(c.socket.getInputStream()), name);
+                                body, readBody(client.socket.getInputStream()), name);
                         sender.join();
-                        // The connection goes on.
-                        c.send(Rig.get(name + "x", 20_000));
-                        assertEquals(200, c.status());
+                        // The connection stays usable.
+                        client.send(Rig.get(name + "x", 20_000));
+                        assertEquals(200, client.status());
                     }
                 }
             }
@@ -148,27 +150,29 @@
     }
 
     @Test
-    void answersOfAllFormsArriveWhole() throws Exception {
+    void responsesOfAnyFramingArriveCompletely() throws Exception {
         byte[] body = bytes(500_000);
         String text = new String(body, StandardCharsets.ISO_8859_1);
-        List<TestServer.Handler> forms = List.of(
-                (m, line) -> line.answer("200 OK", "", text),
-                (m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        List<TestServer.Handler> handlers = List.of(
+                (message, connection) -> connection.answer("200 OK", "", text),
+                (message, connection) -> connection.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunks(body, 9_999, ";x", "T: 1\r\n")),
-                (m, line) -> {
-                    line.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text);
-                    line.socket().shutdownOutput();
+                (message, connection) -> {
+                    connection.raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text);
+                    connection.socket().shutdownOutput();
                 },
-                (m, line) -> line.raw("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-                        + "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + text));
-        for (TestServer.Handler form : forms) {
+                (message, connection) ->
+                        connection.raw("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
+                                + "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + text));
+        for (TestServer.Handler handler : handlers) {
             try (Rig rig = new Rig()) {
-                rig.upstream(form);
+                rig.upstream(handler);
                 rig.start();
-                try (TestServer.Client c = rig.client()) {
+                try (TestServer.Client client = rig.client()) {
                     for (int i = 0; i < 2; i++) {
-                        c.send(Rig.get("a" + i, 20_000));
-                        org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
+                        client.send(Rig.get("a" + i, 20_000));
+                        org.junit.jupiter.api.Assertions.assertArrayEquals(
+                                body, readBody(client.socket.getInputStream()));
                         assertEquals("begins a" + i + " 0", rig.await("begins"));
                         assertEquals("outcome a" + i + " 0 OK true -", rig.await("outcome"));
                     }
@@ -177,138 +181,145 @@
         }
     }
 
-    /** The client must not take a part for the whole. */
+    /** Guards against clients that mistake a part of a response for all of it. */
     @Test
-    void anAnswerThatBreaksOffIsSeenToBeBroken() throws Exception {
+    void aResponseThatBreaksOffIsRecognisablyIncomplete() throws Exception {
         for (String head : new String[] {
             "Content-Length: 900000\r\n\r\n" + "x".repeat(400_000),
             "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + "x".repeat(200_000) + "\r\n30d40\r\nhalf"
         }) {
             try (Rig rig = new Rig()) {
-                rig.upstream((m, line) -> {
-                    line.raw("HTTP/1.1 200 OK\r\n" + head);
-                    line.socket().close();
+                rig.upstream((message, connection) -> {
+                    connection.raw("HTTP/1.1 200 OK\r\n" + head);
+                    connection.socket().close();
                 });
                 rig.start();
-                try (TestServer.Client c = rig.client()) {
-                    c.send(Rig.get("a1", 20_000));
-                    assertEquals(null, answer(c.socket.getInputStream()));
+                try (TestServer.Client client = rig.client()) {
+                    client.send(Rig.get("a1", 20_000));
+                    assertEquals(null, readBody(client.socket.getInputStream()));
                     assertEquals("outcome a1 0 RESET true -", rig.await("outcome"));
                 }
             }
         }
     }
 
-    /** Sends chunks of so many bytes, so long apart. */
-    private static void chunksApart(TestServer.Connection line, int count, int bytes, long ms)
+    /** Sends {@code count} chunks with a pause after each. */
+    private static void sendChunks(TestServer.Connection connection, int count, int bytes, long pauseMs)
             throws java.io.IOException {
         String chunk = Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n";
         try {
             for (int i = 0; i < count; i++) {
-                line.raw(chunk);
-                Thread.sleep(ms);
+                connection.raw(chunk);
+                Thread.sleep(pauseMs);
             }
         } catch (InterruptedException e) {
             throw new java.io.InterruptedIOException();
         }
     }
 
-    /** A slow answer of unknown length is neither held back until 64 KiB of it are there, nor cut while it moves. */
+    /**
+     * Guards against buffering a slow response of unknown length until 64 KiB have arrived, and against cutting it off
+     * at the deadline.
+     */
     @Test
-    void whatAnUpstreamGivesSlowlyIsPassedOnAsItComes() throws Exception {
+    void aSlowResponseOfUnknownLengthIsStreamed() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                chunksApart(line, 40, 1_000, 30);
-                line.raw("4\r\nlast\r\n0\r\n\r\n");
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                sendChunks(connection, 40, 1_000, 30);
+                connection.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 500));
+            try (TestServer.Client client = rig.client()) {
+                client.send(Rig.get("a1", 500));
                 rig.await("begins a1");
-                assertEquals(40_004, answer(c.socket.getInputStream()).length);
+                assertEquals(40_004, readBody(client.socket.getInputStream()).length);
             }
         }
     }
 
-    /** Of a long answer the first bytes are due: it may rest after its request's deadline, and goes on. */
+    /** Only the first bytes of a long response must arrive by the deadline; it may pause past it. */
     @Test
-    void aLongAnswerMayRestPastItsDeadline() throws Exception {
+    void aLongResponseMayPausePastItsDeadline() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                chunksApart(line, 1, 70_000, 900);
-                line.raw("4\r\nlast\r\n0\r\n\r\n");
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                sendChunks(connection, 1, 70_000, 900);
+                connection.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 500));
-                assertEquals(70_004, answer(c.socket.getInputStream()).length);
+            try (TestServer.Client client = rig.client()) {
+                client.send(Rig.get("a1", 500));
+                assertEquals(70_004, readBody(client.socket.getInputStream()).length);
             }
         }
     }
 
-    /** Nothing of it was passed on yet: its client is told, in its time, and the connection goes on. */
+    /** Nothing was streamed yet, so the client gets an error in time and the connection stays open. */
     @Test
-    void aShortAnswerThatStopsIsAnsweredAsFailed() throws Exception {
+    void aShortResponseThatStallsIsAnsweredAsFailed() throws Exception {
         try (Rig rig = new Rig()) {
-            Semaphore stopped = new Semaphore(0);
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-                stopped.release();
+            Semaphore stalled = new Semaphore(0);
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
+                stalled.release();
             });
-            // The requests' time passes once their answers have stopped, however late that is. The kernel's ages still
-            // run: the time is
-            // longer than any of them.
+            // The clock only moves once the response has stalled, however late that is. The kernel's ages still
+            // advance, so the request's time is longer than any of them.
             rig.time.stop();
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 20_000));
-                stopped.acquire();
+            try (TestServer.Client client = rig.client()) {
+                client.send(Rig.get("a1", 20_000));
+                stalled.acquire();
                 rig.time.move(20_000);
-                assertEquals(502, c.status());
+                assertEquals(502, client.status());
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome a1"));
-                c.send(Rig.get("a2", 20_000));
-                stopped.acquire();
+                client.send(Rig.get("a2", 20_000));
+                stalled.acquire();
                 rig.time.move(20_000);
-                assertEquals(502, c.status());
+                assertEquals(502, client.status());
             }
         }
     }
 
-    /** It was passed on since it moved, and stops: its client sees that it is not whole, at its deadline. */
+    /**
+     * The response was streamed because it made progress, and then stalls: at the deadline the client sees that it is
+     * incomplete.
+     */
     @Test
-    void aShortAnswerThatWasPassedOnAndStopsIsBrokenOff() throws Exception {
+    void aStreamedShortResponseThatStallsIsBrokenOff() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                chunksApart(line, 10, 1_000, 10);
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                sendChunks(connection, 10, 1_000, 10);
             });
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                long sent = System.nanoTime();
-                c.send(Rig.get("a1", 800));
+            try (TestServer.Client client = rig.client()) {
+                long sentNanos = System.nanoTime();
+                client.send(Rig.get("a1", 800));
                 rig.await("begins a1");
-                assertEquals(null, answer(c.socket.getInputStream()));
-                long tookMs = (System.nanoTime() - sent) / 1_000_000;
+                assertEquals(null, readBody(client.socket.getInputStream()));
+                long tookMs = (System.nanoTime() - sentNanos) / 1_000_000;
                 assertTrue(tookMs < 5_000, "broken off after " + tookMs + " ms");
                 assertEquals("outcome a1 0 RESET true -", rig.await("outcome a1"));
             }
         }
     }
 
-    /** The upstream is read no faster than the client reads: what lies between is a window, not the answer. */
+    /**
+     * Guards against buffering a whole response for a client that does not read: only a window of it may be in transit.
+     */
     @Test
-    void aClientThatDoesNotReadHoldsTheUpstreamBack() throws Exception {
+    void aClientThatDoesNotReadAppliesBackpressureToTheUpstream() throws Exception {
         try (Rig rig = new Rig()) {
             long[] written = new long[1];
             CountDownLatch ended = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (32 << 20) + "\r\n\r\n");
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (32 << 20) + "\r\n\r\n");
                 byte[] piece = new byte[1 << 16];
                 try {
                     for (int i = 0; i < 32 << 4; i++) {
-                        line.socket().getOutputStream().write(piece);
+                        connection.socket().getOutputStream().write(piece);
                         synchronized (written) {
                             written[0] += piece.length;
                         }
@@ -318,9 +329,9 @@
                 }
             });
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.socket.setReceiveBufferSize(64 << 10);
-                c.send(Rig.get("a1", 20_000));
+            try (TestServer.Client client = rig.client()) {
+                client.socket.setReceiveBufferSize(64 << 10);
+                client.send(Rig.get("a1", 20_000));
                 rig.await("begins");
                 long before = -1;
                 for (long now = 0; now != before || now == 0; ) {
@@ -330,49 +341,49 @@
                         now = written[0];
                     }
                 }
-                assertTrue(before < 24 << 20, before + " bytes were taken for a client that reads none");
-                assertEquals(32 << 20, answer(c.socket.getInputStream()).length);
+                assertTrue(before < 24 << 20, before + " bytes were read for a client that reads none");
+                assertEquals(32 << 20, readBody(client.socket.getInputStream()).length);
             }
             ended.await();
         }
     }
 
-    /** The answer flowed to it: the attempt ends with it, and its outcome is told. */
+    /** A response that is streamed to a client ends with that client, and its outcome is reported. */
     @Test
-    void aClientThatLeavesWithinItsAnswerEndsTheAttempt() throws Exception {
+    void aClientThatLeavesDuringItsResponseEndsTheAttempt() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream(
-                    (m, line) -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000)));
+            rig.upstream((message, connection) ->
+                    connection.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000)));
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 20_000));
+            try (TestServer.Client client = rig.client()) {
+                client.send(Rig.get("a1", 20_000));
                 rig.await("begins a1");
             }
             assertEquals("outcome a1 0 CANCELLED true -", rig.await("outcome"));
         }
     }
 
-    /** Half of a long body has gone: it can't be sent again, and the client hears so. */
+    /** The beginning of a streamed body is no longer available, so the request is refused instead. */
     @Test
-    void aBodyThatHasBegunToFlowIsNotSentAgain() throws Exception {
+    void aStreamedBodyIsNotSentAgain() throws Exception {
         try (Rig rig = new Rig()) {
-            TestServer up = rig.upstream((m, line) -> line.reset());
-            rig.onOutcome = (id, outcome, done, out) -> {
+            TestServer upstream = rig.upstream((message, connection) -> connection.reset());
+            rig.onOutcome = (id, outcome, decided, actions) -> {
                 if (outcome == rushproxy.Balancer.Outcome.NOT_SENT) {
-                    out.refuse(id, 0);
-                } else if (!done) {
-                    out.send(id, "u0", 0);
+                    actions.refuse(id, 0);
+                } else if (!decided) {
+                    actions.send(id, "u0", 0);
                 }
             };
-            up.script = (m, line) -> {};
+            upstream.handler = (message, connection) -> {};
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
+            try (TestServer.Client client = rig.client()) {
+                client.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
                 rig.await("request a1");
-                // Its head is there, and its body flows behind it.
-                up.next();
-                up.accepted.take().close();
-                assertEquals(503, c.status());
+                // The upstream has received the head, and the body is being streamed.
+                upstream.next();
+                upstream.accepted.take().close();
+                assertEquals(503, client.status());
                 assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome a1 0"));
                 assertEquals("outcome a1 1 NOT_SENT false -", rig.await("outcome a1 1"));
             }
@@ -380,28 +391,28 @@
     }
 
     @Test
-    void aClientIsToldToGoOn() throws Exception {
+    void aClientThatExpectsContinueGetsIt() throws Exception {
         try (Rig rig = new Rig()) {
             echo(rig, new ArrayList<>());
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(post("a1", "Expect: 100-continue\r\nContent-Length: 4\r\n"));
-                assertEquals(100, c.status());
-                c.send("body");
-                assertEquals("body", c.answer().body());
+            try (TestServer.Client client = rig.client()) {
+                client.send(post("a1", "Expect: 100-continue\r\nContent-Length: 4\r\n"));
+                assertEquals(100, client.status());
+                client.send("body");
+                assertEquals("body", client.answer().body());
             }
-            try (TestServer.Client c = rig.client()) {
-                c.send(post("a2", "Expect: a-miracle\r\nContent-Length: 4\r\n"));
-                assertEquals(417, c.status());
+            try (TestServer.Client client = rig.client()) {
+                client.send(post("a2", "Expect: a-miracle\r\nContent-Length: 4\r\n"));
+                assertEquals(417, client.status());
             }
         }
     }
 
-    /** Where two readers could find two ends, nothing goes on to an upstream. */
+    /** Guards against request smuggling: ambiguous framing never reaches an upstream. */
     @Test
-    void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
+    void ambiguousFramingIsRejected() throws Exception {
         try (Rig rig = new Rig()) {
-            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            TestServer upstream = rig.upstream((message, connection) -> connection.answer("200 OK", "", ""));
             rig.start();
             for (String framing : new String[] {
                 "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -418,9 +429,9 @@
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: xchunked\r\n"
             }) {
-                try (TestServer.Client c = rig.client()) {
-                    c.send(post("f1", framing) + "3\r\nabc\r\n0\r\n\r\n");
-                    assertEquals(400, c.status(), framing);
+                try (TestServer.Client client = rig.client()) {
+                    client.send(post("f1", framing) + "3\r\nabc\r\n0\r\n\r\n");
+                    assertEquals(400, client.status(), framing);
                 }
             }
             for (String body : new String[] {
@@ -430,23 +441,23 @@
                 "\r\n\r\n",
                 "fffffffffffffffff\r\nabc"
             }) {
-                try (TestServer.Client c = rig.client()) {
-                    c.send(post("f2", "Transfer-Encoding: chunked\r\n") + body);
-                    assertEquals(400, c.status(), body);
+                try (TestServer.Client client = rig.client()) {
+                    client.send(post("f2", "Transfer-Encoding: chunked\r\n") + body);
+                    assertEquals(400, client.status(), body);
                 }
             }
-            assertEquals(0, up.messages.size());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request")), rig.told.toString());
+            assertEquals(0, upstream.messages.size());
+            assertTrue(rig.told.stream().noneMatch(event -> event.startsWith("request")), rig.told.toString());
         }
     }
 
-    /** A client that leaves within its body takes the attempt with it: the upstream must not run a part. */
+    /** Guards against an upstream that runs a request with an incomplete body. */
     @Test
-    void aClientThatLeavesWithinItsBodyEndsTheAttempt() throws Exception {
+    void aClientThatLeavesDuringItsBodyEndsTheAttempt() throws Exception {
         try (Rig rig = new Rig()) {
             BlockingQueue<Integer> ends = new LinkedBlockingQueue<>();
-            rig.upstream((m, line) -> {
-                InputStream in = line.socket().getInputStream();
+            rig.upstream((message, connection) -> {
+                InputStream in = connection.socket().getInputStream();
                 try {
                     while (in.read() >= 0) {}
                 } finally {
@@ -454,8 +465,8 @@
                 }
             });
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
+            try (TestServer.Client client = rig.client()) {
+                client.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
                 rig.peers.get(0).next();
             }
             assertEquals(-1, ends.take());
@@ -463,50 +474,51 @@
         }
     }
 
-    /** Its connection lingers for its client's sake, but the attempt is over with the request. */
+    /** The connection to the client lingers, but the attempt must end with the request. */
     @Test
-    void aBodyThatRestsTooLongEndsItsAttemptAtOnce() throws Exception {
+    void aBodyThatPausesTooLongEndsItsAttemptAtOnce() throws Exception {
         try (Rig rig = new Rig()) {
-            TestServer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            TestServer upstream = rig.upstream((message, connection) -> connection.answer("200 OK", "", ""));
             rig.start();
-            try (TestServer.Client c = rig.client()) {
-                c.send(Rig.get("a0", 20_000));
-                assertEquals(200, c.status());
+            try (TestServer.Client client = rig.client()) {
+                client.send(Rig.get("a0", 20_000));
+                assertEquals(200, client.status());
                 BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
-                up.script = (m, line) -> {
+                upstream.handler = (message, connection) -> {
                     try {
-                        while (line.socket().getInputStream().read() >= 0) {}
+                        while (connection.socket().getInputStream().read() >= 0) {}
                     } finally {
                         ends.add(System.nanoTime());
                     }
                 };
-                c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
-                assertEquals(null, c.answer());
-                long dismissed = System.nanoTime();
-                long lateMs = (ends.take() - dismissed) / 1_000_000;
-                assertTrue(lateMs < 500, "the attempt ended " + lateMs + " ms after the client was dismissed");
+                client.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
+                assertEquals(null, client.answer());
+                long closedNanos = System.nanoTime();
+                long lateMs = (ends.take() - closedNanos) / 1_000_000;
+                assertTrue(
+                        lateMs < 500, "the attempt ended " + lateMs + " ms after the client's connection was closed");
             }
         }
     }
 
-    /** What the retry needs is kept up to 64 KiB, and no longer than the budget allows. */
+    /** A body of up to 64 KiB is kept for a retry. */
     @Test
-    void aShortBodyIsSentAgainWhole() throws Exception {
+    void aShortBodyIsSentAgainCompletely() throws Exception {
         try (Rig rig = new Rig()) {
-            List<byte[]> got = new ArrayList<>();
-            rig.upstream((m, line) -> line.reset());
-            echo(rig, got);
-            rig.onOutcome = (id, outcome, done, out) -> {
-                if (!done) {
-                    out.send(id, "u1", 0);
+            List<byte[]> received = new ArrayList<>();
+            rig.upstream((message, connection) -> connection.reset());
+            echo(rig, received);
+            rig.onOutcome = (id, outcome, decided, actions) -> {
+                if (!decided) {
+                    actions.send(id, "u1", 0);
                 }
             };
             rig.start();
             byte[] body = bytes(65_536);
-            try (TestServer.Client c = rig.client()) {
-                c.send(post("a1", "Content-Length: 65536\r\n"));
-                c.socket.getOutputStream().write(body);
-                org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
+            try (TestServer.Client client = rig.client()) {
+                client.send(post("a1", "Content-Length: 65536\r\n"));
+                client.socket.getOutputStream().write(body);
+                org.junit.jupiter.api.Assertions.assertArrayEquals(body, readBody(client.socket.getInputStream()));
             }
         }
     }
--- a/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
@@ -160,7 +160,7 @@
     void whatCanNotBeDialledForAMomentIsDialledAgain(Call call) throws Exception {
         start();
         for (TestServer server : standIns.servers) {
-            server.script = (m, line) -> {
+            server.handler = (m, line) -> {
                 line.answer("200 OK", "Connection: close\r\n", m.header("X-Txn"));
                 line.socket().close();
             };
@@ -214,7 +214,7 @@
     void theEndOfAnAnswerIsToldInTime() throws Exception {
         start();
         for (TestServer server : standIns.servers) {
-            server.script = (m, line) -> {
+            server.handler = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nwhole");
                 line.socket().close();
             };
@@ -241,7 +241,7 @@
     void aBrokenAnswerIsRecognised() throws Exception {
         start();
         for (TestServer server : standIns.servers) {
-            server.script = (m, line) -> {
+            server.handler = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nhalf");
                 pause();
                 line.raw("more");
--- a/src/test/java/rushproxy/sidecar/OutcomesTest.java
+++ b/src/test/java/rushproxy/sidecar/OutcomesTest.java
@@ -96,7 +96,7 @@
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
-                up.script = (m, line) -> line.answer("200 OK", "", "fresh");
+                up.handler = (m, line) -> line.answer("200 OK", "", "fresh");
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
                 client.send(Rig.get("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
@@ -133,7 +133,7 @@
                 rig.await("outcome a1");
                 // Before it has rested another one is opened.
                 Thread.sleep(2 * Upstreams.REST_US / 1000);
-                up.script = (m, line) -> line.reset();
+                up.handler = (m, line) -> line.reset();
                 client.send(Rig.get("a2", 20_000));
                 assertEquals("outcome a2 0 RESET false -", rig.await("outcome"));
                 assertEquals(502, client.status());
--- a/src/test/java/rushproxy/sidecar/TestServer.java
+++ b/src/test/java/rushproxy/sidecar/TestServer.java
@@ -58,10 +58,10 @@
     final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
-    volatile Handler script;
+    volatile Handler handler;
 
     TestServer(Handler script) throws IOException {
-        this.script = script;
+        this.handler = script;
         server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         start(this::accept);
     }
@@ -101,7 +101,7 @@
         try {
             for (Message message; (message = read(socket.getInputStream())) != null; ) {
                 messages.add(message);
-                script.handle(message, new Connection(socket));
+                handler.handle(message, new Connection(socket));
             }
         } catch (IOException e) {
             // the other side closed the connection
--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamsTest.java
@@ -424,7 +424,7 @@
     void aCallThatWasHeldUpForMostOfItsTimeIsNoSilenceOfItsUpstream() throws Exception {
         try (TestServer up = new TestServer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = used(up);
-            up.script = (m, line) -> {};
+            up.handler = (m, line) -> {};
             UpstreamCall call = call("u", DIAL_US);
             loop.execute(() -> {
                 loopDelay.beat(clock.now());
@@ -444,7 +444,7 @@
         try (TestServer silent = new TestServer((m, line) -> line.answer("200 OK", "", "sent"));
                 java.net.ServerSocket full = full()) {
             Upstreams upstreams = used(silent);
-            silent.script = (m, line) -> {};
+            silent.handler = (m, line) -> {};
             loop.submit(() -> upstreams.update(
                             list(false, Rig.entry("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
