--- a/src/test/java/rushproxy/sidecar/ClientConnectionCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientConnectionCloseTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import rushproxy.sidecar.Invariants.Breach;
 
-/** Whatever asks for a client's connection to be closed, what it carries gets an answer first. */
+/** Whatever closes a client connection, a request on it gets its response first. */
 @Timeout(60)
 class ClientConnectionCloseTest {
-    private static ClientConnection only(Rig rig) {
+    private static ClientConnection onlyConnection(Rig rig) {
         return rig.sidecar.clients().connections().iterator().next();
     }
 
@@ -33,15 +33,15 @@
     }
 
     private static void onLoop(Rig rig, Work work) throws Exception {
-        rig.sidecar.loop().submit(() -> work.on(only(rig))).get(20, TimeUnit.SECONDS);
+        rig.sidecar.loop().submit(() -> work.on(onlyConnection(rig))).get(20, TimeUnit.SECONDS);
     }
 
     @Test
-    void aRequestInHandIsAnsweredBeforeItsConnectionCloses() throws Exception {
+    void anOpenRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
         for (CloseReason reason :
                 new CloseReason[] {CloseReason.ROOM_NEEDED, CloseReason.STOPPING, CloseReason.DRAINING}) {
             try (Rig rig = new Rig()) {
-                rig.upstream((m, line) -> {});
+                rig.upstream((message, upstream) -> {});
                 rig.start();
                 try (TestServer.Client client = rig.client().send(Rig.get("a1", 20_000))) {
                     rig.await("request a1");
@@ -55,13 +55,13 @@
         }
     }
 
-    /** The same where the connection, which has had an answer before, is to end in order. */
+    /** The same for a graceful close of a connection that has had a response before. */
     @Test
-    void aRequestInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
+    void anOpenRequestIsAnsweredBeforeItsConnectionClosesGracefully() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                if (m.header("X-Txn").equals("a0")) {
-                    line.answer("200 OK", "", "fine");
+            rig.upstream((message, upstream) -> {
+                if (message.header("X-Txn").equals("a0")) {
+                    upstream.answer("200 OK", "", "fine");
                 }
             });
             rig.start();
@@ -76,9 +76,9 @@
     }
 
     @Test
-    void aNewConnectionIsNotClosedForOthers() throws Exception {
+    void aNewConnectionIsNotClosedToFreeItsSlot() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+            rig.upstream((message, upstream) -> upstream.answer("200 OK", "", "fine"));
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 awaitOpen(rig);
@@ -96,9 +96,9 @@
         }
     }
 
-    /** Guards against keeping, and counting as a breach, a new connection whose output has ended, where its place is wanted. */
+    /** Guards against keeping a new connection that lingers, and counting a violation, when its slot is needed. */
     @Test
-    void aNewConnectionWhoseOutputHasEndedMakesRoom() throws Exception {
+    void aNewConnectionThatLingersIsClosedToFreeItsSlot() throws Exception {
         try (Rig rig = new Rig();
                 TestServer.Client client = rig.start().client()) {
             client.send("no request\r\n\r\n");
@@ -112,35 +112,41 @@
         }
     }
 
-    /** Guards against keeping a client that stopped within its request for longer, by the time that it waited to be accepted. */
+    /**
+     * Guards against a timeout of an incomplete request that is extended by the time the client waited in the accept
+     * queue.
+     */
     @Test
-    void aClientThatStoppedInTheQueueIsWaitedForFromItsFirstBytes() throws Exception {
+    void timeInTheAcceptQueueCountsTowardsTheRequestTimeout() throws Exception {
         try (Rig rig = new Rig();
-                TestServer.Client client = queuedHalfWay(rig.start())) {
+                TestServer.Client client = connectWithPartialRequestQueued(rig.start())) {
             awaitOpen(rig);
-            long patienceUs = 700_000;
-            boolean young = true;
-            while (young) {
+            long timeoutUs = 700_000;
+            boolean isNew = true;
+            while (isNew) {
                 TimeUnit.MILLISECONDS.sleep(5);
-                young = rig.sidecar.loop().submit(() -> only(rig).isNew()).get(20, TimeUnit.SECONDS);
+                isNew = rig.sidecar
+                        .loop()
+                        .submit(() -> onlyConnection(rig).isNew())
+                        .get(20, TimeUnit.SECONDS);
             }
             onLoop(rig, connection -> {
-                connection.closeIfTimedOut(new Clock().now(), patienceUs, patienceUs);
+                connection.closeIfTimedOut(new Clock().now(), timeoutUs, timeoutUs);
                 assertEquals(0, rig.sidecar.clients().openCount());
             });
         }
     }
 
-    /** Its first bytes have lain in the kernel for 0.6 s when it is accepted. */
-    private static TestServer.Client queuedHalfWay(Rig rig) throws Exception {
+    /** Its first bytes have been in the kernel for 0.6 s when it is accepted. */
+    private static TestServer.Client connectWithPartialRequestQueued(Rig rig) throws Exception {
         TestServer.Client[] client = new TestServer.Client[1];
         rig.holdUp(600, () -> client[0] = rig.client().send("GET /api/slots HTTP/1.1\r\nX-Txn: "));
         return client[0];
     }
 
-    /** Until the end of a drain is due; from then on none may be idle. */
+    /** A new connection is spared until the last phase of a drain, in which none may be idle. */
     @Test
-    void aNewConnectionIsSparedUntilADrainIsDue() throws Exception {
+    void aNewConnectionIsSparedUntilTheLastPhaseOfADrain() throws Exception {
         try (Rig rig = new Rig();
                 TestServer.Client client = rig.start().client()) {
             awaitOpen(rig);
@@ -153,33 +159,33 @@
         }
     }
 
-    /** A fault of this program, or want of memory, in a handler. */
+    /** A fault of this program, or a lack of memory, in a handler. */
     @Test
-    void aHandlerThatThrowsLosesNoRequest() throws Exception {
+    void anExceptionInAHandlerLosesNoRequest() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, upstream) -> {});
             rig.start();
-            try (TestServer.Client whole = rig.client().send(Rig.get("a1", 20_000))) {
+            try (TestServer.Client complete = rig.client().send(Rig.get("a1", 20_000))) {
                 rig.await("request a1");
                 onLoop(
                         rig,
                         connection -> connection
                                 .channel()
                                 .pipeline()
-                                .fireExceptionCaught(new IllegalStateException("as the test wants")));
-                assertEquals(502, whole.status(), "a request in hand");
+                                .fireExceptionCaught(new IllegalStateException("thrown by the test")));
+                assertEquals(502, complete.status(), "a complete request");
             }
         }
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, upstream) -> {});
             rig.start();
-            try (TestServer.Client half = rig.client()
+            try (TestServer.Client partial = rig.client()
                     .send("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: a2\r\nX-Lane: c\r\nX-Remaining-Ms: 20000\r\n"
                             + "Content-Length: 9\r\n\r\nhalf")) {
                 while (rig.sidecar
                         .loop()
                         .submit(() ->
-                                rig.sidecar.clients().connections().stream().noneMatch(c -> !c.isIdle()))
+                                rig.sidecar.clients().connections().stream().noneMatch(idle -> !idle.isIdle()))
                         .get(20, TimeUnit.SECONDS)) {
                     Thread.onSpinWait();
                 }
@@ -188,15 +194,17 @@
                         connection -> connection
                                 .channel()
                                 .pipeline()
-                                .fireExceptionCaught(new OutOfMemoryError("as the test wants")));
-                assertEquals(500, half.status(), "half a request");
+                                .fireExceptionCaught(new OutOfMemoryError("thrown by the test")));
+                assertEquals(500, partial.status(), "an incomplete request");
             }
         }
     }
 
-    /** Its client's end could not be seen: no attempt may begin any more, and without one it is refused. */
+    /**
+     * A disconnect of the client could not be detected, so no attempt may start; without one the request is refused.
+     */
     @Test
-    void whatCanNotBeReadForLongIsRefusedIfNothingWasSent() throws Exception {
+    void aRequestWhoseConnectionCantBeReadIsRefusedIfNothingWasSent() throws Exception {
         try (Rig rig = new Rig()) {
             rig.onRequest = (now, r, out) -> {};
             rig.start();
@@ -213,18 +221,18 @@
         }
     }
 
-    /** It has been quiet for long, and its request lies in the socket: it is read before it could be closed. */
+    /** An idle connection whose socket holds a request is read before it is closed. */
     @Test
-    void whatLiesUnreadOnAQuietConnectionIsReadBeforeItCloses() throws Exception {
+    void anUnreadRequestOnAnIdleConnectionIsReadBeforeTheClose() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+            rig.upstream((message, upstream) -> upstream.answer("200 OK", "", "fine"));
             rig.start();
             try (TestServer.Client client = rig.client().send(Rig.get("a1", 20_000))) {
                 assertEquals(200, client.status());
                 rig.holdUp(20, () -> {
-                    // Runs before the loop's next look at its sockets.
+                    // Runs before the loop next reads its sockets.
                     rig.sidecar.loop().execute(() -> {
-                        boolean closed = only(rig).closeUnlessRequestArrived(CloseReason.ROOM_NEEDED);
+                        boolean closed = onlyConnection(rig).closeUnlessRequestArrived(CloseReason.ROOM_NEEDED);
                         assertNotEquals(true, closed);
                     });
                     client.send(Rig.get("a2", 20_000));
--- a/src/test/java/rushproxy/sidecar/ClientConnectionLimiterTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientConnectionLimiterTest.java
@@ -14,152 +14,153 @@
 import org.junit.jupiter.api.Timeout;
 import rushproxy.Balancer.Outcome;
 
-/** A sidecar whose places are all taken by clients that rest lets in whoever comes, however the places came to be taken. */
+/** A sidecar whose slots are all taken by idle clients accepts new clients, however the slots came to be taken. */
 @Timeout(60)
 class ClientConnectionLimiterTest {
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-    /** Places for clients, and as many for connections to upstreams; what one side does not use the other may. */
-    private static final int PLACES = 16;
+    /** Slots for clients, and as many for upstream connections; either side may use what the other does not. */
+    private static final int SLOTS = 16;
 
     private final List<TestServer.Client> clients = new ArrayList<>();
 
     @AfterEach
     void closeClients() throws Exception {
-        for (TestServer.Client c : clients) {
-            c.close();
+        for (TestServer.Client client : clients) {
+            client.close();
         }
     }
 
     private static Rig rig() throws Exception {
         Rig rig = new Rig();
-        rig.sockets = 48 + 2 * PLACES;
-        // Nothing ends by itself while a test lasts.
+        rig.sockets = 48 + 2 * SLOTS;
+        // Nothing times out while a test runs.
         rig.settings = Rig.SETTINGS
                 .replace("\"give_up_us\":800000", "\"give_up_us\":50000000")
                 .replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":900000000");
         return rig;
     }
 
-    private TestServer.Client comes(InetSocketAddress to) throws Exception {
-        TestServer.Client client = new TestServer.Client(to);
+    private TestServer.Client connect(InetSocketAddress address) throws Exception {
+        TestServer.Client client = new TestServer.Client(address);
         clients.add(client);
         return client;
     }
 
-    /** It stays, and rests from then on. */
-    private void comesAndIsAnswered(InetSocketAddress to) throws Exception {
-        assertEquals(200, comes(to).send(READY).status());
+    /** Connects a client that stays open and is idle from then on. */
+    private void connectAndGetResponse(InetSocketAddress address) throws Exception {
+        assertEquals(200, connect(address).send(READY).status());
     }
 
-    /** Guards against resting clients that keep all others out where upstreams have taken the places that were free. */
+    /** Guards against idle clients that keep all others out while upstreams use the free slots. */
     @Test
-    void roomIsMadeWhereTheCapFallsWhileNobodyIsAccepted() throws Exception {
-        // One more than the upstreams' half; whether it is sent or finds no place is the sidecar's choice.
-        CountDownLatch attempts = new CountDownLatch(PLACES + 1);
+    void aSlotIsFreedWhenTheLimitFallsWhileAcceptingIsPaused() throws Exception {
+        // One more than the upstreams' share; whether the last attempt is sent or finds no slot is up to the sidecar.
+        CountDownLatch attempts = new CountDownLatch(SLOTS + 1);
         try (Rig rig = rig()) {
-            rig.upstream((m, line) -> {
+            rig.upstream((message, connection) -> {
                 attempts.countDown();
                 awaitUnchecked(attempts);
-                line.answer("200 OK", "", "fine");
+                connection.answer("200 OK", "", "fine");
             });
-            rig.onRequest = (now, r, out) -> {
-                out.send(r.id(), "u0", 0);
-                if (!r.id().equals("last")) {
-                    out.send(r.id(), "u0", 0);
+            rig.onRequest = (now, request, actions) -> {
+                actions.send(request.id(), "u0", 0);
+                if (!request.id().equals("last")) {
+                    actions.send(request.id(), "u0", 0);
                 }
             };
-            rig.onOutcome = (id, outcome, done, out) -> {
+            rig.onOutcome = (id, outcome, decided, actions) -> {
                 if (outcome == Outcome.NOT_SENT) {
                     attempts.countDown();
-                    out.fail(id);
+                    actions.fail(id);
                 }
             };
             rig.start();
-            for (int i = 0; i < PLACES - 1; i++) {
-                comesAndIsAnswered(rig.address());
+            for (int i = 0; i < SLOTS - 1; i++) {
+                connectAndGetResponse(rig.address());
             }
-            List<TestServer.Client> asking = clients.subList(0, PLACES / 2);
-            for (int i = 0; i < asking.size(); i++) {
-                asking.get(i).send(Rig.get("a" + i, 40_000));
+            List<TestServer.Client> requesting = clients.subList(0, SLOTS / 2);
+            for (int i = 0; i < requesting.size(); i++) {
+                requesting.get(i).send(Rig.get("a" + i, 40_000));
             }
-            TestServer.Client last = clients.get(PLACES / 2).send(Rig.get("last", 40_000));
-            for (TestServer.Client c : asking) {
-                assertEquals(200, c.status());
+            TestServer.Client lastClient = clients.get(SLOTS / 2).send(Rig.get("last", 40_000));
+            for (TestServer.Client client : requesting) {
+                assertEquals(200, client.status());
             }
-            last.status();
+            lastClient.status();
             for (int i = 0; i < 4; i++) {
-                comesAndIsAnswered(rig.address());
+                connectAndGetResponse(rig.address());
             }
         }
     }
 
-    /** Guards against a look for room that frees one place where several too many were let in while all were busy. */
+    /** Guards against freeing only one slot when several clients too many were accepted while all were busy. */
     @Test
-    void roomIsMadeForAsManyAsWereAcceptedInOneTurn() throws Exception {
-        CountDownLatch answers = new CountDownLatch(1);
+    void asManySlotsAreFreedAsClientsWereAcceptedInOneIteration() throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
         try (Rig rig = rig()) {
-            rig.upstream((m, line) -> {
-                awaitUnchecked(answers);
-                line.answer("200 OK", "", "fine");
+            rig.upstream((message, connection) -> {
+                awaitUnchecked(released);
+                connection.answer("200 OK", "", "fine");
             });
             rig.start();
-            for (int i = 0; i < PLACES - 1; i++) {
-                comes(rig.address()).send(Rig.get("busy" + i, 40_000));
+            for (int i = 0; i < SLOTS - 1; i++) {
+                connect(rig.address()).send(Rig.get("busy" + i, 40_000));
                 rig.await("request busy" + i);
             }
             rig.holdUp(20, () -> {
                 for (int i = 0; i < 3; i++) {
-                    comes(rig.address()).send(READY);
+                    connect(rig.address()).send(READY);
                 }
             });
-            for (TestServer.Client c : clients.subList(PLACES - 1, PLACES + 2)) {
-                assertEquals(200, c.status());
+            for (TestServer.Client client : clients.subList(SLOTS - 1, SLOTS + 2)) {
+                assertEquals(200, client.status());
             }
-            answers.countDown();
-            for (TestServer.Client c : clients.subList(0, PLACES - 1)) {
-                assertEquals(200, c.status());
+            released.countDown();
+            for (TestServer.Client client : clients.subList(0, SLOTS - 1)) {
+                assertEquals(200, client.status());
             }
             for (int i = 0; i < 4; i++) {
-                comesAndIsAnswered(rig.address());
+                connectAndGetResponse(rig.address());
             }
         }
     }
 
-    /** Guards against connections to many upstreams that rest while clients who could use their places wait outside. */
+    /** Guards against idle connections to many upstreams that occupy slots while clients wait. */
     @Test
-    void connectionsToUpstreamsThatRestGiveWayToClients() throws Exception {
-        CountDownLatch asking = new CountDownLatch(PLACES - 1);
+    void idleUpstreamConnectionsGiveWayToClients() throws Exception {
+        CountDownLatch requesting = new CountDownLatch(SLOTS - 1);
         try (Rig rig = rig()) {
-            rig.upstream((m, line) -> {
-                asking.countDown();
-                awaitUnchecked(asking);
-                line.answer("200 OK", "", "fine");
+            rig.upstream((message, connection) -> {
+                requesting.countDown();
+                awaitUnchecked(requesting);
+                connection.answer("200 OK", "", "fine");
             });
-            for (int i = 1; i < 2 * PLACES; i++) {
-                rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+            for (int i = 1; i < 2 * SLOTS; i++) {
+                rig.upstream((message, connection) -> connection.answer("200 OK", "", "fine"));
             }
-            rig.onRequest = (now, r, out) -> out.send(r.id(), r.id().startsWith("u") ? r.id() : "u0", 0);
+            rig.onRequest = (now, request, actions) ->
+                    actions.send(request.id(), request.id().startsWith("u") ? request.id() : "u0", 0);
             rig.start();
-            TestServer.Client first = comes(rig.address());
-            for (int i = 1; i < 2 * PLACES; i++) {
+            TestServer.Client first = connect(rig.address());
+            for (int i = 1; i < 2 * SLOTS; i++) {
                 assertEquals(200, first.send(Rig.get("u" + i, 40_000)).status());
             }
             List<TestServer.Client> all = new ArrayList<>();
-            for (int i = 0; i < PLACES - 1; i++) {
-                all.add(comes(rig.address()).send(Rig.get("busy" + i, 40_000)));
+            for (int i = 0; i < SLOTS - 1; i++) {
+                all.add(connect(rig.address()).send(Rig.get("busy" + i, 40_000)));
                 rig.await("request busy" + i);
             }
-            for (TestServer.Client c : all) {
-                assertEquals(200, c.status());
+            for (TestServer.Client client : all) {
+                assertEquals(200, client.status());
             }
         }
     }
 
-    /** Guards against a place that is lost for good, and looked at for ever, where taking a client in fails by an exception. */
+    /** Guards against a slot that is lost, and retried for forever, when accepting a client fails with an exception. */
     @Test
-    void aClientThatCouldNotBeTakenInHoldsNoPlace() throws Exception {
+    void aClientThatCouldNotBeAcceptedHoldsNoSlot() throws Exception {
         try (Rig rig = rig().start()) {
-            AtomicInteger places = new AtomicInteger();
+            AtomicInteger slots = new AtomicInteger();
             ClientServer server = new ClientServer(
                     rig.sidecar.loop(),
                     new Clock(),
@@ -169,20 +170,20 @@
                     new ClientConnectionLimiter(
                             rig.sidecar.loop(),
                             () -> {
-                                if (places.get() == 0) {
-                                    throw new IllegalStateException("as the test wants");
+                                if (slots.get() == 0) {
+                                    throw new IllegalStateException("thrown by the test");
                                 }
-                                return places.get();
+                                return slots.get();
                             },
                             () -> false),
                     new MemoryBudget(1 << 20),
                     new LoopDelay(),
                     new ResponseDeadlines(List.of(), new LoopDelay()),
                     new RequestGuard(new Clock(), List.of(), new Invariants()));
-            InetSocketAddress at = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            InetSocketAddress address = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             server.start();
-            assertEquals(-1, comes(at).send(READY).status());
-            places.set(2);
+            assertEquals(-1, connect(address).send(READY).status());
+            slots.set(2);
             while (rig.sidecar
                     .loop()
                     .submit(() -> server.connections().stream().anyMatch(ClientConnection::isNew))
@@ -190,7 +191,7 @@
                 Thread.onSpinWait();
             }
             for (int i = 0; i < 4; i++) {
-                comesAndIsAnswered(at);
+                connectAndGetResponse(address);
             }
         }
     }
--- a/src/test/java/rushproxy/sidecar/ClientOverloadTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientOverloadTest.java
@@ -15,48 +15,54 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Those who only come to stay, or stop half way, take nobody's place for long; who is slow has no less time. */
+/**
+ * Idle clients and clients that stop within a request don't occupy slots for long; slow clients have as much time as
+ * others.
+ */
 @Timeout(60)
 class ClientOverloadTest {
     private static Rig rig() throws Exception {
         Rig rig = new Rig().withAdmin();
-        rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
-        // Sixteen connections for clients.
+        rig.upstream((message, connection) -> connection.answer("200 OK", "", message.header("X-Txn")));
+        // Slots for 16 clients.
         rig.sockets = 48 + 2 * 16;
         return rig;
     }
 
     @Test
-    void whoStopsHalfWayKeepsNobodyOut() throws Exception {
+    void clientsThatStopWithinARequestKeepNoOthersOut() throws Exception {
         try (Rig rig = rig().start()) {
-            List<TestServer.Client> half = new ArrayList<>();
+            List<TestServer.Client> stopped = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                half.add(
+                stopped.add(
                         rig.client()
                                 .send(
                                         i % 2 == 0
                                                 ? "GET /api HT"
                                                 : "POST /api HTTP/1.1\r\nX-Txn: h" + i
                                                         + "\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\nContent-Length: 9\r\n\r\nhalf"));
-                // An answer here says that what was sent before it has been read.
-                assertEquals("ACK\n", rig.call("health"), "the operators wait for no client");
+                // A response here shows that everything sent before it has been read.
+                assertEquals("ACK\n", rig.call("health"), "an operator's call must not wait for clients");
             }
             try (TestServer.Client real = rig.client()) {
                 real.send(Rig.get("real", 20_000));
                 assertEquals("real", real.answer().body());
             }
-            for (TestServer.Client c : half) {
-                c.close();
+            for (TestServer.Client client : stopped) {
+                client.close();
             }
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request h")));
+            assertTrue(rig.told.stream().noneMatch(event -> event.startsWith("request h")));
         }
     }
 
-    /** All others are busy, and two come at once: the first must not make room for the second with its request unread. */
+    /**
+     * Guards against closing the first of two new clients, its request unread, to free a slot for the second while all
+     * others are busy.
+     */
     @Test
-    void whoHasJustComeMakesNoRoom() throws Exception {
+    void aNewClientIsNotEvicted() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, connection) -> {});
             rig.sockets = 48 + 2 * 16;
             rig.start();
             List<TestServer.Client> clients = new ArrayList<>();
@@ -69,43 +75,45 @@
                     clients.add(rig.client().send(Rig.get("first", 20_000)));
                     clients.add(rig.client().send(Rig.get("second", 20_000)));
                 });
-                // Neither has an answer yet, and neither is closed.
-                for (TestServer.Client c : clients.subList(14, 16)) {
-                    c.socket.setSoTimeout(300);
-                    assertThrows(SocketTimeoutException.class, c::answer);
+                // Neither has a response yet, and neither is closed.
+                for (TestServer.Client client : clients.subList(14, 16)) {
+                    client.socket.setSoTimeout(300);
+                    assertThrows(SocketTimeoutException.class, client::answer);
                 }
             } finally {
-                for (TestServer.Client c : clients) {
-                    c.close();
+                for (TestServer.Client client : clients) {
+                    client.close();
                 }
             }
         }
     }
 
-    /** It waited in the kernel's queue, with its client's end behind it: how long can't be known, so nothing is sent for it. */
+    /**
+     * A client that disconnected in the accept queue may have left at any time before, so no attempt is made for it.
+     */
     @Test
-    void whoLeftBeforeItWasLetInIsSentNothingFor() throws Exception {
+    void aClientThatLeftBeforeItsAcceptCausesNoAttempt() throws Exception {
         try (Rig rig = new Rig()) {
-            TestServer upstream = rig.upstream((m, line) -> {
-                if (m.header("X-Txn").startsWith("warm")) {
-                    line.answer("200 OK", "", "fine");
+            TestServer upstream = rig.upstream((message, connection) -> {
+                if (message.header("X-Txn").startsWith("warm")) {
+                    connection.answer("200 OK", "", "fine");
                 }
             });
             rig.sockets = 48 + 2 * 16;
             rig.start();
-            // As under load: the loop looks at its sockets all the time.
+            // Simulates load: the loop reads its sockets all the time.
             rig.sidecar.loop().scheduleAtFixedRate(() -> {}, 1, 1, TimeUnit.MILLISECONDS);
             List<TestServer.Client> clients = new ArrayList<>();
             try {
                 for (int i = 0; i < 12; i++) {
                     clients.add(rig.client());
                 }
-                // Connections to the upstream that rest: a call on one of them begins at once.
+                // Opens idle connections to the upstream, on which an attempt starts at once.
                 for (int i = 0; i < 12; i++) {
                     clients.get(i).send(Rig.get("warm" + i, 20_000));
                 }
-                for (TestServer.Client c : clients) {
-                    assertEquals(200, c.status());
+                for (TestServer.Client client : clients) {
+                    assertEquals(200, client.status());
                 }
                 for (int i = 0; i < 4; i++) {
                     clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
@@ -126,20 +134,20 @@
                 assertEquals(
                         List.of(),
                         upstream.messages.stream()
-                                .map(m -> m.header("X-Txn"))
+                                .map(message -> message.header("X-Txn"))
                                 .filter(id -> id.startsWith("left"))
                                 .toList());
             } finally {
-                for (TestServer.Client c : clients) {
-                    c.close();
+                for (TestServer.Client client : clients) {
+                    client.close();
                 }
             }
         }
     }
 
-    /** Its time runs from the last byte: counted from the first it would be over before it has begun. */
+    /** Guards against a deadline that counts from the first byte and has passed before the request is complete. */
     @Test
-    void aHeadThatIsWrittenSlowlyHasItsWholeTime() throws Exception {
+    void aSlowlyWrittenHeadHasItsFullTime() throws Exception {
         try (Rig rig = rig().start();
                 TestServer.Client slow = rig.client()) {
             String text = Rig.get("a1", 500);
@@ -147,42 +155,45 @@
             Thread.sleep(800);
             slow.send(text.substring(40));
             assertEquals(200, slow.status());
-            assertFalse(rig.await("request a1").endsWith(" 1"), "no time was left to it");
+            assertFalse(rig.await("request a1").endsWith(" 1"), "no time was left");
         }
     }
 
-    /** Its body lies in the kernel, so its time runs: a refusal is due before its end, not after a second. */
+    /**
+     * The body waits in the kernel while its time runs, so the refusal is due before its deadline and not after a
+     * second.
+     */
     @Test
-    void whatFindsNoRoomIsRefusedWithinItsTime() throws Exception {
+    void aRequestThatGetsNoMemoryIsRefusedWithinItsTime() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, connection) -> {});
             rig.start();
             List<TestServer.Client> filling = new ArrayList<>();
             try {
-                // 192 of 64 KiB are all that may be kept.
+                // 192 bodies of 64 KiB use up the memory budget.
                 for (int i = 0; i < 192; i++) {
                     filling.add(rig.client().send(upload("f" + i, 20_000, 65_536)));
                 }
                 awaitBusy(rig, filling.size());
-                BlockingQueue<String> answered = new LinkedBlockingQueue<>();
+                BlockingQueue<String> statuses = new LinkedBlockingQueue<>();
                 for (int i = 0; i < 4; i++) {
-                    filling.add(refused(rig, "patient" + i, 20_000, answered));
+                    filling.add(sendAndReadStatus(rig, "patient" + i, 20_000, statuses));
                 }
-                filling.add(refused(rig, "hasty", 300, answered));
-                assertEquals("hasty 503", answered.poll(20, TimeUnit.SECONDS));
+                filling.add(sendAndReadStatus(rig, "hasty", 300, statuses));
+                assertEquals("hasty 503", statuses.poll(20, TimeUnit.SECONDS));
             } finally {
-                for (TestServer.Client c : filling) {
-                    c.close();
+                for (TestServer.Client client : filling) {
+                    client.close();
                 }
             }
         }
     }
 
-    /** It waited for room unread: its client has counted that time. */
+    /** The time that a body waited unread for memory counts against its deadline. */
     @Test
-    void whatWaitedForRoomHasLessTimeLeft() throws Exception {
+    void aRequestThatWaitedForMemoryHasLessTimeLeft() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
+            rig.onRequest = (now, request, actions) -> actions.refuse(request.id(), 0);
             rig.start();
             List<TestServer.Client> filling = new ArrayList<>();
             try {
@@ -194,19 +205,19 @@
                     client.send(upload("a1", 2_000, 60_000) + "x".repeat(60_000));
                     Thread.sleep(300);
                     filling.get(0).close();
-                    long givenUs = Long.parseLong(rig.await("request a1 ").split(" ")[2]);
-                    assertTrue(givenUs < 1_700_000, givenUs + " us");
+                    long remainingUs = Long.parseLong(rig.await("request a1 ").split(" ")[2]);
+                    assertTrue(remainingUs < 1_700_000, remainingUs + " us");
                     assertEquals(503, client.status());
                 }
             } finally {
-                for (TestServer.Client c : filling) {
-                    c.close();
+                for (TestServer.Client client : filling) {
+                    client.close();
                 }
             }
         }
     }
 
-    /** Until so many clients have brought a head, and hold the room that they asked for. */
+    /** Waits until this many clients have sent a head and hold the memory reserved for it. */
     private static void awaitBusy(Rig rig, int clients) throws Exception {
         long busy;
         do {
@@ -220,15 +231,15 @@
         } while (busy < clients);
     }
 
-    /** Sends a whole body and tells, on a thread of its own, how it was answered. */
-    private static TestServer.Client refused(Rig rig, String id, long remainingMs, BlockingQueue<String> answered)
-            throws Exception {
+    /** Sends a complete body and reports, from its own thread, the status of the response. */
+    private static TestServer.Client sendAndReadStatus(
+            Rig rig, String id, long remainingMs, BlockingQueue<String> statuses) throws Exception {
         TestServer.Client client = rig.client().send(upload(id, remainingMs, 60_000) + "x".repeat(60_000));
         Thread reader = new Thread(() -> {
             try {
-                answered.add(id + " " + client.status());
+                statuses.add(id + " " + client.status());
             } catch (IOException e) {
-                answered.add(id + " " + e);
+                statuses.add(id + " " + e);
             }
         });
         reader.setDaemon(true);
@@ -242,15 +253,15 @@
     }
 
     @Test
-    void whatIsKeptHasABoundAndGoesInTurn() {
+    void memoryIsLimitedAndGrantedInOrder() {
         MemoryBudget budget = new MemoryBudget(100);
         List<String> granted = new ArrayList<>();
         assertTrue(budget.tryReserve(60));
         budget.reserve(50, () -> granted.add("a"));
-        Runnable no = budget.reserve(10, () -> granted.add("b"));
+        Runnable withdraw = budget.reserve(10, () -> granted.add("b"));
         budget.reserve(40, () -> granted.add("c"));
-        assertFalse(budget.tryReserve(1), "who asks first is first");
-        no.run();
+        assertFalse(budget.tryReserve(1), "waiting reservations come first");
+        withdraw.run();
         assertEquals(List.of(), granted);
         budget.release(60);
         assertEquals(List.of("a", "c"), granted);
@@ -258,9 +269,12 @@
         assertTrue(budget.tryReserve(60));
     }
 
-    /** Guards against refusing, for want of room that there is, those behind one that waited for more and left. */
+    /**
+     * Guards against refusing requests, although there is memory, that wait behind a larger reservation that was
+     * withdrawn.
+     */
     @Test
-    void whoLeavesTheQueueForRoomLetsThoseBehindItThrough() {
+    void aWithdrawnReservationLetsThoseBehindItThrough() {
         MemoryBudget budget = new MemoryBudget(100);
         List<String> granted = new ArrayList<>();
         assertTrue(budget.tryReserve(60));
@@ -269,7 +283,7 @@
         budget.reserve(20, () -> granted.add("c"));
         leaves.run();
         assertEquals(List.of("b"), granted);
-        // What has left already changes nothing, and c waits for its turn.
+        // Withdrawing again has no effect, and c still waits.
         leaves.run();
         budget.release(10);
         assertEquals(List.of("b", "c"), granted);
--- a/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** However a connection ends, a client that reads slowly and has sent more gets the whole of its answer. */
+/** However a connection is closed, a client that reads slowly and has sent more gets its complete response. */
 @Timeout(60)
 class LingeringCloseTest {
-    /** More than a slow client's kernel takes, so that the rest waits at the sidecar. */
-    private static final String LONG = "x".repeat(60_000);
+    /** More than a slow client's kernel accepts, so that the rest waits in the sidecar. */
+    private static final String LONG_BODY = "x".repeat(60_000);
 
-    /** A client whose kernel takes little, and which has been answered at length without reading any of it. */
-    private static TestServer.Client slow(Rig rig, String request) throws Exception {
+    /** Connects a client with a small receive buffer, sends a request and leaves the long response unread. */
+    private static TestServer.Client connectSlowClient(Rig rig, String request) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2_048);
         socket.connect(rig.address());
@@ -33,14 +33,14 @@
 
     private static Rig rig() throws Exception {
         Rig rig = new Rig();
-        rig.upstream((m, line) -> line.answer("200 OK", "", LONG));
+        rig.upstream((message, connection) -> connection.answer("200 OK", "", LONG_BODY));
         return rig;
     }
 
-    private static void assertWhole(TestServer.Client client) throws IOException {
+    private static void assertCompleteResponse(TestServer.Client client) throws IOException {
         TestServer.Message answer = client.answer();
         assertNotNull(answer);
-        assertEquals(LONG.length(), answer.body().length());
+        assertEquals(LONG_BODY.length(), answer.body().length());
     }
 
     private static String lastRequest(String id) {
@@ -48,105 +48,110 @@
     }
 
     @Test
-    void afterItsLastAnswerAClientThatSendsOnStillReadsAll() throws Exception {
+    void aClientThatSendsAfterItsLastResponseStillReadsAllOfIt() throws Exception {
         try (Rig rig = rig().start();
-                TestServer.Client client = slow(rig, lastRequest("a1"))) {
+                TestServer.Client client = connectSlowClient(rig, lastRequest("a1"))) {
             client.send(Rig.get("a2", 20_000));
             Thread.sleep(200);
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertNull(client.answer());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request a2")), "read after the end and taken");
+            assertTrue(
+                    rig.told.stream().noneMatch(event -> event.startsWith("request a2")),
+                    "a request after the end was accepted");
         }
     }
 
-    /** The bytes may come after the socket's end as well, while the answer is still on its way. */
+    /**
+     * Bytes that arrive after the output was shut down, while the response is still in transit, must not reset the
+     * connection.
+     */
     @Test
-    void bytesThatComeAfterTheEndDoNotCutTheAnswerOff() throws Exception {
+    void bytesThatArriveAfterTheEndDoNotTruncateTheResponse() throws Exception {
         try (Rig rig = rig().start();
-                TestServer.Client client = slow(rig, lastRequest("a1"))) {
+                TestServer.Client client = connectSlowClient(rig, lastRequest("a1"))) {
             for (int i = 0; i < 5; i++) {
                 Thread.sleep(40);
                 client.send("more");
             }
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertNull(client.answer());
         }
     }
 
     @Test
-    void afterBadInputTheAnswerBeforeIsStillRead() throws Exception {
+    void theResponseBeforeAnInvalidRequestIsStillReadCompletely() throws Exception {
         try (Rig rig = rig().start();
-                TestServer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+                TestServer.Client client = connectSlowClient(rig, Rig.get("a1", 20_000))) {
             client.send("RUBBISH\r\n\r\n");
             Thread.sleep(100);
             client.send("RUBBISH\r\n\r\n");
             Thread.sleep(100);
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertEquals(400, client.status());
             assertNull(client.answer());
         }
     }
 
     @Test
-    void whoGivesUpItsPlaceStillReadsAll() throws Exception {
+    void aClientThatIsEvictedStillReadsAll() throws Exception {
         Rig rig = rig();
         rig.sockets = 100;
-        List<TestServer.Client> crowd = new ArrayList<>();
+        List<TestServer.Client> others = new ArrayList<>();
         try (rig) {
             rig.start();
-            try (TestServer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+            try (TestServer.Client client = connectSlowClient(rig, Rig.get("a1", 20_000))) {
                 for (int i = 0; i < 40; i++) {
-                    crowd.add(rig.client());
+                    others.add(rig.client());
                 }
                 Thread.sleep(200);
-                assertWhole(client);
+                assertCompleteResponse(client);
             } finally {
-                for (TestServer.Client c : crowd) {
-                    c.close();
+                for (TestServer.Client other : others) {
+                    other.close();
                 }
             }
         }
     }
 
     @Test
-    void atTheStopWhatCrossesTheCloseDoesNotCutTheAnswerOff() throws Exception {
+    void bytesThatCrossTheCloseDuringAStopDoNotTruncateTheResponse() throws Exception {
         try (Rig rig = rig().start();
-                TestServer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+                TestServer.Client client = connectSlowClient(rig, Rig.get("a1", 20_000))) {
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
-            // Quiet connections are closed from 0.8 s on, 0.7 s before the end that is not asked for.
+            // Idle connections are closed from 0.8 s on, 0.7 s before the process would be killed.
             Thread.sleep(900);
             client.send("GET /api");
             Thread.sleep(100);
             client.send("/slots");
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertNull(client.answer());
             stopped.await();
         }
     }
 
     @Test
-    void inADrainToo() throws Exception {
+    void bytesThatCrossTheCloseDuringADrainDoNotTruncateTheResponse() throws Exception {
         try (Rig rig = rig().withAdmin().start();
-                TestServer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+                TestServer.Client client = connectSlowClient(rig, Rig.get("a1", 20_000))) {
             assertEquals("ACK", rig.call("quiesce").substring(0, 3));
-            // What has been quiet for half a second is closed from 0.6 s on.
+            // Connections that have been idle for half a second are closed from 0.6 s on.
             Thread.sleep(800);
             client.send("GET /api");
             Thread.sleep(100);
             client.send("/slots");
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertNull(client.answer());
         }
     }
 
-    /** Its end is not waited for without a bound. */
+    /** Guards against waiting forever for a client to close its side. */
     @Test
-    void aClientThatNeverEndsItsSideIsClosed() throws Exception {
+    void aClientThatNeverClosesItsSideIsClosed() throws Exception {
         try (Rig rig = rig().start();
                 TestServer.Client client = rig.client()) {
             client.send(lastRequest("a1"));
-            assertWhole(client);
+            assertCompleteResponse(client);
             assertNull(client.answer());
             assertThrows(IOException.class, () -> {
                 for (int i = 0; i < 400; i++) {
@@ -157,21 +162,25 @@
         }
     }
 
-    /** Half of it is in the sidecar when its upstream breaks off: the client sees all that came, and then its end. */
+    /**
+     * The upstream breaks off while half of the response is in the sidecar: the client receives all of that, then the
+     * end of the connection.
+     */
     @Test
-    void whatCameOfABrokenAnswerIsSeenAndThenItsEnd() throws Exception {
+    void aBrokenOffResponseIsDeliveredUpToItsEnd() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {
-                line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "y".repeat(100_000));
-                line.socket().close();
+            rig.upstream((message, connection) -> {
+                connection.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "y".repeat(100_000));
+                connection.socket().close();
             });
             rig.start();
-            try (TestServer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+            try (TestServer.Client client = connectSlowClient(rig, Rig.get("a1", 20_000))) {
                 client.send(Rig.get("a2", 20_000));
                 Thread.sleep(100);
-                String all = client.rest();
-                assertTrue(all.startsWith("HTTP/1.1 200 OK"), all.substring(0, 20));
-                assertEquals(100_000, all.chars().filter(c -> c == 'y').count());
+                String received = client.rest();
+                assertTrue(received.startsWith("HTTP/1.1 200 OK"), received.substring(0, 20));
+                assertEquals(
+                        100_000, received.chars().filter(other -> other == 'y').count());
             }
         }
     }
--- a/src/test/java/rushproxy/sidecar/RequestLifecycleTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLifecycleTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Timeout;
 import rushproxy.Balancer.Outcome;
 
-/** Every request taken gets one final answer, whatever the module does. */
+/** Every accepted request gets one final response, whatever the balancer does. */
 @Timeout(60)
 class RequestLifecycleTest {
     @Test
-    void aRefusalIsSaidAtOnceWithTheTimeToComeBack() throws Exception {
+    void aRefusalIsSentAtOnceWithItsRetryAfter() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> {
-                out.refuse(r.id(), 165_000);
-                out.fail(r.id());
-                out.refuse(r.id(), 0);
+            rig.onRequest = (now, request, actions) -> {
+                actions.refuse(request.id(), 165_000);
+                actions.fail(request.id());
+                actions.refuse(request.id(), 0);
             };
             rig.start();
             try (TestServer.Client client = rig.client()) {
@@ -24,18 +24,18 @@
                 TestServer.Message answer = client.answer();
                 assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
                 assertEquals("0.165", answer.header("Retry-After"));
-                // The next answer belongs to the next request: nothing more came about the first.
+                // The next response belongs to the next request: there was no second one to the first.
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(404, client.status());
             }
         }
     }
 
-    /** The module may fail to answer; the client's time must not run out over it. */
+    /** Guards against a request that times out at the client because the balancer does not answer it. */
     @Test
-    void aRequestThatTheModuleHoldsIsAnsweredBeforeItsTimeIsUp() throws Exception {
+    void aRequestThatTheBalancerNeverAnswersFailsBeforeItsDeadline() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> {};
+            rig.onRequest = (now, request, actions) -> {};
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 300));
@@ -46,10 +46,10 @@
     }
 
     @Test
-    void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
+    void attemptsTimeOutAtTheDeadlineAndTheBalancerAnswers() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
-            rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 60_000_000);
+            rig.upstream((message, connection) -> {});
+            rig.onRequest = (now, request, actions) -> actions.send(request.id(), "u0", now + 60_000_000);
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 300));
@@ -59,11 +59,11 @@
         }
     }
 
-    /** Its client has waited meanwhile: answered only when its time has run from then, it would be far too late. */
+    /** Guards against a deadline that counts from the read: the client has been waiting since it sent the request. */
     @Test
-    void whatLayUnreadWhileTheLoopWasHeldUpHasLessTimeLeft() throws Exception {
+    void aRequestLeftUnreadDuringALoopDelayHasLessTimeLeft() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
+            rig.onRequest = (now, request, actions) -> actions.refuse(request.id(), 0);
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", 20_000));
@@ -83,103 +83,104 @@
     }
 
     /**
-     * A connection that was opened in a hold-up brought one request that counts as old as that, and then others: these are new, since
-     * everything before them had been read. They were told to have no time left and refused within a millisecond, for the first 50 ms.
+     * Requests that follow on a connection opened during a loop delay are new, since everything before them had been
+     * read. Guards against counting them as old as the delay, which had them refused within a millisecond during the
+     * first 50 ms.
      */
     @Test
-    void whatFollowsOnAConnectionThatWasOpenedInAHoldUpIsNew() throws Exception {
+    void laterRequestsOnAConnectionOpenedDuringALoopDelayAreNew() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
+            rig.onRequest = (now, request, actions) -> actions.refuse(request.id(), 0);
             rig.start();
             TestServer.Client[] fresh = new TestServer.Client[1];
             rig.holdUp(500, () -> fresh[0] = rig.client().send(Rig.get("a1", 300)));
             try (TestServer.Client client = fresh[0]) {
                 assertEquals(503, client.status());
-                assertEquals(1, remaining(rig, "a1"));
+                assertEquals(1, remainingUs(rig, "a1"));
                 Thread.sleep(15);
                 client.send(Rig.get("a2", 300));
                 assertEquals(503, client.status());
-                long given = remaining(rig, "a2");
-                assertTrue(given > 100_000, given + " us");
+                long remainingUs = remainingUs(rig, "a2");
+                assertTrue(remainingUs > 100_000, remainingUs + " us");
             }
         }
     }
 
-    /** The way to the client runs through the core that was busy just now. */
+    /** The response leaves through the core that was just busy, so it is due earlier after a delay. */
     @Test
-    void afterAHoldUpAnAnswerIsDueEarlierAndThenAsBefore() throws Exception {
+    void afterALoopDelayResponsesAreTemporarilyDueEarlier() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
+            rig.onRequest = (now, request, actions) -> actions.refuse(request.id(), 0);
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", 2_000));
                 assertEquals(503, client.status());
-                long before = remaining(rig, "a0");
+                long initialUs = remainingUs(rig, "a0");
                 rig.holdUp(500, () -> {});
-                // By now a beat has come: what is read does not count as old itself.
+                // A heartbeat has run by now, so what is read does not count as old itself.
                 Thread.sleep(100);
                 client.send(Rig.get("a1", 2_000));
                 assertEquals(503, client.status());
-                long given = remaining(rig, "a1");
-                assertTrue(given < before - 300_000, given + " us");
-                for (int i = 0; given < before - 50_000; i++) {
-                    assertTrue(i < 1_000, given + " us, and not as before");
+                long remainingUs = remainingUs(rig, "a1");
+                assertTrue(remainingUs < initialUs - 300_000, remainingUs + " us");
+                for (int i = 0; remainingUs < initialUs - 50_000; i++) {
+                    assertTrue(i < 1_000, remainingUs + " us, still less than before the delay");
                     Thread.sleep(20);
                     client.send(Rig.get("b" + i, 2_000));
                     assertEquals(503, client.status());
-                    given = remaining(rig, "b" + i);
+                    remainingUs = remainingUs(rig, "b" + i);
                 }
-                // No more than a quarter of a short time is taken away.
+                // The margin takes at most a quarter of a short time.
                 rig.holdUp(500, () -> {});
                 Thread.sleep(100);
                 client.send(Rig.get("c1", 100));
                 assertEquals(503, client.status());
-                assertTrue(remaining(rig, "c1") > 60_000);
+                assertTrue(remainingUs(rig, "c1") > 60_000);
             }
         }
     }
 
-    /** The next hold-up may be as long: what waits for an upstream that hangs is answered before it. */
+    /** The next delay may be as long, so a request that waits for a hanging upstream is answered before it. */
     @Test
-    void afterAHoldUpWhatIsHeldIsDueEarlierToo() throws Exception {
+    void afterALoopDelayOpenRequestsAreDueEarlierToo() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, connection) -> {});
             rig.start();
             try (TestServer.Client client = rig.client()) {
-                long sent = System.nanoTime();
+                long sentNanos = System.nanoTime();
                 client.send(Rig.get("a1", 4_000));
                 rig.peers.get(0).next();
                 rig.holdUp(900, () -> {});
                 assertEquals(502, client.status());
-                long tookMs = (System.nanoTime() - sent) / 1_000_000;
+                long tookMs = (System.nanoTime() - sentNanos) / 1_000_000;
                 assertTrue(tookMs < 3_600, "answered after " + tookMs + " ms");
             }
         }
     }
 
-    private static long remaining(Rig rig, String id) throws InterruptedException {
+    private static long remainingUs(Rig rig, String id) throws InterruptedException {
         return Long.parseLong(rig.await("request " + id + " ").split(" ")[2]);
     }
 
-    /** A fault in the module ends neither the program nor the request that met it. */
+    /** Guards against an exception in the balancer that ends the program or loses the request. */
     @Test
-    void anExceptionInTheModuleAnswersWhatItMet() throws Exception {
+    void anExceptionInTheBalancerFailsTheRequest() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("500 No", "", ""));
-            rig.onRequest = (now, r, out) -> {
-                throw new IllegalStateException("as the test wants");
+            rig.upstream((message, connection) -> connection.answer("500 No", "", ""));
+            rig.onRequest = (now, request, actions) -> {
+                throw new IllegalStateException("thrown by the test");
             };
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
-                rig.onOutcome = (id, outcome, done, out) -> {
-                    throw new IllegalStateException("as the test wants");
+                rig.onRequest = (now, request, actions) -> actions.send(request.id(), "u0", 0);
+                rig.onOutcome = (id, outcome, decided, actions) -> {
+                    throw new IllegalStateException("thrown by the test");
                 };
                 client.send(Rig.get("a2", 20_000));
                 assertEquals(502, client.status());
-                rig.onRequest = (now, r, out) -> out.timer("break", 1);
+                rig.onRequest = (now, request, actions) -> actions.timer("break", 1);
                 client.send(Rig.get("a3", 20_000));
                 assertEquals(502, client.status());
             }
@@ -187,16 +188,16 @@
     }
 
     @Test
-    void aClientThatLeavesEndsItsRequestAndNoOther() throws Exception {
+    void aClientThatLeavesEndsOnlyItsOwnRequest() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+            rig.upstream((message, connection) -> {});
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 rig.await("request");
             }
             assertEquals("expired a1", rig.await("expired"));
-            rig.onRequest = (now, r, out) -> out.fail(r.id());
+            rig.onRequest = (now, request, actions) -> actions.fail(request.id());
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a2", 20_000));
                 assertEquals(502, client.status());
@@ -204,26 +205,26 @@
         }
     }
 
-    /** A second copy's answer, or one after the final answer, must not reach the client. */
+    /** Guards against a second response to the client when another attempt ends after the final response. */
     @Test
-    void theFirstAnswerCountsAndALaterOneIsOnlyTold() throws Exception {
+    void theFirstResponseWinsAndALaterOneIsOnlyReported() throws Exception {
         try (Rig rig = new Rig()) {
             Object[] held = new Object[1];
-            rig.upstream((m, line) -> {
+            rig.upstream((message, connection) -> {
                 synchronized (held) {
-                    held[0] = line;
+                    held[0] = connection;
                 }
             });
-            rig.upstream((m, line) -> line.answer("200 OK", "", "second"));
-            rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
-            rig.onOutcome = (id, outcome, done, out) -> {};
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", "second"));
+            rig.onRequest = (now, request, actions) -> actions.send(request.id(), "u0", 0);
+            rig.onOutcome = (id, outcome, decided, actions) -> {};
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 rig.peers.get(0).next();
-                rig.onRequest = (now, r, out) -> {
-                    out.send("a1", "u1", 0);
-                    out.fail(r.id());
+                rig.onRequest = (now, request, actions) -> {
+                    actions.send("a1", "u1", 0);
+                    actions.fail(request.id());
                 };
                 try (TestServer.Client other = rig.client()) {
                     other.send(Rig.get("a2", 20_000));
@@ -242,36 +243,36 @@
     }
 
     @Test
-    void attemptsBeyondWhatIsAllowedAreNotSent() throws Exception {
+    void attemptsBeyondTheMaximumAreNotSent() throws Exception {
         try (Rig rig = new Rig()) {
-            TestServer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
-            rig.onOutcome = (id, outcome, done, out) -> {
+            TestServer upstream = rig.upstream((message, connection) -> connection.answer("500 No", "", ""));
+            rig.onOutcome = (id, outcome, decided, actions) -> {
                 if (outcome == Outcome.NOT_SENT) {
-                    out.fail(id);
+                    actions.fail(id);
                 } else {
-                    out.send(id, "u0", 0);
+                    actions.send(id, "u0", 0);
                 }
             };
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(502, client.status());
-                assertEquals(4, up.messages.size());
+                assertEquals(4, upstream.messages.size());
             }
         }
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirTurn() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", message.header("X-Txn")));
             rig.start();
             try (TestServer.Client client = rig.client()) {
-                StringBuilder all = new StringBuilder();
+                StringBuilder requests = new StringBuilder();
                 for (int i = 0; i < 40; i++) {
-                    all.append(Rig.get("p" + i, 20_000));
+                    requests.append(Rig.get("p" + i, 20_000));
                 }
-                client.send(all.toString());
+                client.send(requests.toString());
                 for (int i = 0; i < 40; i++) {
                     assertEquals("p" + i, client.answer().body());
                 }
--- a/src/test/java/rushproxy/sidecar/UnreadRequestAgeTest.java
+++ b/src/test/java/rushproxy/sidecar/UnreadRequestAgeTest.java
@@ -26,22 +26,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A request's time runs while it lies unread in the kernel, and no longer than it lay there. */
+/** The time that a request waits unread in the kernel counts against its deadline, and no more than that. */
 @Timeout(60)
 class UnreadRequestAgeTest {
     private static final long WAIT_MS = 400;
-    private static final long HOLD_UP_MS = 900;
+    private static final long LOOP_DELAY_MS = 900;
     private static final long REMAINING_MS = 2_000;
-    /** The kernel counts in steps of up to 10 ms. */
-    private static final long STEP_US = 10_000;
+    /** Resolution of the kernel's clock. */
+    private static final long KERNEL_TICK_US = 10_000;
 
-    private static long toldUs(Rig rig, String id) throws Exception {
+    private static long reportedRemainingUs(Rig rig, String id) throws Exception {
         return Long.parseLong(rig.await("request " + id + " ").split(" ")[2]);
     }
 
-    /** Guards against a kernel's figure that does not count while a connection waits to be accepted. */
+    /** Guards against a kernel whose age of received data does not include the time in the accept queue. */
     @Test
-    void theKernelCountsInTheAcceptQueueToo() throws Exception {
+    void theKernelsAgeIncludesTimeInTheAcceptQueue() throws Exception {
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0))) {
             for (long waitMs : new long[] {0, 50, 300}) {
                 try (SocketChannel client = SocketChannel.open(listener.getLocalAddress())) {
@@ -50,83 +50,91 @@
                     long sentNanos = System.nanoTime();
                     Thread.sleep(waitMs);
                     try (SocketChannel accepted = listener.accept()) {
-                        long leastUs = (System.nanoTime() - sentNanos) / 1_000;
+                        long minUs = (System.nanoTime() - sentNanos) / 1_000;
                         long agoUs = TcpInfo.lastReceivedAgoUs(accepted);
-                        long mostUs = (System.nanoTime() - beforeNanos) / 1_000;
+                        long maxUs = (System.nanoTime() - beforeNanos) / 1_000;
                         assertTrue(
-                                agoUs >= leastUs - STEP_US && agoUs <= mostUs + STEP_US,
-                                agoUs + " not in " + leastUs + " to " + mostUs);
+                                agoUs >= minUs - KERNEL_TICK_US && agoUs <= maxUs + KERNEL_TICK_US,
+                                agoUs + " not in " + minUs + " to " + maxUs);
                     }
                 }
             }
         }
     }
 
-    /** Guards against a server that is told more time than its client has, by what it waited for a place. */
+    /**
+     * Guards against stating more time to a server than the client has left, by the time that the client waited for a
+     * slot.
+     */
     @Test
-    void whatWaitedToBeLetInHasLessTimeLeft() throws Exception {
+    void aRequestThatWaitedForItsAcceptHasLessTimeLeft() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.onRequest = (now, r, out) -> {};
+            rig.onRequest = (now, request, actions) -> {};
             rig.sockets = 48 + 2 * 16;
             rig.start();
             List<TestServer.Client> clients = new ArrayList<>();
             try {
-                // As many as are let in, and some more.
+                // More clients than are accepted.
                 for (int i = 0; i < 48; i++) {
                     clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
                 }
                 rig.await("request busy0");
-                try (TestServer.Client waits = rig.client()) {
-                    waits.send(Rig.get("waits", REMAINING_MS));
+                try (TestServer.Client waiting = rig.client()) {
+                    waiting.send(Rig.get("waits", REMAINING_MS));
                     long sentNanos = System.nanoTime();
                     Thread.sleep(WAIT_MS);
-                    for (TestServer.Client c : clients) {
-                        c.close();
+                    for (TestServer.Client client : clients) {
+                        client.close();
                     }
-                    long leastWaitUs = (System.nanoTime() - sentNanos) / 1_000;
-                    long toldUs = toldUs(rig, "waits");
-                    assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + STEP_US, toldUs + " " + leastWaitUs);
+                    long minWaitUs = (System.nanoTime() - sentNanos) / 1_000;
+                    long remainingUs = reportedRemainingUs(rig, "waits");
+                    assertTrue(
+                            remainingUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + KERNEL_TICK_US,
+                            remainingUs + " " + minWaitUs);
                 }
             } finally {
-                for (TestServer.Client c : clients) {
-                    c.close();
+                for (TestServer.Client client : clients) {
+                    client.close();
                 }
             }
         }
     }
 
-    /** Guards against refusing, after a hold-up, who has just asked and has all of its time. */
+    /** Guards against refusing, after a loop delay, requests that were only just sent and have all of their time. */
     @Test
-    void whatCameAtTheEndOfAHoldUpHasItsTime() throws Exception {
+    void aRequestSentAtTheEndOfALoopDelayHasItsFullTime() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", "served"));
             rig.start();
-            try (TestServer.Client known = rig.client()) {
-                known.send(Rig.get("a0", REMAINING_MS));
-                assertEquals(200, known.status());
+            try (TestServer.Client existing = rig.client()) {
+                existing.send(Rig.get("a0", REMAINING_MS));
+                assertEquals(200, existing.status());
                 List<TestServer.Client> fresh = new ArrayList<>();
                 rig.holdUp(0, () -> {
-                    Thread.sleep(HOLD_UP_MS);
-                    known.send(Rig.get("a1", REMAINING_MS));
+                    Thread.sleep(LOOP_DELAY_MS);
+                    existing.send(Rig.get("a1", REMAINING_MS));
                     fresh.add(rig.client().send(Rig.get("a2", REMAINING_MS)));
                 });
                 for (String id : List.of("a1", "a2")) {
-                    long toldUs = toldUs(rig, id);
-                    // A quarter of its time may be kept for the way back.
-                    assertTrue(toldUs > REMAINING_MS * 1_000 * 2 / 3, id + " " + toldUs);
+                    long remainingUs = reportedRemainingUs(rig, id);
+                    // The margin may take a quarter of its time.
+                    assertTrue(remainingUs > REMAINING_MS * 1_000 * 2 / 3, id + " " + remainingUs);
                 }
-                assertEquals(200, known.status());
+                assertEquals(200, existing.status());
                 assertEquals(200, fresh.get(0).status());
                 fresh.get(0).close();
             }
         }
     }
 
-    /** Guards against taking the first of two requests for as young as the second, which the kernel received last. */
+    /**
+     * Guards against counting the first of two unread requests as young as the second, which is the age that the kernel
+     * reports.
+     */
     @Test
-    void theFirstOfTwoThatLayThereIsAsOldAsItMayBe() throws Exception {
+    void theFirstOfTwoUnreadRequestsCountsAsOldAsItMayBe() throws Exception {
         try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            rig.upstream((message, connection) -> connection.answer("200 OK", "", "served"));
             rig.start();
             try (TestServer.Client client = rig.client()) {
                 client.send(Rig.get("a0", REMAINING_MS));
@@ -136,15 +144,17 @@
                     Thread.sleep(WAIT_MS);
                     client.send(Rig.get("second", REMAINING_MS));
                 });
-                long toldUs = toldUs(rig, "first");
-                assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + LoopDelay.BEAT_US + STEP_US, "" + toldUs);
+                long remainingUs = reportedRemainingUs(rig, "first");
+                assertTrue(
+                        remainingUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + LoopDelay.BEAT_US + KERNEL_TICK_US,
+                        "" + remainingUs);
             }
         }
     }
 
-    /** Guards against taking what was read last of a hold-up for new, since the loop counted as in time again by then. */
+    /** Guards against counting the later reads after a loop delay as new because the loop is already on time again. */
     @Test
-    void whatIsReadLaterOfAHoldUpIsAsOld() throws Exception {
+    void laterReadsAfterALoopDelayCountAsJustAsOld() throws Exception {
         Clock clock = new Clock();
         LoopDelay loopDelay = new LoopDelay();
         BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
@@ -177,19 +187,23 @@
                             return null;
                         })
                         .sync();
-                assertTrue(agesUs.take() >= WAIT_MS * 1_000 - STEP_US);
-                assertTrue(agesUs.take() >= WAIT_MS * 1_000 - STEP_US, "the second read");
+                assertTrue(agesUs.take() >= WAIT_MS * 1_000 - KERNEL_TICK_US);
+                assertTrue(agesUs.take() >= WAIT_MS * 1_000 - KERNEL_TICK_US, "the second read");
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
     }
 
-    /** Guards against an attempt for a client that can't be watched, since that was told only while the request before it flowed. */
+    /**
+     * Guards against an attempt for a client whose disconnect can't be detected, because that was reported only once,
+     * during the request before.
+     */
     @Test
-    void whatCanNotBeReadIsToldUntilItCan() {
-        AtomicInteger told = new AtomicInteger();
-        // What is written counts as new, however late this machine is: an embedded loop has no sockets to look at.
+    void anUnreadableSocketIsReportedRepeatedlyUntilItCanBeRead() {
+        AtomicInteger notices = new AtomicInteger();
+        // The clock stands still, so that input counts as new however late this machine is: an embedded loop has no
+        // sockets to read.
         MovableTime clock = new MovableTime();
         clock.stop();
         ClientInput input =
@@ -199,22 +213,22 @@
 
                     @Override
                     public void onDisconnectUndetectable() {
-                        told.incrementAndGet();
+                        notices.incrementAndGet();
                     }
                 });
         EmbeddedChannel channel = new EmbeddedChannel(input);
         channel.freezeTime();
         input.setFlow(true, false);
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[ClientInput.MAX_BUFFERED_BYTES]));
-        for (int times = 1; times <= 3; times++) {
+        for (int count = 1; count <= 3; count++) {
             channel.advanceTimeBy(ClientInput.MAX_UNREAD_MS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
-            assertEquals(times, told.get());
+            assertEquals(count, notices.get());
         }
         input.setFlow(false, false);
         channel.advanceTimeBy(ClientInput.MAX_UNREAD_MS, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
-        assertEquals(3, told.get());
+        assertEquals(3, notices.get());
         channel.finishAndReleaseAll();
     }
 }
