--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnection.java
@@ -151,7 +151,7 @@
         return input;
     }
 
-    /** Counts as activity, even if it is only part of a request. */
+    /** Counts any input as activity, even a part of a request. */
     @Override
     public void onBytes(long sinceUs) {
         lastActiveUs = clock.now();
@@ -216,8 +216,8 @@
     private void handleQueued() {
         if (!queued.isEmpty()) {
             while ((!busy || receiving) && !queued.isEmpty() && channel.isActive()) {
-                QueuedPart arrival = queued.poll();
-                handle(arrival.part, arrival.sentUs);
+                QueuedPart next = queued.poll();
+                handle(next.part, next.sentUs);
             }
             updateReading();
         }
@@ -361,17 +361,17 @@
         }
     }
 
-    private void receivePart(ByteBuf piece, boolean isLast, long partSentUs) {
+    private void receivePart(ByteBuf part, boolean isLast, long partSentUs) {
         lastPartUs = clock.now();
-        bodyBytesSinceStart += piece.readableBytes();
-        bodyBytes += piece.readableBytes();
+        bodyBytesSinceStart += part.readableBytes();
+        bodyBytes += part.readableBytes();
         if (bodyBytes > Headers.MAX_BODY_BYTES) {
             abandonExchange();
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (piece.isReadable()) {
-            body.append(piece);
+        if (part.isReadable()) {
+            body.append(part);
         }
         if (isLast) {
             body.finish();
@@ -390,18 +390,18 @@
             reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        long deadline = deadlineUs(partSentUs);
+        long requestDeadlineUs = deadlineUs(partSentUs);
         Request request = new Request(
                 requestHead.id(),
                 requestHead.key(),
                 requestHead.resent(),
                 false,
                 requestHead.estimateUs(),
-                Math.max(1, deadline - clock.now()),
+                Math.max(1, requestDeadlineUs - clock.now()),
                 requestHead.tenant(),
                 requestHead.requestClass(),
                 !body.isComplete());
-        RequestTimestamps times = new RequestTimestamps(
+        RequestTimestamps timestamps = new RequestTimestamps(
                 openedUs,
                 firstByteUs,
                 body.isComplete() ? clock.now() : 0,
@@ -415,9 +415,9 @@
                 body,
                 partSentUs,
                 requestHead.remainingUs(),
-                deadline,
+                requestDeadlineUs,
                 new ConnectionResponseWriter(),
-                times);
+                timestamps);
         coordinator.accept(exchange);
     }
 
@@ -485,8 +485,8 @@
         }
 
         @Override
-        public boolean writePart(ByteBuf piece) {
-            channel.writeAndFlush(new DefaultHttpContent(piece.retainedSlice()));
+        public boolean writePart(ByteBuf part) {
+            channel.writeAndFlush(new DefaultHttpContent(part.retainedSlice()));
             return channel.isWritable();
         }
 
--- a/src/main/java/rushproxy/sidecar/ClientConnectionLimiter.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnectionLimiter.java
@@ -11,9 +11,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * Holds the open client connections and limits their number. When all slots are taken it closes idle connections until
- * one is free, first connections to upstreams, which only borrow unused client slots. It does not wait for the next
- * client to ask, since the listener may have stopped accepting.
+ * Holds the open client connections and limits their number. When all slots are taken it frees one: by taking back a
+ * slot that upstream connections borrowed, else by closing an idle connection. It does not wait for another client to
+ * ask, since the listener may have stopped accepting.
  */
 final class ClientConnectionLimiter {
     /** How many idle connections are checked for a new request in search of one to close. */
@@ -35,10 +35,10 @@
     /** Whether another attempt to free a slot is scheduled. */
     private boolean retryScheduled;
 
-    ClientConnectionLimiter(EventLoop loop, IntSupplier limit, BooleanSupplier takeBack) {
+    ClientConnectionLimiter(EventLoop loop, IntSupplier limit, BooleanSupplier reclaimUpstreamSlot) {
         this.loop = loop;
         this.limit = limit;
-        this.reclaimUpstreamSlot = takeBack;
+        this.reclaimUpstreamSlot = reclaimUpstreamSlot;
     }
 
     void add(ClientConnection connection) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Closes connections until a slot is free. If too few can be closed now it retries until one is. */
+    /** Takes back or closes connections until a slot is free. If too few can be freed now it retries until one is. */
     void evictUntilSlotFree() {
         while (!hasFreeSlot()) {
             if (!reclaimUpstreamSlot.getAsBoolean() && !evictOne()) {
@@ -117,11 +117,11 @@
             oldestLingering.close(CloseReason.ROOM_NEEDED);
         }
         for (int checks = 0; openCount() >= before && checks < MAX_IDLE_CHECKS; checks++) {
-            Optional<ClientConnection> quietest = longestIdle();
-            if (quietest.isEmpty()) {
+            Optional<ClientConnection> candidate = longestIdle();
+            if (candidate.isEmpty()) {
                 break;
             }
-            quietest.get().closeUnlessRequestArrived(CloseReason.ROOM_NEEDED);
+            candidate.get().closeUnlessRequestArrived(CloseReason.ROOM_NEEDED);
         }
         return openCount() < before;
     }
--- a/src/main/java/rushproxy/sidecar/ClientServer.java
+++ b/src/main/java/rushproxy/sidecar/ClientServer.java
@@ -71,7 +71,7 @@
     private static final long DRAIN_RESPONSES_DUE_US = 3_700_000;
     private static final long DRAIN_CLOSED_BY_US = 3_900_000;
 
-    /** A client that has not completed a request in this time is closed; the limit is 3 s. */
+    /** A client that has not completed a request in this time is closed; it must be closed within 3 s. */
     private static final long REQUEST_TIMEOUT_US = 2_500_000;
     /** Counts from the accept on a new connection; the check itself is late by up to its interval. */
     private static final long FIRST_REQUEST_TIMEOUT_US = 2_700_000;
@@ -79,6 +79,8 @@
     private static final long SWEEP_INTERVAL_MS = 200;
     /** Pause after a failed accept. */
     private static final long ACCEPT_RETRY_MS = 10;
+    /** Connections that may wait in the kernel to be accepted. */
+    private static final int ACCEPT_BACKLOG = 256;
 
     private final EventLoop loop;
     private final RequestCoordinator coordinator;
@@ -175,7 +177,7 @@
     private ServerBootstrap newBootstrap() {
         return Window.on(new ServerBootstrap())
                 .group(loop)
-                .option(ChannelOption.SO_BACKLOG, 256)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
@@ -244,8 +246,8 @@
         // The limit depends on the number of upstream connections and may have changed since the last check.
         limiter.evictUntilSlotFree();
         listener.config().setAutoRead(canAccept());
-        for (ClientConnection c : limiter.all()) {
-            c.closeIfTimedOut(now, REQUEST_TIMEOUT_US, FIRST_REQUEST_TIMEOUT_US);
+        for (ClientConnection connection : limiter.all()) {
+            connection.closeIfTimedOut(now, REQUEST_TIMEOUT_US, FIRST_REQUEST_TIMEOUT_US);
         }
     }
 
@@ -351,9 +353,9 @@
         long ageUs = now - drainRequestedUs;
         if (ageUs >= DRAIN_CLOSE_IDLE_AFTER_US) {
             long idleUs = ageUs < DRAIN_CLOSE_ALL_AFTER_US ? DRAIN_IDLE_US : 0;
-            for (ClientConnection c : limiter.all()) {
+            for (ClientConnection connection : limiter.all()) {
                 boolean closeIncomplete = ageUs >= DRAIN_RESPONSES_DUE_US;
-                c.closeIfIdle(now - idleUs, closeIncomplete ? now : 0, !closeIncomplete, CloseReason.DRAINING);
+                connection.closeIfIdle(now - idleUs, closeIncomplete ? now : 0, !closeIncomplete, CloseReason.DRAINING);
             }
         }
         loop.schedule(this::checkDrain, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -378,8 +380,8 @@
      */
     private void endInput() {
         stopAccepting();
-        for (ClientConnection c : limiter.all()) {
-            c.closeGracefullyUnlessRequestArrived(CloseReason.STOPPING);
+        for (ClientConnection connection : limiter.all()) {
+            connection.closeGracefullyUnlessRequestArrived(CloseReason.STOPPING);
         }
     }
 
@@ -422,9 +424,9 @@
             return;
         }
         if (sharedListener ? now - stopRequestedUs >= MIN_SERVE_AFTER_STOP_US : leftUs < CLOSE_IDLE_BEFORE_KILL_US) {
-            for (ClientConnection c : limiter.all()) {
+            for (ClientConnection connection : limiter.all()) {
                 boolean closeAll = leftUs < CLOSE_ALL_BEFORE_KILL_US;
-                if (c.closeIfIdle(
+                if (connection.closeIfIdle(
                         closeAll ? now : now - STOP_IDLE_US,
                         closeAll ? now : now - longestDeadlineUs,
                         true,
--- a/src/main/java/rushproxy/sidecar/Exchange.java
+++ b/src/main/java/rushproxy/sidecar/Exchange.java
@@ -24,7 +24,7 @@
         void beginStream(long length, Runnable resume);
 
         /** Returns false if no more parts should be written for now. */
-        boolean writePart(ByteBuf piece);
+        boolean writePart(ByteBuf part);
 
         void endStream();
 
--- a/src/main/java/rushproxy/sidecar/MemoryBudget.java
+++ b/src/main/java/rushproxy/sidecar/MemoryBudget.java
@@ -26,15 +26,15 @@
     }
 
     /**
-     * Reserves the bytes now or later; {@code granted} runs once they are reserved. The result withdraws a waiting
+     * Reserves the bytes now or later; {@code onGranted} runs once they are reserved. The result withdraws a waiting
      * reservation.
      */
-    Runnable reserve(int bytes, Runnable granted) {
+    Runnable reserve(int bytes, Runnable onGranted) {
         if (tryReserve(bytes)) {
-            granted.run();
+            onGranted.run();
             return () -> {};
         }
-        Waiter waiter = new Waiter(bytes, granted);
+        Waiter waiter = new Waiter(bytes, onGranted);
         waiting.add(waiter);
         return () -> {
             // If it was the first, those behind it may fit now.
--- a/src/main/java/rushproxy/sidecar/RequestCoordinator.java
+++ b/src/main/java/rushproxy/sidecar/RequestCoordinator.java
@@ -53,7 +53,7 @@
     RequestCoordinator(
             EventLoop loop,
             RunningTime time,
-            BalancerDispatcher decisions,
+            BalancerDispatcher dispatcher,
             Upstreams upstreams,
             RequestGuard guard,
             int maxAttempts) {
@@ -61,7 +61,7 @@
         this.loop = loop;
         clock = time.clock();
         timeouts = new SocketTimeouts(loop, time);
-        this.dispatcher = decisions;
+        this.dispatcher = dispatcher;
         this.upstreams = upstreams;
         this.maxAttempts = maxAttempts;
     }
@@ -93,7 +93,7 @@
                 () -> failOverdue(exchange));
     }
 
-    /** Reports the last byte of the request. Its deadline counts from now on. */
+    /** Called when the last byte of the request has arrived. Its deadline counts from now on. */
     void onBodyComplete(Exchange exchange, long sentUs, long deadlineUs) {
         if (!exchange.state.isDecided()) {
             exchange.sentUs = sentUs;
--- a/src/test/java/rushproxy/sidecar/RequestGuardTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestGuardTest.java
@@ -197,7 +197,7 @@
         public void beginStream(long length, Runnable resume) {}
 
         @Override
-        public boolean writePart(ByteBuf piece) {
+        public boolean writePart(ByteBuf part) {
             return true;
         }
 
