--- a/src/main/java/rushproxy/sidecar/CallListener.java
+++ b/src/main/java/rushproxy/sidecar/CallListener.java
@@ -4,29 +4,32 @@
 import rushproxy.Balancer.LoadReport;
 import rushproxy.Balancer.Outcome;
 
-/** What a call brings. */
+/** Receives the events of an {@link UpstreamCall}. */
 interface CallListener {
-    /** Once; {@code body} is set with {@code OK} alone, and empty where the answer came in pieces. */
+    /** Called exactly once. {@code body} is null unless the outcome is {@code OK}, and empty if the response was streamed. */
     void onEnd(UpstreamCall call, Outcome outcome, LoadReport report, ByteBuf body);
 
     /**
-     * The answer is going to come in pieces; {@code length} is -1 where it is not known, {@code resume} asks for
-     * more after a piece that was one too many. False: nobody wants it.
+     * The response will be streamed.
+     *
+     * @param length its length in bytes, -1 if unknown
+     * @param resume resumes reading after {@link #onResponsePart} has returned false
+     * @return false if the response is no longer wanted
      */
     default boolean onResponseStart(UpstreamCall call, long length, Runnable resume) {
         return false;
     }
 
-    /** False when no more is wanted for now. */
-    default boolean onResponsePart(ByteBuf piece) {
+    /** A part of a streamed response; false pauses reading. */
+    default boolean onResponsePart(ByteBuf part) {
         return true;
     }
 
-    /** Whether it is still to be sent, now that it could be. */
+    /** Whether the call may still be sent; checked immediately before its first byte. */
     default boolean mayBegin(UpstreamCall call) {
         return true;
     }
 
-    /** The last byte of the message has been written. */
+    /** The last byte of the request has been written. */
     default void onSent(UpstreamCall call) {}
 }
--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/rushproxy/sidecar/Discovery.java
@@ -21,35 +21,41 @@
 import rushproxy.Balancer.Upstream;
 
 /**
- * The watch on discovery: one call after the other without a gap, from the first one that the module asks for, or from the
- * start where lists are pushed. A call that fails is told to the module if it waits for it; the list it has still holds.
+ * Client of the discovery agent. Watches the list of upstreams by consecutive long polls, starting with the module's first
+ * subscription, or at once if lists are pushed. If a poll fails, the previous list stays in force, and the module is notified if it
+ * waits for the result.
  *
- * <p>What discovery's agent has counts as told, so each way to miss it has a bound, which is a sum of the times below
- * (rules on sockets; the grace for sends is half a second):
+ * <p>A change must be respected from some time after the agent has it, whatever happens to the watch. The delay until it is learned is
+ * therefore bounded in each failure mode (sends have a grace of another half second):
  * <ul>
- * <li>a watch that falls silent counts 6 s later, or 2 s after its wait: {@code WAIT + SILENT}, and a call that does not wait;
- * <li>one that is reset, refused or broken off within a list, the start of a process, and another address after SIGHUP
- *     (which counts 4 s later): at most {@code 2 PACE}, and a call that does not wait;
- * <li>a call that does not wait and is not answered is made again after {@code NOW}, then twice that, up to {@code MOST_NOW}:
- *     so that while discovery is down nearly always one is out, which its agent answers at the return.
+ * <li>A watch that stops responding must have been replaced 6 s later, and 2 s after its wait. A poll times out after {@code WAIT_MS
+ *     + RESPONSE_TIMEOUT_MS} and is followed by one without a wait.
+ * <li>After a reset, a refusal, an end within a list, the start of the process, or a change of address by SIGHUP (which must take
+ *     effect within 4 s) a poll without a wait follows within {@code 2 * MIN_INTERVAL_MS}.
+ * <li>A poll without a wait that gets no response is repeated after {@code IMMEDIATE_TIMEOUT_MS}, doubling up to {@code
+ *     MAX_IMMEDIATE_TIMEOUT_MS}. So while the agent is down one is nearly always pending, to be answered when it returns.
  * </ul>
  */
 final class Discovery {
     private static final String PATH = "/registry/instances";
-    /** A list of some thousands of upstreams, indented too; more is no list. Held in memory only while it comes. */
-    private static final int MAX_ANSWER = 4 << 20;
+    /** Enough for thousands of upstreams in indented JSON. */
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
-    private static final long CONNECT_US = 1_000_000;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
+    /** Longest wait for a change that a poll asks for. */
     private static final long WAIT_MS = 2_000;
-    private static final long SILENT_MS = 500;
-    private static final long NOW_MS = 400;
-    private static final long MOST_NOW_MS = 1_600;
-    /** A watch lasts while its calls follow within 200 ms; discovery that answers at once is not called without pause. */
-    private static final long PACE_MS = 100;
-    /** Answers that make no sense are asked for ever more slowly, up to this many times {@link #PACE_MS}. */
-    private static final int MOST_PACES = 16;
-    /** The longest time from a watch's call to the answer of the one after it, where the watch fell silent at once. */
-    static final long MAX_NEWS_DELAY_MS = WAIT_MS + SILENT_MS + 2 * PACE_MS + NOW_MS;
+    /** Time allowed for the response after the wait that was requested. */
+    private static final long RESPONSE_TIMEOUT_MS = 500;
+    /** First timeout of a poll without a wait. */
+    private static final long IMMEDIATE_TIMEOUT_MS = 400;
+
+    private static final long MAX_IMMEDIATE_TIMEOUT_MS = 1_600;
+    /** Minimum time between the starts of two polls. A watch counts as continuous while polls follow each other within 200 ms. */
+    private static final long MIN_INTERVAL_MS = 100;
+    /** Invalid responses double the interval, up to this multiple of {@link #MIN_INTERVAL_MS}. */
+    private static final int MAX_INTERVAL_FACTOR = 16;
+    /** Upper bound of the time from a poll that gets no response to the response to the next one. */
+    static final long MAX_NEWS_DELAY_MS = WAIT_MS + RESPONSE_TIMEOUT_MS + 2 * MIN_INTERVAL_MS + IMMEDIATE_TIMEOUT_MS;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -58,44 +64,45 @@
     private final long waitMs;
     private InetSocketAddress address;
     private final Bootstrap bootstrap;
-    private final StartTimes starts;
+    private final StartTimes startTimes;
     private long generation;
-    /** After an answer that made no sense the whole list is asked for. */
-    private boolean doubt;
-    /** The module has asked and waits for an answer, be it one without changes. */
-    private boolean asked;
-    /** The call before was answered, so this one may wait for news. */
-    private boolean watching;
-    /** Calls in a row that failed, and answers in a row that made no sense. */
+    /** Set after an invalid response: the next poll requests the full list. */
+    private boolean needsFullList;
+    /** The module has subscribed and expects a result, even if nothing has changed. */
+    private boolean isResultExpected;
+    /** The previous poll succeeded, so the next one may wait for a change. */
+    private boolean isWatching;
+    /** Consecutive failed polls. */
     private int failures;
+    /** Consecutive invalid responses. */
+    private int invalidResponses;
 
-    private int senseless;
     private Channel channel;
     private Future<?> timeout;
-    /** The next call, where one is due later; null while none is. */
-    private Future<?> next;
-    /** Number of the call that is out; 0 while none is. What belongs to another is stale. */
-    private long call;
+    /** The next poll if it is scheduled; null otherwise. */
+    private Future<?> nextPoll;
+    /** Number of the pending poll, 0 if there is none; events of other polls are stale. */
+    private long pendingPoll;
 
-    private long calls;
-    private long begunUs;
-    /** Where lists are pushed the module asks for nothing: the watch is this class's own. */
-    private final boolean pushed;
-    /** Told once, when the first call is over; null before it is wanted and after. */
-    private Runnable heard;
+    private long polls;
+    private long pollStartedUs;
+    /** Lists are pushed: the module does not subscribe, and polling starts by itself. */
+    private final boolean isPushed;
+    /** Runs once when the first poll completes; null if not set or already run. */
+    private Runnable firstPollCallback;
 
     Discovery(
             EventLoop loop,
             Clock clock,
             Decisions decisions,
             UpstreamPool upstreams,
-            StartTimes starts,
+            StartTimes startTimes,
             InetSocketAddress address,
             long generation,
             long askEveryUs,
-            boolean pushed) {
-        this.starts = starts;
-        this.pushed = pushed;
+            boolean isPushed) {
+        this.startTimes = startTimes;
+        this.isPushed = isPushed;
         this.loop = loop;
         this.clock = clock;
         this.decisions = decisions;
@@ -103,189 +110,192 @@
         this.address = address;
         this.generation = generation;
         waitMs = askEveryUs <= 0 ? WAIT_MS : Math.min(WAIT_MS, askEveryUs / 1000);
-        bootstrap = OutboundConnector.aggregatingBootstrap(loop, MAX_ANSWER, Handler::new);
+        bootstrap = OutboundConnector.aggregatingBootstrap(loop, MAX_RESPONSE_BYTES, Handler::new);
     }
 
     void start() {
-        if (pushed) {
-            goOn();
+        if (isPushed) {
+            scheduleNext();
         }
     }
 
-    /** The module asks. A watch that is open, or about to be, answers it. */
+    /** Subscription by the module; a pending or scheduled poll serves it. */
     void subscribe() {
-        asked = !pushed;
-        goOn();
+        isResultExpected = !isPushed;
+        scheduleNext();
     }
 
-    /** {@code then} runs when the first call has been answered or has failed: at once where nothing was ever asked. */
-    void whenFirstCallCompletes(Runnable then) {
-        if (calls > 1 || call == 0) {
-            then.run();
+    /** Runs {@code callback} once the first poll has succeeded or failed, at once if none was ever started. */
+    void whenFirstCallCompletes(Runnable callback) {
+        if (polls > 1 || pendingPoll == 0) {
+            callback.run();
         } else {
-            heard = then;
+            firstPollCallback = callback;
         }
     }
 
-    /** Discovery has another address from now on; what was asked at the old one is asked there at once. */
+    /** Switches to another agent address; a pending poll is repeated there at once. */
     void changeAddress(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        watching = false;
-        boolean out = call != 0;
-        if (out) {
-            end();
+        isWatching = false;
+        boolean wasPending = pendingPoll != 0;
+        if (wasPending) {
+            clearPending();
         }
         if (channel != null) {
             channel.close();
             channel = null;
         }
-        // Between calls the next one is due already, and goes there.
-        if (out || pushed) {
-            goOn();
+        // Between polls the next one is scheduled already and uses the new address.
+        if (wasPending || isPushed) {
+            scheduleNext();
         }
     }
 
-    /** The next call: as soon as the pace allows, and later where calls fail. */
-    private void goOn() {
-        if (call != 0 || next != null) {
+    /** Schedules the next poll as soon as the minimum interval allows, later after failures. */
+    private void scheduleNext() {
+        if (pendingPoll != 0 || nextPoll != null) {
             return;
         }
-        long restMs = 0;
-        if (calls > 0) {
-            long paceMs = PACE_MS << Math.min(senseless, Integer.numberOfTrailingZeros(MOST_PACES));
-            // Jittered, so that sidecars that failed together do not ask together again.
-            long jitterMs = failures == 0 ? 0 : ThreadLocalRandom.current().nextLong(PACE_MS);
-            restMs = paceMs + jitterMs - (clock.now() - begunUs) / 1000;
+        long delayMs = 0;
+        if (polls > 0) {
+            long intervalMs =
+                    MIN_INTERVAL_MS << Math.min(invalidResponses, Integer.numberOfTrailingZeros(MAX_INTERVAL_FACTOR));
+            // Jitter keeps sidecars that failed together from polling in step.
+            long jitterMs = failures == 0 ? 0 : ThreadLocalRandom.current().nextLong(MIN_INTERVAL_MS);
+            delayMs = intervalMs + jitterMs - (clock.now() - pollStartedUs) / 1000;
         }
-        if (restMs <= 0) {
-            begin();
+        if (delayMs <= 0) {
+            startPoll();
         } else {
-            next = loop.schedule(
+            nextPoll = loop.schedule(
                     () -> {
-                        next = null;
-                        begin();
+                        nextPoll = null;
+                        startPoll();
                     },
-                    restMs,
+                    delayMs,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void begin() {
-        long number = ++calls;
-        call = number;
-        begunUs = clock.now();
-        long patienceMs =
-                watching && !doubt ? waitMs + SILENT_MS : Math.min(MOST_NOW_MS, NOW_MS << Math.min(failures, 8));
-        timeout = loop.schedule(() -> failed(number, "no answer"), patienceMs, TimeUnit.MILLISECONDS);
+    private void startPoll() {
+        long number = ++polls;
+        pendingPoll = number;
+        pollStartedUs = clock.now();
+        long timeoutMs = isWatching && !needsFullList
+                ? waitMs + RESPONSE_TIMEOUT_MS
+                : Math.min(MAX_IMMEDIATE_TIMEOUT_MS, IMMEDIATE_TIMEOUT_MS << Math.min(failures, 8));
+        timeout = loop.schedule(() -> pollFailed(number, "no response"), timeoutMs, TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
-            write(number);
+            sendPoll(number);
             return;
         }
-        channel = OutboundConnector.connect(bootstrap, loop, address, CONNECT_US, failure -> {
+        channel = OutboundConnector.connect(bootstrap, loop, address, CONNECT_TIMEOUT_US, failure -> {
             if (failure != null) {
-                failed(number, "no connection");
-            } else if (call == number) {
-                write(number);
+                pollFailed(number, "could not connect");
+            } else if (pendingPoll == number) {
+                sendPoll(number);
             }
         });
     }
 
-    private void write(long number) {
-        String uri = doubt ? PATH : PATH + "?index=" + generation + "&wait=" + (watching ? waitMs : 0);
+    private void sendPoll(long number) {
+        String uri = needsFullList ? PATH : PATH + "?index=" + generation + "&wait=" + (isWatching ? waitMs : 0);
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         request.headers().set("Host", "discovery");
         channel.writeAndFlush(request).addListener(f -> {
             if (!f.isSuccess()) {
-                failed(number, "the connection broke");
+                pollFailed(number, "could not send the request");
             }
         });
     }
 
-    private void failed(long number, String why) {
-        if (call != number || number == 0) {
+    private void pollFailed(long number, String why) {
+        if (pendingPoll != number || number == 0) {
             return;
         }
-        end();
-        // What may still come on it answers a call that is over.
+        clearPending();
+        // A late response on this connection would belong to the failed poll.
         if (channel != null) {
             channel.close();
             channel = null;
         }
-        boolean told = asked || watching;
-        asked = watching = false;
+        boolean mustNotify = isResultExpected || isWatching;
+        isResultExpected = isWatching = false;
         if (failures++ == 0) {
-            Log.warn("a call to discovery failed: " + why + "; the list before holds");
+            Log.warn("discovery poll failed: " + why + "; the previous list stays in force");
         }
-        if (!pushed && told) {
+        if (!isPushed && mustNotify) {
             decisions.call(m -> m.onList(clock.now(), ListKind.FAILED, List.of()), () -> {});
         }
-        goOn();
-        over();
+        scheduleNext();
+        firstPollDone();
     }
 
-    private void end() {
-        call = 0;
+    private void clearPending() {
+        pendingPoll = 0;
         timeout.cancel(false);
     }
 
-    private void over() {
-        if (heard != null) {
-            Runnable then = heard;
-            heard = null;
-            then.run();
+    private void firstPollDone() {
+        if (firstPollCallback != null) {
+            Runnable callback = firstPollCallback;
+            firstPollCallback = null;
+            callback.run();
         }
     }
 
-    private void answered(FullHttpResponse response) {
-        UpstreamList told;
+    private void handleResponse(FullHttpResponse response) {
+        UpstreamList received;
         try {
             if (response.status().code() != 200 || !response.decoderResult().isSuccess()) {
-                failed(call, "status " + response.status().code());
+                pollFailed(pendingPoll, "status " + response.status().code());
                 return;
             }
-            told = UpstreamList.fromJson(Json.parse(ByteBufUtil.getBytes(response.content())));
-            boolean known = doubt ? told.isFull() : told.isFull() || told.generation() >= generation;
-            if (!known || told.isFull() && told.entries().isEmpty()) {
-                throw new IllegalArgumentException("it does not follow on the list before");
+            received = UpstreamList.fromJson(Json.parse(ByteBufUtil.getBytes(response.content())));
+            boolean isContinuous =
+                    needsFullList ? received.isFull() : received.isFull() || received.generation() >= generation;
+            if (!isContinuous || received.isFull() && received.entries().isEmpty()) {
+                throw new IllegalArgumentException("the list is empty or does not continue the previous one");
             }
         } catch (RuntimeException e) {
-            doubt = true;
-            senseless++;
-            failed(call, "its answer is no list: " + e.getMessage());
+            needsFullList = true;
+            invalidResponses++;
+            pollFailed(pendingPoll, "invalid list: " + e.getMessage());
             return;
         }
-        end();
+        clearPending();
         if (failures > 0) {
-            Log.line("discovery answers again, after " + failures + " calls that failed");
+            Log.line("discovery is reachable again after " + failures + " failed polls");
         }
-        doubt = false;
-        watching = true;
-        failures = senseless = 0;
+        needsFullList = false;
+        isWatching = true;
+        failures = invalidResponses = 0;
         if (!HttpUtil.isKeepAlive(response)) {
             channel.close();
             channel = null;
         }
-        boolean takenOver = false;
+        boolean isApplied = false;
         try {
-            takeOver(told);
-            takenOver = true;
+            apply(received);
+            isApplied = true;
         } finally {
-            // Where it failed, as for want of memory, the watch goes on and brings the whole list again.
-            doubt |= !takenOver;
-            goOn();
-            over();
+            // If applying failed, for example for lack of memory, the next poll fetches the full list again.
+            needsFullList |= !isApplied;
+            scheduleNext();
+            firstPollDone();
         }
     }
 
-    private void takeOver(UpstreamList told) {
-        generation = told.generation();
-        UpstreamList list = starts.fromDiscovery(told);
+    private void apply(UpstreamList received) {
+        generation = received.generation();
+        UpstreamList list = startTimes.fromDiscovery(received);
         upstreams.update(list);
-        if (asked || list.isFull() || !list.entries().isEmpty()) {
-            asked = false;
+        if (isResultExpected || list.isFull() || !list.entries().isEmpty()) {
+            isResultExpected = false;
             List<Upstream> entries =
                     list.entries().stream().map(UpstreamList.Entry::upstream).toList();
             decisions.call(
@@ -296,8 +306,8 @@
     private final class Handler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (call != 0 && ctx.channel() == channel) {
-                answered(response);
+            if (pendingPoll != 0 && ctx.channel() == channel) {
+                handleResponse(response);
             } else {
                 ctx.close();
             }
@@ -306,7 +316,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
-                failed(call, "the connection ended");
+                pollFailed(pendingPoll, "the connection was closed");
             }
         }
 
--- a/src/main/java/rushproxy/sidecar/IdleConnectionPool.java
+++ b/src/main/java/rushproxy/sidecar/IdleConnectionPool.java
@@ -4,16 +4,19 @@
 import java.util.ArrayDeque;
 import java.util.Iterator;
 
-/** The connections to one upstream that no call is on, the most recently used first. */
+/** The idle connections to one upstream, most recently used first. */
 final class IdleConnectionPool {
-    private final long idleUs;
-    private final long restUs;
+    private final long idleTimeoutUs;
+    private final long reuseDelayUs;
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
-    /** {@code idleUs}: one that was idle for so long is closed; {@code restUs}: one is used no earlier than this after an answer. */
-    IdleConnectionPool(long idleUs, long restUs) {
-        this.idleUs = idleUs;
-        this.restUs = restUs;
+    /**
+     * @param idleTimeoutUs idle time after which a connection is closed
+     * @param reuseDelayUs minimum time between a response and the next call on its connection
+     */
+    IdleConnectionPool(long idleTimeoutUs, long reuseDelayUs) {
+        this.idleTimeoutUs = idleTimeoutUs;
+        this.reuseDelayUs = reuseDelayUs;
     }
 
     boolean isEmpty() {
@@ -21,40 +24,40 @@
     }
 
     void add(Channel connection, long now) {
-        of(connection).idleSinceUs = now;
+        handlerOf(connection).idleSinceUs = now;
         connections.addFirst(connection);
     }
 
     /**
-     * The most recently used of those that have rested, so that the others grow old enough to be dropped; else the one whose
-     * rest ends first, which is sooner there than a new one. Null where there is none.
+     * Removes and returns the most recently used connection whose reuse delay is over, so that surplus connections reach the idle
+     * timeout. If there is none, the one whose delay ends first, which takes less time than a new connection. Null if the pool is empty.
      */
     Channel take(long now) {
-        Channel rests = null;
+        Channel delayed = null;
         for (Iterator<Channel> i = connections.iterator(); i.hasNext(); ) {
             Channel c = i.next();
-            if (!usable(c, now)) {
+            if (!isUsable(c, now)) {
                 i.remove();
                 UpstreamPool.close(c, CloseReason.IDLE_TOO_LONG);
             } else if (reuseDelayLeftUs(c, now) <= 0) {
                 i.remove();
                 return c;
             } else {
-                rests = c;
+                delayed = c;
             }
         }
-        connections.remove(rests);
-        return rests;
+        connections.remove(delayed);
+        return delayed;
     }
 
-    /** For how long this one, which was taken, has still to rest; 0 or less where it has rested. */
+    /** Remaining reuse delay of a connection that was taken; 0 or less if it is over. */
     long reuseDelayLeftUs(Channel connection, long now) {
-        return of(connection).idleSinceUs + restUs - now;
+        return handlerOf(connection).idleSinceUs + reuseDelayUs - now;
     }
 
-    /** Since when the one has been idle that has been so for longest; there must be one. */
+    /** Start of the longest idle period; the pool must not be empty. */
     long oldestIdleSinceUs() {
-        return of(connections.peekLast()).idleSinceUs;
+        return handlerOf(connections.peekLast()).idleSinceUs;
     }
 
     void closeOldest(CloseReason reason) {
@@ -69,7 +72,7 @@
 
     void closeExpired(long now) {
         connections.removeIf(c -> {
-            boolean drop = !usable(c, now);
+            boolean drop = !isUsable(c, now);
             if (drop) {
                 UpstreamPool.close(c, CloseReason.IDLE_TOO_LONG);
             }
@@ -77,11 +80,11 @@
         });
     }
 
-    private boolean usable(Channel c, long now) {
-        return c.isActive() && now - of(c).idleSinceUs < idleUs;
+    private boolean isUsable(Channel c, long now) {
+        return c.isActive() && now - handlerOf(c).idleSinceUs < idleTimeoutUs;
     }
 
-    private static UpstreamConnection of(Channel c) {
+    private static UpstreamConnection handlerOf(Channel c) {
         return c.pipeline().get(UpstreamConnection.class);
     }
 }
--- a/src/main/java/rushproxy/sidecar/UpstreamCall.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamCall.java
@@ -9,59 +9,61 @@
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Upstream;
 
-/** One message to an upstream, until its outcome. */
+/** One request message to an upstream, attempt or probe, up to its outcome. */
 final class UpstreamCall {
     final String upstreamId;
     long deadlineUs;
-    /** When the process may be killed; an answer that has stopped by then is broken off. */
+    /** When the process may be killed; a response that stalls beyond this is aborted. */
     long processEndUs = Long.MAX_VALUE;
-    /** Makes the message's head, told how long an answer is waited for. */
+    /** Makes the request head; its argument is the time left for the response, in microseconds. */
     final LongFunction<HttpRequest> headFactory;
-    /** Null where there is none. */
+    /** Null if the request has none. */
     final Body body;
 
     final CallListener listener;
     private final boolean isReportInBody;
     RunningTime.Mark sent;
-    /** When its upstream was given something to act on: a connection to accept, or a message on an old one; null before. */
+    /** When the upstream was first given work: a connection to accept, or a request on an open one; null before. */
     RunningTime.Mark dispatched;
 
     UpstreamTarget target;
     Channel channel;
     Future<?> timeout;
-    /** Connections that this machine has failed to open for it. */
+    /** Connects that failed locally. */
     int failedConnects;
-    /** It waits for its connection's rest to be over: its upstream has no part in that. */
+    /** Waiting for its connection's reuse delay to end; the upstream is not involved yet. */
     boolean awaitsReuseDelay;
-    /** Its first byte has been handed to a connection. */
+    /** The request has been passed to the connection; its first byte may not have been sent yet. */
     boolean isWriteStarted;
 
     long writeStartedUs;
+    /** The last byte of the request has been written. */
     boolean isWritten;
+
     boolean isEnded;
     private boolean mayHaveRun;
     private Outcome outcome;
-    /** Its body goes on coming while it is sent. */
+    /** The request body is forwarded while it is received. */
     boolean isBodyStreaming;
-    /** Its answer is being passed on. */
+    /** The response is being forwarded to the client. */
     boolean isResponseStreaming;
 
     UpstreamCall(
-            String upstream,
-            long untilUs,
-            boolean reportInBody,
-            LongFunction<HttpRequest> message,
+            String upstreamId,
+            long deadlineUs,
+            boolean isReportInBody,
+            LongFunction<HttpRequest> headFactory,
             Body body,
-            CallListener result) {
-        this.upstreamId = upstream;
-        this.deadlineUs = untilUs;
-        this.headFactory = message;
+            CallListener listener) {
+        this.upstreamId = upstreamId;
+        this.deadlineUs = deadlineUs;
+        this.headFactory = headFactory;
         this.body = body;
-        this.isReportInBody = reportInBody;
-        this.listener = result;
+        this.isReportInBody = isReportInBody;
+        this.listener = listener;
     }
 
-    /** True for a probe, whose answer's body is the load report. */
+    /** Whether the response body is the load report, as for a probe. */
     boolean isReportInBody() {
         return isReportInBody;
     }
@@ -70,7 +72,7 @@
         return isEnded;
     }
 
-    /** Null while it is out. */
+    /** Null until the call has ended. */
     Outcome outcome() {
         return outcome;
     }
@@ -91,27 +93,26 @@
         return isWritten;
     }
 
-    /** Its first byte is handed to its connection. */
     void markWriteStarted() {
         isWriteStarted = true;
     }
 
-    /** Whether a byte of it has left: the write of the first one may be failing for a moment. */
+    /** Whether any byte has been sent; the write of the first one may be failing temporarily. */
     private boolean hasSentBytes() {
         return isWriteStarted && !((TcpConnection) channel).waitsToBegin();
     }
 
-    /** Whether its upstream may work on it, or has. */
+    /** Whether the upstream may be processing the request or have processed it. */
     boolean mayHaveReachedUpstream() {
         return isWriteStarted && !isProvenNotRun();
     }
 
-    /** The upstream as the list had it when the call was begun; null before. */
+    /** The upstream as listed when the call was started; null before. */
     Upstream listedUpstream() {
         return target == null ? null : target.upstream;
     }
 
-    /** Whether it has ended in a way that proves that its upstream did nothing for it. */
+    /** Whether the call's outcome proves that the upstream did not process the request. */
     boolean isProvenNotRun() {
         return isEnded && !mayHaveRun;
     }
@@ -120,7 +121,7 @@
         return processEndUs;
     }
 
-    /** From now on its connection watches the deadline: the client has the answer as it comes. */
+    /** Starts forwarding the response; from now on the connection enforces the deadline. False if the response is not wanted. */
     boolean startResponseStreaming(long length, Runnable resume) {
         if (isEnded || !listener.onResponseStart(this, length, resume)) {
             return false;
@@ -132,11 +133,11 @@
         return true;
     }
 
-    boolean passResponsePart(ByteBuf piece) {
-        return isEnded || listener.onResponsePart(piece);
+    /** False to pause reading. */
+    boolean passResponsePart(ByteBuf part) {
+        return isEnded || listener.onResponsePart(part);
     }
 
-    /** The connection takes more, or takes no more for now. */
     void writabilityChanged() {
         if (isBodyStreaming && !isEnded) {
             body.look();
@@ -159,7 +160,7 @@
         listener.onEnd(this, outcome, report, body);
     }
 
-    /** Ends a call that gets no answer any more: a late one must find nobody, so its connection goes. */
+    /** Ends the call and closes its connection, so that a late response is not taken for that of another call. */
     void abandon(Outcome outcome) {
         if (!isEnded) {
             if (channel != null) {
@@ -173,10 +174,10 @@
         abandon(Outcome.CANCELLED);
     }
 
-    /** Nobody wants its answer any more: what has not begun to be sent is not sent. */
+    /** Ends the call as {@code NOT_SENT} unless part of the request has been sent. */
     void cancelIfUnsent() {
         if (!isEnded && !hasSentBytes()) {
-            // Told first: the end of a connection that is still coming up would be told as the upstream's failure.
+            // End the call before closing: closing a pending connection would be reported as a failure of the upstream.
             end(Outcome.NOT_SENT, null, null);
             if (channel != null) {
                 UpstreamPool.close(channel, CloseReason.CALL_ABANDONED);
@@ -184,12 +185,12 @@
         }
     }
 
-    /** The hinge of all outcomes: without its last byte written a request has never run. */
+    /** Ends the call on a connection failure. An upstream does not process a request before its last byte, so only then is it a reset. */
     void connectionFailed() {
         end(isWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
     }
 
-    /** Its time is over, and its upstream had too little of it to be judged by. */
+    /** Ends a call that has timed out without the upstream having had enough time for the timeout to count against it. */
     void endInconclusively() {
         end(isWritten ? Outcome.CANCELLED : Outcome.NOT_SENT, null, null);
         if (channel != null) {
--- a/src/main/java/rushproxy/sidecar/UpstreamConnection.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamConnection.java
@@ -23,44 +23,46 @@
 import rushproxy.Balancer.Outcome;
 
 /**
- * One connection to an upstream: one call at a time, and what comes back told as its outcome. A short answer is kept
- * until it is whole; a longer one is passed on piece by piece once it has begun.
+ * Handler of one connection to an upstream. Carries one call at a time and turns what is received into the call's outcome. A short
+ * response is buffered until it is complete; a longer one is streamed to the client.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** How often an answer of unknown length, or one that is passed on, is looked at. */
-    private static final long LOOK_US = 50_000;
-    /** What is read of an answer that is not passed on, to keep its connection. */
-    private static final int MOST_SKIPPED = 1 << 20;
-    /** Room for an answer of unknown length at first. */
-    private static final int FIRST_BYTES = 512;
+    /** Interval of the progress checks on a response that has no length or is being streamed. */
+    private static final long PROGRESS_CHECK_US = 50_000;
+    /** Bytes of a discarded response body that are read to keep the connection; beyond that it is closed. */
+    private static final int MAX_DISCARDED_BYTES = 1 << 20;
+    /** Initial buffer size for a response of unknown length. */
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     private final Budget budget;
     private final Clock clock;
     long idleSinceUs;
     private UpstreamCall call;
     private BiConsumer<UpstreamCall, Channel> release;
-    /** The head of the call's answer; null until it has come. */
+    /** The head of the current response; null until it has been received. */
     private HttpResponse head;
 
     private Outcome outcome;
-    /** What is kept of it; null where none is, or none any more. */
-    private ByteBuf kept;
+    /** The buffered response body; null if the response is streamed or discarded. */
+    private ByteBuf buffered;
+    /** Bytes taken from the budget for the buffer. */
+    private int reservedBytes;
 
-    private int reserved;
-    private long skipped;
-    private boolean passing;
-    /** It is too long to be kept, or there is no room for it: it is passed on with its first bytes. */
-    private boolean passesAtOnce;
-    /** All of the answer has been read, and perhaps more. */
-    private boolean whole;
+    private long discardedBytes;
+    private boolean isStreaming;
+    /** The response is too long for the buffer or the budget is used up: it is streamed from its first body bytes on. */
+    private boolean isUnbuffered;
+    /** The response has been read to its end; surplus bytes may follow. */
+    private boolean isComplete;
 
-    private boolean interim;
-    private boolean gaveUp;
-    /** Bytes read of the connection when it was last looked at. */
-    private long readBefore;
+    private boolean isInterim;
+    /** The connection is being closed; the rest of the current read is ignored. */
+    private boolean isAborted;
+    /** Bytes read from the connection up to the last completed read. */
+    private long previousReadBytes;
 
     private Future<?> timer;
-    /** Of the answer that is being read; null between answers. */
+    /** Progress of the current response; null between responses. */
     private AnswerProgress progress;
 
     UpstreamConnection(Budget budget, Clock clock) {
@@ -68,117 +70,118 @@
         this.clock = clock;
     }
 
-    void startCall(UpstreamCall next, BiConsumer<UpstreamCall, Channel> whenFree) {
-        call = next;
-        release = whenFree;
+    /** {@code release} is called when the response is complete and the connection can be reused. */
+    void startCall(UpstreamCall call, BiConsumer<UpstreamCall, Channel> release) {
+        this.call = call;
+        this.release = release;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-        if (gaveUp) {
-            // The rest of a read that was broken off.
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+        if (isAborted) {
             return;
         }
-        if (part.decoderResult().isFailure()) {
-            giveUp(ctx, CloseReason.NO_HTTP);
+        if (message.decoderResult().isFailure()) {
+            abort(ctx, CloseReason.NO_HTTP);
             return;
         }
-        if (part instanceof HttpResponse response) {
+        if (message instanceof HttpResponse response) {
             HttpResponseStatus status = response.status();
-            interim = status.codeClass() == HttpStatusClass.INFORMATIONAL;
+            isInterim = status.codeClass() == HttpStatusClass.INFORMATIONAL;
             if (status.equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                // Nobody asked for another protocol, and what follows is no HTTP.
-                giveUp(ctx, CloseReason.NO_HTTP);
-            } else if (!interim) {
-                headed(ctx, response);
+                // The upgrade was not requested, and what follows is not HTTP.
+                abort(ctx, CloseReason.NO_HTTP);
+            } else if (!isInterim) {
+                onResponseHead(ctx, response);
             }
         }
-        if (part instanceof HttpContent content && !interim) {
-            came(ctx, content.content());
-            if (content instanceof LastHttpContent && !gaveUp) {
-                whole = true;
+        if (message instanceof HttpContent content && !isInterim) {
+            onContent(ctx, content.content());
+            if (content instanceof LastHttpContent && !isAborted) {
+                isComplete = true;
             }
         }
     }
 
-    private void headed(ChannelHandlerContext ctx, HttpResponse response) {
-        Outcome told = outcome(response);
-        if (call == null || head != null || told == Outcome.OK && !call.isWritten()) {
-            // Nobody asked, asked no more than once, or not yet all: what else comes here can't be told apart.
-            giveUp(ctx, CloseReason.NOT_ASKED_FOR);
+    private void onResponseHead(ChannelHandlerContext ctx, HttpResponse response) {
+        Outcome result = outcome(response);
+        if (call == null || head != null || result == Outcome.OK && !call.isWritten()) {
+            // Unsolicited: no call, a second response, or success before the request was sent in full. What follows
+            // can't be attributed
+            // to a call.
+            abort(ctx, CloseReason.NOT_ASKED_FOR);
             return;
         }
         head = response;
-        outcome = told;
+        outcome = result;
         long length = HttpUtil.getContentLength(response, -1L);
-        int most = (int) (length < 0 || length > Body.KEPT ? Body.KEPT : length);
+        int maxBytes = (int) (length < 0 || length > Body.KEPT ? Body.KEPT : length);
         if (outcome != Outcome.OK) {
             return;
         }
         progress = new AnswerProgress(length, clock.now());
         if (call.isReportInBody()) {
-            kept = Unpooled.buffer(length < 0 ? FIRST_BYTES : most);
+            buffered = Unpooled.buffer(length < 0 ? INITIAL_BUFFER_BYTES : maxBytes);
             return;
         }
-        if (length > Body.KEPT || !budget.take(most)) {
-            // Passed on with its first bytes: until they come its request may still be answered otherwise.
-            passesAtOnce = true;
+        if (length > Body.KEPT || !budget.take(maxBytes)) {
+            // Streaming starts with the first body bytes; until then another attempt may still answer the request.
+            isUnbuffered = true;
             return;
         }
-        reserved = most;
-        kept = Unpooled.buffer(length < 0 ? FIRST_BYTES : most);
+        reservedBytes = maxBytes;
+        buffered = Unpooled.buffer(length < 0 ? INITIAL_BUFFER_BYTES : maxBytes);
         if (length < 0) {
-            timer = ctx.executor().schedule(() -> passIfItFlows(ctx), LOOK_US, TimeUnit.MICROSECONDS);
+            timer = ctx.executor().schedule(() -> checkStreaming(ctx), PROGRESS_CHECK_US, TimeUnit.MICROSECONDS);
         }
     }
 
-    private void came(ChannelHandlerContext ctx, ByteBuf piece) {
-        if (head == null || whole || !piece.isReadable()) {
+    private void onContent(ChannelHandlerContext ctx, ByteBuf part) {
+        if (head == null || isComplete || !part.isReadable()) {
             return;
         }
         if (progress != null) {
-            progress.moved(piece.readableBytes(), clock.now());
+            progress.moved(part.readableBytes(), clock.now());
         }
-        if (passing) {
-            give(ctx, piece);
-        } else if (passesAtOnce) {
-            passWith(ctx, piece);
-        } else if (kept == null) {
-            skipped += piece.readableBytes();
-            if (skipped > MOST_SKIPPED) {
-                giveUp(ctx, CloseReason.REMAINDER_TOO_LONG);
+        if (isStreaming) {
+            forward(ctx, part);
+        } else if (isUnbuffered) {
+            streamFrom(ctx, part);
+        } else if (buffered == null) {
+            discardedBytes += part.readableBytes();
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
+                abort(ctx, CloseReason.REMAINDER_TOO_LONG);
             }
-        } else if (kept.readableBytes() + piece.readableBytes() <= Body.KEPT) {
-            kept.writeBytes(piece);
+        } else if (buffered.readableBytes() + part.readableBytes() <= Body.KEPT) {
+            buffered.writeBytes(part);
         } else if (call.isReportInBody()) {
-            giveUp(ctx, CloseReason.REMAINDER_TOO_LONG);
+            abort(ctx, CloseReason.REMAINDER_TOO_LONG);
         } else {
-            passWith(ctx, piece);
+            streamFrom(ctx, part);
         }
     }
 
-    private void passWith(ChannelHandlerContext ctx, ByteBuf piece) {
-        pass(ctx);
-        if (passing) {
-            give(ctx, piece);
+    private void streamFrom(ChannelHandlerContext ctx, ByteBuf part) {
+        startStreaming(ctx);
+        if (isStreaming) {
+            forward(ctx, part);
         }
     }
 
-    /** One that stands still is kept: for as long as nothing of it was passed on its request can be answered otherwise. */
-    private void passIfItFlows(ChannelHandlerContext ctx) {
-        if (call == null || head == null || whole || passing || kept == null) {
+    /** Streams a response of unknown length while it makes progress; one that stalls stays buffered, so another attempt can answer. */
+    private void checkStreaming(ChannelHandlerContext ctx) {
+        if (call == null || head == null || isComplete || isStreaming || buffered == null) {
             return;
         }
         if (progress.flows(clock.now())) {
-            pass(ctx);
+            startStreaming(ctx);
         } else {
-            timer = ctx.executor().schedule(() -> passIfItFlows(ctx), LOOK_US, TimeUnit.MICROSECONDS);
+            timer = ctx.executor().schedule(() -> checkStreaming(ctx), PROGRESS_CHECK_US, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Nothing more is taken from here. */
-    private void giveUp(ChannelHandlerContext ctx, CloseReason reason) {
-        gaveUp = true;
+    private void abort(ChannelHandlerContext ctx, CloseReason reason) {
+        isAborted = true;
         close(ctx, reason);
     }
 
@@ -187,92 +190,92 @@
         ctx.close();
     }
 
-    /** From here on the answer is the client's. */
-    private void pass(ChannelHandlerContext ctx) {
+    /** Starts forwarding the response to the client, beginning with what has been buffered. */
+    private void startStreaming(ChannelHandlerContext ctx) {
         long length = HttpUtil.getContentLength(head, -1L);
-        ByteBuf first = kept;
-        kept = null;
+        ByteBuf prefix = buffered;
+        buffered = null;
         if (!call.startResponseStreaming(length, () -> ctx.channel().config().setAutoRead(true))) {
-            // Another attempt was faster, or the client has left: this one is answered, and nobody wants the rest.
+            // Another attempt was faster or the client has disconnected. The upstream did answer, so the outcome is OK.
             UpstreamCall current = call;
             call = null;
-            settle();
-            giveUp(ctx, CloseReason.NOT_WANTED);
+            reset();
+            abort(ctx, CloseReason.NOT_WANTED);
             current.end(Outcome.OK, null, Unpooled.EMPTY_BUFFER);
             return;
         }
-        passing = true;
+        isStreaming = true;
         stopTimer();
-        passesAtOnce = false;
-        watch(ctx);
-        if (first != null && first.isReadable()) {
-            give(ctx, first);
+        isUnbuffered = false;
+        scheduleStallCheck(ctx);
+        if (prefix != null && prefix.isReadable()) {
+            forward(ctx, prefix);
         }
     }
 
-    private void give(ChannelHandlerContext ctx, ByteBuf piece) {
-        if (!call.passResponsePart(piece)) {
+    private void forward(ChannelHandlerContext ctx, ByteBuf part) {
+        if (!call.passResponsePart(part)) {
             ctx.channel().config().setAutoRead(false);
         }
     }
 
-    /** The deadline of an answer that is being passed on is watched here, up to its last byte. */
-    private void watch(ChannelHandlerContext ctx) {
-        long untilDueUs = call.deadlineUs() - clock.now();
-        long nextUs = untilDueUs > 0 ? Math.min(LOOK_US, untilDueUs) : LOOK_US;
-        timer = ctx.executor().schedule(() -> lookIfStopped(ctx), nextUs, TimeUnit.MICROSECONDS);
+    /** A streamed response is checked for stalls here up to its last byte, as the call's own timeout has been cancelled. */
+    private void scheduleStallCheck(ChannelHandlerContext ctx) {
+        long leftUs = call.deadlineUs() - clock.now();
+        long delayUs = leftUs > 0 ? Math.min(PROGRESS_CHECK_US, leftUs) : PROGRESS_CHECK_US;
+        timer = ctx.executor().schedule(() -> checkStall(ctx), delayUs, TimeUnit.MICROSECONDS);
     }
 
-    private void lookIfStopped(ChannelHandlerContext ctx) {
-        if (!passing) {
+    private void checkStall(ChannelHandlerContext ctx) {
+        if (!isStreaming) {
             return;
         }
-        if (!stopped(ctx)) {
-            watch(ctx);
+        if (!isStalled(ctx)) {
+            scheduleStallCheck(ctx);
             return;
         }
-        AnswerProgress of = progress;
-        // After a hold-up of the loop more of it may lie in the socket.
+        AnswerProgress checked = progress;
+        // After a delay of the event loop unread data may be waiting in the socket.
         SocketLook.before((EventLoop) ctx.executor(), () -> {
-            if (progress != of || !ctx.channel().isActive()) {
+            if (progress != checked || !ctx.channel().isActive()) {
                 return;
             }
-            if (stopped(ctx)) {
+            if (isStalled(ctx)) {
                 close(ctx, CloseReason.STALLED);
             } else {
-                watch(ctx);
+                scheduleStallCheck(ctx);
             }
         });
     }
 
-    private boolean stopped(ChannelHandlerContext ctx) {
+    private boolean isStalled(ChannelHandlerContext ctx) {
         long now = clock.now();
         progress.heldBack(!ctx.channel().config().isAutoRead(), now);
         return progress.hasStopped(now, call.deadlineUs(), call.processEndUs());
     }
 
     /**
-     * Only now is it known whether more came than the answer. The next call may begin as soon as this one has ended,
-     * and would take what is left over for its own answer: a connection that brought more is closed first.
+     * Ends the call only after the whole read, when surplus bytes are known. The next call may start as soon as this one has ended and
+     * would take them for its own response, so a connection with surplus bytes is closed first.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         long read = ((TcpConnection) ctx.channel()).history().readBytes();
-        boolean any = read > readBefore;
-        readBefore = read;
-        if (!whole) {
-            // A read that failed for a moment brought nothing.
-            if (call == null && any) {
+        boolean hasRead = read > previousReadBytes;
+        previousReadBytes = read;
+        if (!isComplete) {
+            // Unsolicited data. A read that failed temporarily has read nothing.
+            if (call == null && hasRead) {
                 close(ctx, CloseReason.NOT_ASKED_FOR);
             }
             return;
         }
         HttpResponse response = head;
-        Outcome told = outcome;
-        ByteBuf body = passing || kept == null ? Unpooled.EMPTY_BUFFER : kept;
+        Outcome result = outcome;
+        ByteBuf body = isStreaming || buffered == null ? Unpooled.EMPTY_BUFFER : buffered;
         UpstreamCall current = call;
         call = null;
-        settle();
+        reset();
         if (HttpUtil.isKeepAlive(response)
                 && ctx.pipeline().get(UpstreamResponseDecoder.class).isBetweenResponses()) {
             ctx.channel().config().setAutoRead(true);
@@ -284,20 +287,20 @@
                 current.isReportInBody()
                         ? body.toString(StandardCharsets.UTF_8)
                         : response.headers().get(Headers.LOAD));
-        current.end(told, report, told == Outcome.OK ? body : null);
+        current.end(result, report, result == Outcome.OK ? body : null);
     }
 
-    /** Nothing of an answer is held any more. */
-    private void settle() {
+    /** Drops the state of the current response and returns its reservation to the budget. */
+    private void reset() {
         head = null;
-        kept = null;
-        passing = whole = passesAtOnce = false;
+        buffered = null;
+        isStreaming = isComplete = isUnbuffered = false;
         progress = null;
-        skipped = 0;
+        discardedBytes = 0;
         stopTimer();
-        int back = reserved;
-        reserved = 0;
-        budget.give(back);
+        int releasedBytes = reservedBytes;
+        reservedBytes = 0;
+        budget.give(releasedBytes);
     }
 
     private void stopTimer() {
@@ -325,26 +328,25 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (whole) {
-            // Closed within the read that brought it: by a second answer, after which the first still stands.
+        if (isComplete) {
+            // Closed by a second response within the same read; the first one is still valid.
             channelReadComplete(ctx);
         }
-        broke();
+        connectionLost();
     }
 
-    /** No HTTP, or a connection that broke: in each case the call is over, and what has come of an answer without a
-     * length is not the whole of it. */
+    /** A protocol or I/O error ends the call; a response without a length is then incomplete. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        whole = false;
+        isComplete = false;
         close(ctx, cause instanceof IOException ? CloseReason.PEER_ENDED : CloseReason.FAILED);
-        broke();
+        connectionLost();
     }
 
-    private void broke() {
+    private void connectionLost() {
         UpstreamCall current = call;
         call = null;
-        settle();
+        reset();
         if (current != null) {
             current.connectionFailed();
         }
--- a/src/main/java/rushproxy/sidecar/UpstreamPool.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamPool.java
@@ -24,25 +24,28 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** Connections to the upstreams, and the calls on them: attempts and probes. */
+/**
+ * Connection pool for all upstreams. Runs calls (attempts of requests, and probes) on idle or new connections. Confined to the event
+ * loop.
+ */
 final class UpstreamPool {
-    /** Idle connections are dropped this much before an upstream may drop them: a request then can't cross it. */
+    /** Idle connections are closed this long before the upstream may close them, so that no request crosses its FIN. */
     private static final long IDLE_MARGIN_US = 2_000_000;
     /**
-     * A second answer may come some milliseconds after the first. To whatever call is out by then it would
-     * be the answer; on a connection that rests it is one that
-     * nobody asked for, and ends it.
+     * Delay before a connection is reused after a response. A faulty upstream may send a duplicate response a few milliseconds
+     * later: during the delay it is recognized as unsolicited and the connection is closed; afterwards it would be taken for the
+     * response to the next call.
      */
     static final long REUSE_DELAY_US = 6_000;
 
     private static final long IDLE_SWEEP_MS = 1_000;
-    /** A connection that this machine fails to open is tried so often, a few milliseconds apart. */
+    /** Connect attempts that fail locally (no descriptors or ports) before the call ends; they are a few milliseconds apart. */
     private static final int MAX_CONNECT_TRIES = 12;
-    /** A first byte that can't be written for so long is not written any more: its message tells a time that runs on. */
+    /** A request whose first byte can't be written for this long is dropped: the remaining time in its head is out of date. */
     private static final long MAX_FIRST_BYTE_DELAY_US = 50_000;
-    /** What allowed a first byte so short a time ago need not be asked again. */
+    /** Permission to send is not checked again within this time. */
     private static final long SEND_CHECK_VALID_US = 1_000;
-    /** A connection that had less time to come up, since its call's was over, says nothing of its upstream. */
+    /** A connect that was cut off by its call's deadline earlier than this is no evidence against the upstream. */
     private static final long MIN_CONCLUSIVE_CONNECT_US = 20_000;
 
     private final EventLoop loop;
@@ -55,34 +58,38 @@
     private final IntSupplier maxConnections;
     private final Bootstrap bootstrap;
     private final Map<String, UpstreamTarget> targets = new HashMap<>();
-    /** Left out by the operators, whatever the list says. */
+    /** Ids of upstreams that operators have cordoned; overrides the discovery list. */
     private final Set<String> cordoned = new HashSet<>();
 
     private final Future<?> sweep;
     private int openConnections;
 
-    /** {@code reuseDelayUs}: connections are used again no earlier than this after an answer. */
+    /**
+     * @param connIdleUs idle timeout of the upstreams
+     * @param reuseDelayUs minimum time between a response and the next call on its connection
+     * @param maxConnections current limit on open connections
+     */
     UpstreamPool(
             EventLoop loop,
             RunningTime time,
             long connIdleUs,
-            long restUs,
-            long dialTimeoutUs,
+            long reuseDelayUs,
+            long connectTimeoutUs,
             IntSupplier maxConnections,
             Budget budget) {
         this.loop = loop;
         this.time = time;
         timeouts = new TimeOuts(loop, time);
         this.clock = time.clock();
-        this.reuseDelayUs = restUs;
-        this.connectTimeoutUs = dialTimeoutUs;
+        this.reuseDelayUs = reuseDelayUs;
+        this.connectTimeoutUs = connectTimeoutUs;
         this.maxConnections = maxConnections;
         idleTimeoutUs = Math.max(connIdleUs / 2, connIdleUs - IDLE_MARGIN_US);
         bootstrap = OutboundConnector.streamingBootstrap(loop, () -> new UpstreamConnection(budget, clock));
         sweep = Recurring.every(loop, IDLE_SWEEP_MS, this::closeExpiredIdle);
     }
 
-    /** Connections to what drained, went or is now another process are of no more use. */
+    /** Applies a discovery list; closes idle connections to upstreams that drain, are gone or have been replaced by another process. */
     void update(UpstreamList list) {
         Set<String> named = new HashSet<>();
         for (UpstreamList.Entry e : list.entries()) {
@@ -111,7 +118,7 @@
         }
     }
 
-    /** No call is to be started any more. */
+    /** Closes all idle connections; no call can be started afterwards. */
     void shutDown() {
         sweep.cancel(false);
         targets.values().forEach(this::retire);
@@ -121,12 +128,13 @@
         return openConnections;
     }
 
+    /** Whether any upstream is listed as ready and not cordoned. */
     boolean hasAvailable() {
         return targets.entrySet().stream()
                 .anyMatch(e -> e.getValue().state == UpstreamState.READY && !cordoned.contains(e.getKey()));
     }
 
-    /** Those listed as ready that the operators don't leave out. */
+    /** Upstreams that are listed as ready and not cordoned. */
     List<Upstream> available() {
         return targets.entrySet().stream()
                 .filter(e -> e.getValue().state == UpstreamState.READY && !cordoned.contains(e.getKey()))
@@ -134,14 +142,14 @@
                 .toList();
     }
 
-    /** Whether the list names it, or has named it since the whole list came. */
+    /** Whether the upstream is in the current list, also as draining or gone. */
     boolean isListed(String id) {
         return targets.containsKey(id);
     }
 
-    /** What runs there ends by itself; nothing new begins, and what has been idle would meet another process. */
-    void setCordoned(String id, boolean out) {
-        if (out) {
+    /** Calls in progress finish; no new ones start. Idle connections are closed, as the process behind them may be replaced. */
+    void setCordoned(String id, boolean isCordoned) {
+        if (isCordoned) {
             cordoned.add(id);
         } else {
             cordoned.remove(id);
@@ -169,13 +177,14 @@
         t.idleConnections.closeAll(CloseReason.UPSTREAM_LEAVES);
     }
 
-    void closeIdle(String upstream) {
-        UpstreamTarget t = targets.get(upstream);
+    void closeIdle(String upstreamId) {
+        UpstreamTarget t = targets.get(upstreamId);
         if (t != null) {
             closeIdle(t);
         }
     }
 
+    /** Sends the call on an idle connection or opens one; the call ends as {@code NOT_SENT} where neither is possible. */
     void start(UpstreamCall call) {
         long now = clock.now();
         markSent(call);
@@ -191,16 +200,16 @@
             return;
         }
         call.channel = channel;
-        long restsUs = call.target.idleConnections.reuseDelayLeftUs(channel, now);
-        if (restsUs <= 0) {
+        long delayUs = call.target.idleConnections.reuseDelayLeftUs(channel, now);
+        if (delayUs <= 0) {
             write(call);
         } else {
             call.awaitsReuseDelay = true;
-            loop.schedule(() -> reuseDelayOver(call), restsUs, TimeUnit.MICROSECONDS);
+            loop.schedule(() -> reuseDelayOver(call), delayUs, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** The rest of its connection is over, or what came meanwhile has ended it. */
+    /** Sends the call, on a new connection if its own was closed during the reuse delay. */
     private void reuseDelayOver(UpstreamCall call) {
         call.awaitsReuseDelay = false;
         if (call.isEnded) {
@@ -212,27 +221,27 @@
         }
     }
 
-    /** The process may be killed after this: nothing that stands still then is waited for. */
-    void setProcessEnd(UpstreamCall call, long endUs) {
-        call.processEndUs = endUs;
+    /** Sets when the process may be killed; a response that stalls is not waited for beyond that. */
+    void setProcessEnd(UpstreamCall call, long processEndUs) {
+        call.processEndUs = processEndUs;
     }
 
-    /** An answer is waited for until then; one that is being passed on may go on, but not stop. */
-    void setDeadline(UpstreamCall call, long untilUs) {
+    /** Sets the time by which the response must start. A response that is being streamed may take longer, but must not stall. */
+    void setDeadline(UpstreamCall call, long deadlineUs) {
         if (call.isEnded) {
             return;
         }
-        call.deadlineUs = untilUs;
+        call.deadlineUs = deadlineUs;
         if (call.isResponseStreaming) {
             return;
         }
         if (call.timeout != null) {
             call.timeout.cancel(false);
         }
-        call.timeout = timeouts.at(untilUs, () -> readNow(call), () -> timedOut(call));
+        call.timeout = timeouts.at(deadlineUs, () -> readNow(call), () -> timedOut(call));
     }
 
-    /** Reads what lies in the call's socket; false where it is not up, or can't be read now. */
+    /** Reads the data available on the call's socket; false if it is not connected or can't be read now. */
     boolean readNow(UpstreamCall call) {
         if (call.isEnded) {
             return true;
@@ -257,22 +266,23 @@
         }
     }
 
-    /** Whether most of the time that has passed since the call was sent was its upstream's, and none of this process's hold-ups. */
+    /** Whether the upstream had most of the call's time, not counting delays of this process's event loop. */
     private boolean isTimeoutConclusive(UpstreamCall call) {
-        boolean upAndUnused = !call.isWriteStarted && call.channel != null && call.channel.isActive();
-        if (call.dispatched == null || upAndUnused) {
+        boolean isConnectedUnused = !call.isWriteStarted && call.channel != null && call.channel.isActive();
+        if (call.dispatched == null || isConnectedUnused) {
             return false;
         }
-        long offeredUs = time.runningUs(call.dispatched);
-        return 2 * offeredUs >= time.passedUs(call.sent) && (call.isWritten || offeredUs >= MIN_CONCLUSIVE_CONNECT_US);
+        long dispatchedUs = time.runningUs(call.dispatched);
+        return 2 * dispatchedUs >= time.passedUs(call.sent)
+                && (call.isWritten || dispatchedUs >= MIN_CONCLUSIVE_CONNECT_US);
     }
 
-    /** The call counts as sent from now on. */
+    /** Starts the call's latency measurement. */
     void markSent(UpstreamCall call) {
         call.setSent(time.mark());
     }
 
-    /** For how long the call has been out, without this process's own hold-ups. */
+    /** Time since the call was sent, less the delays of this process's event loop. */
     long latencyUs(UpstreamCall call) {
         return time.runningUs(call.sent);
     }
@@ -292,7 +302,7 @@
                 bootstrap, loop, call.target.address, connectTimeoutUs, failure -> connectCompleted(call, failure));
     }
 
-    /** {@code failure} is null where the connection is up; it then counts until it is closed. */
+    /** {@code failure} is null if the connection is established; it then counts as open until it is closed. */
     private void connectCompleted(UpstreamCall call, Throwable failure) {
         if (failure == null) {
             call.channel.closeFuture().addListener(closed -> openConnections--);
@@ -304,12 +314,12 @@
         } else if (!call.isEnded && failure != null) {
             connectFailed(call, failure);
         } else if (!call.isEnded) {
-            // What came while the connection did is looked at first: the client's end, or news of the list.
+            // First process input that arrived meanwhile, such as the client's disconnect or a list update.
             SocketLook.before(loop, () -> connected(call));
         }
     }
 
-    /** What this machine fails, as for want of descriptors or ports, is tried again; it is no fault of the upstream's. */
+    /** Retries local failures, such as a lack of descriptors or ports; they are not attributed to the upstream. */
     private void connectFailed(UpstreamCall call, Throwable failure) {
         if (failure instanceof ConnectTimeoutException && time.mostlyHeldUp(call.dispatched)) {
             call.end(Outcome.NOT_SENT, null, null);
@@ -332,17 +342,17 @@
         if (call.isEnded) {
             close(call.channel, CloseReason.CALL_ENDED_BEFORE);
         } else if (!call.channel.isActive()) {
-            // Closed as soon as it was up.
+            // The upstream closed it right after accepting.
             call.connectionFailed();
         } else if (clock.now() >= call.deadlineUs) {
-            // It is up: what took too long was not its upstream.
+            // The upstream accepted, so the delay can't be attributed to it.
             call.endInconclusively();
         } else {
             write(call);
         }
     }
 
-    /** False where no connection is idle. */
+    /** Closes the connection that has been idle longest; false if none is idle. */
     boolean closeOldestIdle() {
         UpstreamTarget oldest = null;
         for (UpstreamTarget t : targets.values()) {
@@ -358,7 +368,10 @@
         return oldest != null;
     }
 
-    /** The one place at which a first byte is sent: the list, a window or the client may have changed on the way here. */
+    /**
+     * Writes the request. Every call passes here, so this is where the list, the retry window and the client's presence are checked
+     * once more.
+     */
     private void write(UpstreamCall call) {
         if (!acceptsCall(call) || !call.listener.mayBegin(call)) {
             call.cancelIfUnsent();
@@ -411,8 +424,8 @@
     }
 
     /**
-     * Its first byte could not be written for a moment, or the process was held up on the way to it: what was asked before it is asked
-     * again. While writes fail the time that it tells grows old.
+     * Checked before each write of the first byte: if writes failed or the event loop was delayed, the conditions of {@link #write} may
+     * no longer hold, and the remaining time in the request's head may be out of date.
      */
     private boolean maySendFirstByte(UpstreamCall call) {
         if (call.isEnded) {
@@ -422,8 +435,8 @@
         if (waitedUs < SEND_CHECK_VALID_US) {
             return true;
         }
-        boolean tooOld = waitedUs >= MAX_FIRST_BYTE_DELAY_US && ((TcpConnection) call.channel).writesFail();
-        if (!tooOld && acceptsCall(call) && call.listener.mayBegin(call)) {
+        boolean isOutOfDate = waitedUs >= MAX_FIRST_BYTE_DELAY_US && ((TcpConnection) call.channel).writesFail();
+        if (!isOutOfDate && acceptsCall(call) && call.listener.mayBegin(call)) {
             return true;
         }
         call.cancelIfUnsent();
--- a/src/main/java/rushproxy/sidecar/UpstreamTarget.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamTarget.java
@@ -4,7 +4,7 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** An upstream as the list has it now; another address or start makes it another one. */
+/** A listed upstream and its idle connections; an entry with another address or start time is a different target. */
 final class UpstreamTarget {
     final InetSocketAddress address;
     final IdleConnectionPool idleConnections;
@@ -12,9 +12,9 @@
     UpstreamState state;
     private final long startedUs;
 
-    UpstreamTarget(UpstreamList.Entry entry, IdleConnectionPool idle) {
+    UpstreamTarget(UpstreamList.Entry entry, IdleConnectionPool idleConnections) {
         address = entry.address();
-        this.idleConnections = idle;
+        this.idleConnections = idleConnections;
         startedUs = entry.upstream().startedUs();
         upstream = entry.upstream();
     }
