--- a/src/main/java/rushproxy/sidecar/AdminCommandHandler.java
+++ b/src/main/java/rushproxy/sidecar/AdminCommandHandler.java
@@ -4,17 +4,17 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Carries out what the operators call for. */
+/** Carries out the commands of the administrative port. */
 final class AdminCommandHandler implements AdminServer.Commands {
     private final EventLoop loop;
     private final ClientServer clients;
     private final UpstreamPool upstreams;
-    /** Null where no part of it is on. */
+    /** Null if the fleet plane is off. */
     private final FleetPlane fleet;
 
     private final CordonStore cordons;
-    /** Whether this upstream has been called out or back before. */
-    private final Predicate<String> marked;
+    /** Whether an upstream is in the cordon store, listed or not. */
+    private final Predicate<String> hasCordonState;
 
     AdminCommandHandler(
             EventLoop loop,
@@ -22,29 +22,29 @@
             UpstreamPool upstreams,
             FleetPlane fleet,
             CordonStore cordons,
-            Predicate<String> marked) {
+            Predicate<String> hasCordonState) {
         this.loop = loop;
         this.clients = clients;
         this.upstreams = upstreams;
         this.fleet = fleet;
         this.cordons = cordons;
-        this.marked = marked;
+        this.hasCordonState = hasCordonState;
     }
 
     @Override
     public String notReadyReason() {
-        return clients.takesClients() ? null : "takes no clients";
+        return clients.takesClients() ? null : "not accepting clients";
     }
 
     @Override
     public void quiesce() {
-        Log.line("drains, as the operators ask");
+        Log.line("draining: requested by an operator");
         clients.drain();
     }
 
     @Override
     public void resume() {
-        Log.line("goes on, as the operators ask");
+        Log.line("accepting clients again: requested by an operator");
         clients.resume();
     }
 
@@ -74,9 +74,9 @@
     }
 
     @Override
-    public String setLimit(String name, String of, String most, String per) {
-        Log.line("limit " + name + " of " + of + ": " + most + " " + per + ", as the operators ask");
-        return fleet.setLimit(name, of, most, per);
+    public String setLimit(String name, String scope, String maximum, String unit) {
+        Log.line("limit " + name + " for " + scope + " set to " + maximum + " " + unit + ": requested by an operator");
+        return fleet.setLimit(name, scope, maximum, unit);
     }
 
     @Override
@@ -96,13 +96,13 @@
 
     @Override
     public String removeLimit(String name) {
-        Log.line("limit " + name + " is taken back, as the operators ask");
+        Log.line("limit " + name + " removed: requested by an operator");
         return fleet.removeLimit(name);
     }
 
-    private void setCordoned(String id, boolean out, Consumer<String> done) {
-        if (upstreams.isListed(id) || marked.test(id)) {
-            cordons.set(id, out, no -> loop.execute(() -> done.accept(no)));
+    private void setCordoned(String id, boolean isCordoned, Consumer<String> done) {
+        if (upstreams.isListed(id) || hasCordonState.test(id)) {
+            cordons.set(id, isCordoned, error -> loop.execute(() -> done.accept(error)));
         } else {
             done.accept("no such upstream");
         }
--- a/src/main/java/rushproxy/sidecar/AdminServer.java
+++ b/src/main/java/rushproxy/sidecar/AdminServer.java
@@ -21,18 +21,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The operators' address: one line to a connection, answered with one that begins with ACK or NAK. */
+/** The administrative port. A connection carries one command line and is answered with one line that starts with ACK or NAK. */
 final class AdminServer {
     private static final int MAX_LINE_BYTES = 256;
-    private static final String NOTHING_SHARED = "shares nothing";
-    /** Callers at once: their descriptors are among those kept back, so no crowd of clients can take them. */
+    private static final String SHARING_OFF = "fleet sharing is off";
+    /** The oldest connection is closed beyond this. Their descriptors are reserved, so clients can't exhaust them. */
     static final int MAX_CONNECTIONS = 16;
-    /** A caller that has not said its line by then has none to say. */
+    /** A connection without a complete line by then is refused. */
     private static final long LINE_TIMEOUT_MS = 2_000;
 
-    /** What can be asked for. {@code done} is told once, on the event loop, null for yes or else why not. */
+    private static final long ACCEPT_RETRY_DELAY_MS = 10;
+
+    /** The commands. {@code done} is called once on the event loop, with null on success, otherwise with the reason. */
     interface Commands {
-        /** Null once this process takes clients, else what it waits for. */
+        /** Null once this process accepts clients, otherwise the reason why it does not. */
         String notReadyReason();
 
         void quiesce();
@@ -43,39 +45,42 @@
 
         void uncordon(String id, Consumer<String> done);
 
-        /** Who is here, in one line of JSON; null where no view is kept. */
+        /** The members of the fleet, in one line of JSON; null if membership is off. */
         String membersJson();
 
-        /** What the fleet says of servers, and what is held of its limits; null where nothing is shared. */
+        /** The fleet's verdicts on upstreams; null if sharing is off. */
         String verdictsJson();
 
+        /** The shares of the fleet's limits; null if sharing is off. */
         String limitsJson();
 
-        /** Null for yes, else why not; asked only where {@link #limitsJson} is not null. */
-        String setLimit(String name, String of, String most, String per);
+        /** Returns null on success, otherwise the reason. Called only if {@link #limitsJson} is not null. */
+        String setLimit(String name, String scope, String maximum, String unit);
 
+        /** As {@link #setLimit}. */
         String removeLimit(String name);
 
-        /** What releases order; null where nothing is shared. */
+        /** The orders of releases; null if sharing is off. */
         String ordersJson();
 
-        /** What was counted for a release; asked only where {@link #ordersJson} is not null. */
+        /** The counts for a release. Called only if {@link #ordersJson} is not null. */
         String talliesJson(String release);
 
-        /** Release, epoch, step, state, weight, safe weight, selector. Null for yes, else why not; asked only where {@link #ordersJson} is not null. */
+        /**
+         * Takes release, epoch, step, state, weight, safe weight and selector. Returns null on success, otherwise the reason. Called
+         * only if {@link #ordersJson} is not null.
+         */
         String submitOrder(String[] words);
     }
 
     private final EventLoop loop;
-    private static final long ACCEPT_RETRY_DELAY_MS = 10;
-
     private final Commands commands;
-    /** In the order in which they came. */
+    /** Oldest first. */
     private final ArrayDeque<Channel> connections = new ArrayDeque<>();
 
-    AdminServer(EventLoop loop, Commands calls) {
+    AdminServer(EventLoop loop, Commands commands) {
         this.loop = loop;
-        this.commands = calls;
+        this.commands = commands;
     }
 
     InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
@@ -87,12 +92,13 @@
                 .group(loop)
                 .channelFactory(TcpListener::new)
                 .option(ChannelOption.SO_BACKLOG, 128)
-                // A caller may end its side with its line and still read the answer.
+                // A client may shut down its output after the line and still read the reply.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // A call is due within a second: the next accept must not wait for as long.
+                        // Replies are due within a second, so Netty's pause of a second after a failed accept is too
+                        // long.
                         ctx.channel().config().setAutoRead(false);
                         loop.schedule(
                                 () -> ctx.channel().config().setAutoRead(true),
@@ -121,11 +127,11 @@
                         new Session());
     }
 
-    /** {@code done} hears what is wrong, {@code tells} what was asked for. */
-    private void execute(String line, Consumer<String> done, Consumer<String> tells) {
+    /** {@code done} receives null or an error, {@code reply} the result of a query. */
+    private void execute(String line, Consumer<String> done, Consumer<String> reply) {
         String[] words = line.split(" ", -1);
-        boolean whole = Arrays.stream(words).noneMatch(String::isEmpty);
-        switch (whole ? words[0] + "/" + words.length : "") {
+        boolean isWellFormed = Arrays.stream(words).noneMatch(String::isEmpty);
+        switch (isWellFormed ? words[0] + "/" + words.length : "") {
             case "health/1" -> done.accept(commands.notReadyReason());
             case "quiesce/1" -> {
                 commands.quiesce();
@@ -137,84 +143,87 @@
             }
             case "cordon/2" -> commands.cordon(words[1], done);
             case "uncordon/2" -> commands.uncordon(words[1], done);
-            case "members/1" -> replyWith(commands.membersJson(), "keeps no view of members", done, tells);
-            case "verdicts/1" -> replyWith(commands.verdictsJson(), NOTHING_SHARED, done, tells);
-            case "limits/1" -> replyWith(commands.limitsJson(), NOTHING_SHARED, done, tells);
+            case "members/1" -> replyWith(commands.membersJson(), "fleet membership is off", done, reply);
+            case "verdicts/1" -> replyWith(commands.verdictsJson(), SHARING_OFF, done, reply);
+            case "limits/1" -> replyWith(commands.limitsJson(), SHARING_OFF, done, reply);
             case "limit/5" ->
                 done.accept(
                         commands.limitsJson() == null
-                                ? NOTHING_SHARED
+                                ? SHARING_OFF
                                 : commands.setLimit(words[1], words[2], words[3], words[4]));
-            case "orders/1" -> replyWith(commands.ordersJson(), NOTHING_SHARED, done, tells);
+            case "orders/1" -> replyWith(commands.ordersJson(), SHARING_OFF, done, reply);
             case "tallies/2" ->
                 replyWith(
                         commands.ordersJson() == null ? null : commands.talliesJson(words[1]),
-                        NOTHING_SHARED,
+                        SHARING_OFF,
                         done,
-                        tells);
+                        reply);
             case "order/8" ->
                 done.accept(
                         commands.ordersJson() == null
-                                ? NOTHING_SHARED
+                                ? SHARING_OFF
                                 : commands.submitOrder(Arrays.copyOfRange(words, 1, words.length)));
             case "unlimit/2" ->
-                done.accept(commands.limitsJson() == null ? NOTHING_SHARED : commands.removeLimit(words[1]));
-            default -> done.accept("no such call");
+                done.accept(commands.limitsJson() == null ? SHARING_OFF : commands.removeLimit(words[1]));
+            default -> done.accept("unknown command");
         }
     }
 
-    private static void replyWith(String view, String none, Consumer<String> done, Consumer<String> tells) {
-        if (view == null) {
-            done.accept(none);
+    private static void replyWith(String json, String error, Consumer<String> done, Consumer<String> reply) {
+        if (json == null) {
+            done.accept(error);
         } else {
-            tells.accept(view);
+            reply.accept(json);
         }
     }
 
-    /** One caller, until its answer. */
+    /** One connection, up to its reply. */
     private final class Session extends SimpleChannelInboundHandler<String> {
-        private Future<?> patience;
-        private boolean called;
+        private Future<?> timeout;
+        private boolean isAnswered;
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            patience = loop.schedule(() -> refuse(ctx, "no call came"), LINE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule(() -> refuse(ctx, "no command received"), LINE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            if (!called) {
-                called = true;
-                execute(line, no -> answer(ctx, no == null ? "ACK" : "NAK " + no), told -> answer(ctx, "ACK " + told));
+            if (!isAnswered) {
+                isAnswered = true;
+                execute(
+                        line,
+                        error -> answer(ctx, error == null ? "ACK" : "NAK " + error),
+                        json -> answer(ctx, "ACK " + json));
             }
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
-                refuse(ctx, "the call was not finished");
+                refuse(ctx, "incomplete command");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            refuse(ctx, "the line is too long");
+            refuse(ctx, "line too long");
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            patience.cancel(false);
+            timeout.cancel(false);
         }
 
         private void refuse(ChannelHandlerContext ctx, String why) {
-            if (!called) {
-                called = true;
+            if (!isAnswered) {
+                isAnswered = true;
                 answer(ctx, "NAK " + why);
             }
         }
 
         private void answer(ChannelHandlerContext ctx, String line) {
-            patience.cancel(false);
+            timeout.cancel(false);
             ctx.writeAndFlush(Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8))
                     .addListener(ChannelFutureListener.CLOSE);
         }
--- a/src/main/java/rushproxy/sidecar/CordonStore.java
+++ b/src/main/java/rushproxy/sidecar/CordonStore.java
@@ -21,128 +21,132 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the operators have called out and back, where the next process finds it: one file for an id, replaced as a
- * whole, so that neither a stop half way nor the other process of an upgrade can spoil more than it writes. Files are
- * touched on a thread of this class alone.
+ * Persists which upstreams operators have cordoned, for the next process and for the other process during an upgrade. There is one file
+ * per upstream, replaced atomically, so that neither a crash nor a concurrent writer can damage the state of another upstream. All file
+ * access happens on a thread of this class.
  */
 final class CordonStore implements AutoCloseable {
     private static final int VERSION = 1;
     private static final String PREFIX = "cordon-";
     private static final String SUFFIX = ".json";
-    /** A call at the other process counts here within the grace of half a second, also after a late look. */
+    /** A command to the other process must take effect here within half a second, also if a poll is late. */
     private static final long POLL_MS = 100;
-    /** Far more than are called out at once; a folder that holds more is not this program's. */
+    /** Far more than are cordoned at once; protects against a directory of another program. */
     private static final int MAX_FILES = 4_096;
 
     private static final int MAX_FILE_BYTES = 2_000;
 
-    /** Whether the upstream is left out, and since when it is so. */
+    /** Whether an upstream is cordoned, and since when by the wall clock. */
     record CordonState(boolean isCordoned, long changedAtMs) {}
 
-    /** A call back, and when this process saw it first, by its monotonic clock. */
+    /** An uncordon and the time at which this process first saw it, by the monotonic clock. */
     private record SeenUncordon(CordonState state, long seenNanos) {}
 
-    /** Null where nothing outlives the process. */
+    /** Null if state is not kept beyond the process. */
     private final Path directory;
-    /** A call back is forgotten after this long: the server is warm by then, whenever it started. */
+    /** An uncordon is deleted after this time, when the upstream's slow start is over in any case. */
     private final long uncordonRetentionMs;
 
-    private final Consumer<Map<String, CordonState>> changed;
-    private final LongSupplier nanos;
+    private final Consumer<Map<String, CordonState>> listener;
+    private final LongSupplier nanoTime;
     private final ScheduledExecutorService worker = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread thread = new Thread(work, "cordons");
         thread.setDaemon(true);
         return thread;
     });
     private Map<String, CordonState> states = new HashMap<>();
-    /** Calls back by their ids: each is forgotten some time after it was first seen here. */
+    /** Uncordons by upstream id; each is deleted some time after it was first seen here. */
     private final Map<String, SeenUncordon> uncordons = new HashMap<>();
-    /** Files that were said to be of no use, each once. */
+    /** Paths that a warning has been logged for; each is reported once. */
     private final Set<Path> reported = new HashSet<>();
 
-    /** {@code changed} is given all marks whenever one is another, on the store's thread. */
-    CordonStore(Path folder, long backMs, Consumer<Map<String, CordonState>> changed) {
-        this(folder, backMs, changed, System::nanoTime);
+    /** {@code listener} receives all states whenever one has changed, on the store's thread. */
+    CordonStore(Path directory, long uncordonRetentionMs, Consumer<Map<String, CordonState>> listener) {
+        this(directory, uncordonRetentionMs, listener, System::nanoTime);
     }
 
-    /** {@code nanos}: a monotonic clock. */
-    CordonStore(Path folder, long backMs, Consumer<Map<String, CordonState>> changed, LongSupplier nanos) {
-        this.nanos = nanos;
-        this.directory = folder;
-        this.uncordonRetentionMs = backMs;
-        this.changed = changed;
+    /** {@code nanoTime} is a monotonic clock. */
+    CordonStore(
+            Path directory,
+            long uncordonRetentionMs,
+            Consumer<Map<String, CordonState>> listener,
+            LongSupplier nanoTime) {
+        this.nanoTime = nanoTime;
+        this.directory = directory;
+        this.uncordonRetentionMs = uncordonRetentionMs;
+        this.listener = listener;
     }
 
-    /** What the process before left; from then on calls are taken and the other process's are noticed. */
+    /** Loads the states left by the previous process and starts polling for changes by another one. */
     void start() throws InterruptedException {
         try {
             worker.submit(this::poll).get();
         } catch (java.util.concurrent.ExecutionException e) {
-            Log.trouble("what was called out can't be read", e.getCause());
+            Log.trouble("can't read the stored cordons", e.getCause());
         }
         if (directory != null) {
             worker.scheduleWithFixedDelay(this::poll, POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** {@code done} is told on the store's thread, after {@code changed}: null when it is kept, else why not. */
-    void set(String id, boolean out, Consumer<String> done) {
+    /** Stores a state. {@code done} is called on the store's thread after the listener, with null on success, otherwise the reason. */
+    void set(String id, boolean isCordoned, Consumer<String> done) {
         worker.execute(() -> {
-            // The other process may have been called since the last look.
+            // The other process may have received a command since the last poll.
             poll();
             CordonState old = states.get(id);
-            if (old == null ? !out : old.isCordoned == out) {
+            if (old == null ? !isCordoned : old.isCordoned == isCordoned) {
                 done.accept(null);
                 return;
             }
-            CordonState mark = new CordonState(out, System.currentTimeMillis());
+            CordonState state = new CordonState(isCordoned, System.currentTimeMillis());
             try {
                 if (directory != null) {
-                    write(id, mark);
+                    write(id, state);
                 }
             } catch (IOException e) {
-                Log.warn("can't keep a call of the operators: " + e);
-                done.accept("it can't be kept");
+                Log.warn("can't store a cordon command: " + e);
+                done.accept("the command can't be stored");
                 return;
             }
-            Map<String, CordonState> now = new HashMap<>(states);
-            now.put(id, mark);
-            replaceStates(now);
+            Map<String, CordonState> updated = new HashMap<>(states);
+            updated.put(id, state);
+            replaceStates(updated);
             done.accept(null);
         });
     }
 
-    private void replaceStates(Map<String, CordonState> now) {
-        if (!now.equals(states)) {
-            states = now;
-            changed.accept(Map.copyOf(now));
+    private void replaceStates(Map<String, CordonState> updated) {
+        if (!updated.equals(states)) {
+            states = updated;
+            listener.accept(Map.copyOf(updated));
         }
     }
 
-    private void write(String id, CordonState mark) throws IOException {
+    private void write(String id, CordonState state) throws IOException {
         Files.createDirectories(directory);
         String text = JSON.std.asString(
-                Map.of("version", VERSION, "id", id, "out", mark.isCordoned, "atMs", mark.changedAtMs));
+                Map.of("version", VERSION, "id", id, "out", state.isCordoned, "atMs", state.changedAtMs));
         String name =
                 UUID.nameUUIDFromBytes(id.getBytes(StandardCharsets.UTF_8)).toString();
-        // Both processes may write at once: each has a file of its own until it takes the place of the old one.
-        Path fresh = Files.createTempFile(directory, "new-", SUFFIX);
+        // Both processes may write at once: each writes its own temporary file and renames it.
+        Path temporary = Files.createTempFile(directory, "new-", SUFFIX);
         try {
-            Files.writeString(fresh, text);
-            Files.move(fresh, directory.resolve(PREFIX + name + SUFFIX), StandardCopyOption.ATOMIC_MOVE);
+            Files.writeString(temporary, text);
+            Files.move(temporary, directory.resolve(PREFIX + name + SUFFIX), StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            Files.deleteIfExists(fresh);
+            Files.deleteIfExists(temporary);
             throw e;
         }
     }
 
-    /** A folder that can't be written for a while keeps nothing from being noticed; the next look tries again. */
-    private void rewrite(String id, CordonState mark) {
+    /** Writes a missing state file. A failure is logged once and does not interrupt polling; the next poll tries again. */
+    private void rewrite(String id, CordonState state) {
         try {
-            write(id, mark);
+            write(id, state);
         } catch (IOException e) {
             if (reported.add(directory.resolve(id))) {
-                Log.warn("can't keep a call of the operators for now: " + e);
+                Log.warn("can't restore a cordon file, will retry: " + e);
             }
         }
     }
@@ -153,7 +157,7 @@
         }
         try {
             Map<String, CordonState> found = readFiles();
-            // A call back leaves a file too: where there is none any more, or a spoilt one, the call out still holds.
+            // An uncordon leaves a file as well, so an upstream whose file is missing or corrupt is still cordoned.
             for (Map.Entry<String, CordonState> e : states.entrySet()) {
                 if (e.getValue().isCordoned && !found.containsKey(e.getKey())) {
                     found.put(e.getKey(), e.getValue());
@@ -163,26 +167,26 @@
             replaceStates(found);
         } catch (IOException | DirectoryIteratorException e) {
             if (reported.add(directory)) {
-                Log.warn("can't read what was called out: " + e);
+                Log.warn("can't read the cordon directory: " + e);
             }
         } catch (RuntimeException e) {
-            // The look that fails must not be the last one.
-            Log.trouble("a look at what was called out failed", e);
+            // An exception would cancel all further polls.
+            Log.trouble("polling the cordon directory failed", e);
         }
     }
 
-    /** By the monotonic clock: a step of the wall clock must not make a call back old, nor keep it for ever. */
-    private boolean isRetained(String id, CordonState mark) {
-        SeenUncordon back = uncordons.get(id);
-        if (back == null || !back.state.equals(mark)) {
-            back = new SeenUncordon(mark, nanos.getAsLong());
-            uncordons.put(id, back);
+    /** Whether an uncordon is still within its retention time. Uses the monotonic clock, as the wall clock may be stepped. */
+    private boolean isRetained(String id, CordonState state) {
+        SeenUncordon seen = uncordons.get(id);
+        if (seen == null || !seen.state.equals(state)) {
+            seen = new SeenUncordon(state, nanoTime.getAsLong());
+            uncordons.put(id, seen);
         }
-        boolean fresh = nanos.getAsLong() - back.seenNanos < TimeUnit.MILLISECONDS.toNanos(uncordonRetentionMs);
-        if (!fresh) {
+        boolean isRetained = nanoTime.getAsLong() - seen.seenNanos < TimeUnit.MILLISECONDS.toNanos(uncordonRetentionMs);
+        if (!isRetained) {
             uncordons.remove(id);
         }
-        return fresh;
+        return isRetained;
     }
 
     private Map<String, CordonState> readFiles() throws IOException {
@@ -195,30 +199,29 @@
                 }
                 try {
                     if (Files.size(file) > MAX_FILE_BYTES) {
-                        throw new IllegalArgumentException("it is too long");
+                        throw new IllegalArgumentException("file too long");
                     }
                     Json json = Json.parse(Files.readAllBytes(file));
                     if (json.number("version") != VERSION) {
-                        throw new IllegalArgumentException("version " + json.number("version"));
+                        throw new IllegalArgumentException("unsupported version " + json.number("version"));
                     }
-                    CordonState mark = new CordonState(json.flag("out"), json.number("atMs"));
+                    CordonState state = new CordonState(json.flag("out"), json.number("atMs"));
                     String id = json.text("id");
-                    if (mark.isCordoned || isRetained(id, mark)) {
-                        found.put(id, mark);
+                    if (state.isCordoned || isRetained(id, state)) {
+                        found.put(id, state);
                     } else {
                         Files.deleteIfExists(file);
                     }
                 } catch (NoSuchFileException e) {
-                    // The other process has just deleted what is forgotten.
+                    // The other process has just deleted the expired file.
                 } catch (IOException | IllegalArgumentException e) {
                     if (reported.add(file)) {
-                        Log.warn("a kept file is of no use, and is left aside: " + file.getFileName() + ": "
-                                + e.getMessage());
+                        Log.warn("ignoring an invalid cordon file: " + file.getFileName() + ": " + e.getMessage());
                     }
                 }
             }
         } catch (NoSuchFileException e) {
-            // Nothing was ever called out here.
+            // No command was ever stored.
         }
         return found;
     }
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -28,47 +28,52 @@
 import rushproxy.fleet.shared.WarmStart;
 
 /**
- * Hosts the fleet plane on the event loop, which owns it, from {@link #start} to {@link #leave}: hands it the time and its
- * datagrams, and the module what it has found out.
+ * Runs the fleet plane (membership, shared verdicts and limits, releases) on the event loop from {@link #start} to {@link #leave}.
+ * Supplies it with the time and with datagrams, and reports its results to the module.
  */
 final class FleetPlane implements Host, Peers.FleetListener {
-    private static final int VERSION = 1;
-    private static final int PART_MEMBERS = 1;
-    private static final int PART_SHARED = 2;
-    private static final long TELL_US = 1_000_000;
-    private static final long SNAPSHOT_US = 5_000_000;
-    /** What the module was told counts for so long: two tellings may be missed. */
-    private static final long COUNTS_US = 3_000_000;
+    private static final int PROTOCOL_VERSION = 1;
+    /** Flags of the features that a member announces. */
+    private static final int FEATURE_MEMBERS = 1;
+
+    private static final int FEATURE_SHARED = 2;
+    private static final long REPORT_INTERVAL_US = 1_000_000;
+    private static final long SNAPSHOT_INTERVAL_US = 5_000_000;
+    /** How long a report to the module is valid: two of them may be missed. */
+    private static final long REPORT_VALID_US = 3_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Peers peers;
     private final Decisions decisions;
     private final Config config;
-    /** The servers that may be used now. */
+    /** The upstreams that are available now. */
     private final Supplier<List<Balancer.Upstream>> servers;
 
     private Membership members;
-    /** Null, with all that follows, where nothing is shared. */
+    /** This and the fields up to {@code warmStart} are null if state is not shared. */
     private Store store;
 
     private Verdicts verdicts;
     private Limits limits;
     private Orders orders;
     private Watch watch;
-    private boolean weighed;
-    private WarmStart warm;
-    private boolean warmed;
-    private Runnable whenWarm = () -> {};
-    /** Null where nothing outlives the process. */
+    private WarmStart warmStart;
+
+    private boolean hasWeights;
+    private boolean isWarmStartOver;
+    private Runnable warmStartCallback = () -> {};
+    /** Null if there is no directory for state that outlives the process. */
     private LearnedStateSnapshot snapshot;
 
-    private long snapshotUs;
+    private long nextSnapshotUs;
     private List<Verdicts.Case> cases = List.of();
-    private long sharedUs;
-    private long limitsUs;
-    private View told;
-    private long tellUs;
+    private long nextShareUs;
+    private long nextLimitsUs;
+    /** The view last reported to the module. */
+    private View reportedView;
+
+    private long nextReportUs;
     private Future<?> ticks;
 
     FleetPlane(
@@ -87,53 +92,62 @@
     }
 
     void start() {
-        Balancer.Settings s = config.settings();
-        int taken = PeerWord.length(s.zones().size(), s.kinds().size());
+        Balancer.Settings settings = config.settings();
+        int reservedLength =
+                PeerWord.length(settings.zones().size(), settings.kinds().size());
         members = new Membership(
                 new Membership.Self(
                         config.name(),
-                        s.me(),
+                        settings.me(),
                         config.peers().size(),
-                        Math.max(0, s.zones().indexOf(s.zone())),
-                        s.zones().size(),
-                        VERSION,
-                        PART_MEMBERS | (config.fleet().shared() ? PART_SHARED : 0),
+                        Math.max(0, settings.zones().indexOf(settings.zone())),
+                        settings.zones().size(),
+                        PROTOCOL_VERSION,
+                        FEATURE_MEMBERS | (config.fleet().shared() ? FEATURE_SHARED : 0),
                         clock.now() / 1_000,
-                        taken),
+                        reservedLength),
                 clock.now(),
                 config.seed(),
                 this);
         if (config.fleet().shared()) {
             long me = members.self().id();
-            Host says = new ComponentHost("shared: ");
+            Host host = new ComponentHost("shared: ");
             store = new Store(
                     me,
-                    PART_SHARED,
-                    taken,
+                    FEATURE_SHARED,
+                    reservedLength,
                     List.of(Table.VERDICTS, Table.LIMITS, Table.COUNTS, Table.ORDERS),
                     clock.now(),
                     config.seed() + 1,
                     members,
-                    says);
-            verdicts = new Verdicts(store, me, members.self().zone(), members, says);
+                    host);
+            verdicts = new Verdicts(store, me, members.self().zone(), members, host);
             limits = new Limits(
                     me,
-                    s.balancers(),
-                    PART_SHARED,
-                    taken,
+                    settings.balancers(),
+                    FEATURE_SHARED,
+                    reservedLength,
                     store,
                     config.fleet().limits(),
                     clock.now(),
                     config.seed() + 2,
                     members,
-                    says);
-            orders = new Orders(store, clock.now(), says);
-            watch = new Watch(orders, s.rules().rampUs());
-            warm = new WarmStart(me, PART_SHARED, taken, clock.now(), config.seed() + 3, members, says, this::known);
+                    host);
+            orders = new Orders(store, clock.now(), host);
+            watch = new Watch(orders, settings.rules().rampUs());
+            warmStart = new WarmStart(
+                    me,
+                    FEATURE_SHARED,
+                    reservedLength,
+                    clock.now(),
+                    config.seed() + 3,
+                    members,
+                    host,
+                    this::learnedState);
             snapshot = config.kept() == null ? null : new LearnedStateSnapshot(config.kept());
-            snapshotUs = clock.now() + SNAPSHOT_US;
+            nextSnapshotUs = clock.now() + SNAPSHOT_INTERVAL_US;
         }
-        peers.attachFleet(this, taken);
+        peers.attachFleet(this, reservedLength);
         ticks = Recurring.every(loop, Membership.TICK_US / 1000, this::tick);
     }
 
@@ -141,11 +155,14 @@
         long now = clock.now();
         members.onTick(now);
         View view = members.view();
-        if (now >= tellUs || told == null || view.here() != told.here() || view.standing() != told.standing()) {
-            if (told == null || view.standing() != told.standing()) {
+        if (now >= nextReportUs
+                || reportedView == null
+                || view.here() != reportedView.here()
+                || view.standing() != reportedView.standing()) {
+            if (reportedView == null || view.standing() != reportedView.standing()) {
                 Log.event(
                         Log.Level.INFO,
-                        "sees a " + view.standing().name().toLowerCase(java.util.Locale.ROOT) + " of its fleet: "
+                        "fleet membership: " + view.standing().name().toLowerCase(java.util.Locale.ROOT) + ", "
                                 + view.here() + " of " + view.expected(),
                         "standing",
                         view.standing(),
@@ -154,117 +171,121 @@
                         "expected",
                         view.expected());
             }
-            told = view;
-            tellUs = now + TELL_US;
-            Balancer.Fleet fact = new Balancer.Fleet(
+            reportedView = view;
+            nextReportUs = now + REPORT_INTERVAL_US;
+            Balancer.Fleet report = new Balancer.Fleet(
                     view.here(),
                     view.byZone(),
                     Balancer.Standing.valueOf(view.standing().name()),
-                    now + COUNTS_US);
-            decisions.call(m -> m.onFleet(now, fact), () -> {});
+                    now + REPORT_VALID_US);
+            decisions.call(m -> m.onFleet(now, report), () -> {});
         }
         if (store != null && !members.isQuiet()) {
             share(now);
-        } else if (store != null && !warmed) {
-            // Another process has the name: nothing comes any more, and nobody waits for it.
-            warmed = true;
-            whenWarm.run();
+        } else if (store != null && !isWarmStartOver) {
+            // Another process has taken over this member's name, so no warm start data will arrive.
+            isWarmStartOver = true;
+            warmStartCallback.run();
         }
     }
 
     private void share(long now) {
         long incarnation = members.self().incarnation();
         store.onTick(now, incarnation);
-        warmUp(now);
-        if (now >= sharedUs) {
-            sharedUs = now + TELL_US;
+        advanceWarmStart(now);
+        if (now >= nextShareUs) {
+            nextShareUs = now + REPORT_INTERVAL_US;
             Map<String, Integer> zones = new HashMap<>();
             servers.get()
                     .forEach(u -> zones.put(u.id(), config.settings().zones().indexOf(u.zone())));
             verdicts.servers(zones);
-            judge(now);
-            weigh(now);
+            reportVerdicts(now);
+            reportWeights(now);
         }
-        if (now >= limitsUs) {
-            long passed = limitsUs == 0 ? Limits.TICK_US : now - limitsUs + Limits.TICK_US;
-            limitsUs = now + Limits.TICK_US;
+        if (now >= nextLimitsUs) {
+            long elapsedUs = nextLimitsUs == 0 ? Limits.TICK_US : now - nextLimitsUs + Limits.TICK_US;
+            nextLimitsUs = now + Limits.TICK_US;
             decisions.call(
-                    m -> m.demands(passed).forEach((name, demand) -> limits.demand(now, name, demand)), () -> {});
+                    m -> m.demands(elapsedUs).forEach((name, demand) -> limits.demand(now, name, demand)), () -> {});
             limits.onTick(now, incarnation);
             List<Balancer.Share> shares = limits.shares(now, 2 * Limits.TICK_US);
             decisions.call(m -> m.onShares(now, shares), () -> {});
         }
     }
 
-    private byte[] known() {
-        byte[][] known = new byte[1][];
-        decisions.call(m -> known[0] = m.know(), () -> {});
-        return known[0] == null ? new byte[0] : known[0];
+    /** What the module has learned, encoded; empty if it fails. */
+    private byte[] learnedState() {
+        byte[][] state = new byte[1][];
+        decisions.call(m -> state[0] = m.know(), () -> {});
+        return state[0] == null ? new byte[0] : state[0];
     }
 
-    /** Runs once no more is waited for of what others know: at once where nothing is shared, within {@link WarmStart#MOST_US}. */
-    void whenWarmStartEnds(Runnable run) {
-        if (store == null || warmed) {
-            run.run();
+    /** Runs the callback when the warm start is over: at once if state is not shared, within {@link WarmStart#MOST_US} otherwise. */
+    void whenWarmStartEnds(Runnable callback) {
+        if (store == null || isWarmStartOver) {
+            callback.run();
         } else {
-            whenWarm = run;
+            warmStartCallback = callback;
         }
     }
 
-    private void warmUp(long now) {
-        if (!warmed) {
-            warm.onTick(now, members.self().incarnation());
-            if (warm.over()) {
-                warmed = true;
-                List<byte[]> told = warm.take();
-                byte[] kept = !told.isEmpty() || snapshot == null ? null : snapshot.read(now / 1_000);
-                List<byte[]> all = kept == null ? told : List.of(kept);
-                if (!all.isEmpty()) {
+    /** Drives the warm start, and afterwards writes the periodic snapshots. */
+    private void advanceWarmStart(long now) {
+        if (!isWarmStartOver) {
+            warmStart.onTick(now, members.self().incarnation());
+            if (warmStart.over()) {
+                isWarmStartOver = true;
+                List<byte[]> fromPeers = warmStart.take();
+                byte[] fromSnapshot = !fromPeers.isEmpty() || snapshot == null ? null : snapshot.read(now / 1_000);
+                List<byte[]> states = fromSnapshot == null ? fromPeers : List.of(fromSnapshot);
+                if (!states.isEmpty()) {
                     decisions.call(
                             m -> {
-                                int read = m.onKnow(now, all);
-                                Log.line("shared: begins with what "
-                                        + (kept != null ? "the process before" : told.size() + " others") + " knew"
-                                        + (read < all.size()
-                                                ? "; " + (all.size() - read) + " of another shape left aside"
+                                int read = m.onKnow(now, states);
+                                Log.line("shared: warm start from "
+                                        + (fromSnapshot != null ? "the previous process" : fromPeers.size() + " peers")
+                                        + " complete"
+                                        + (read < states.size()
+                                                ? "; " + (states.size() - read) + " of an incompatible format ignored"
                                                 : ""));
                             },
                             () -> {});
                 }
-                whenWarm.run();
+                warmStartCallback.run();
             }
-        } else if (snapshot != null && now >= snapshotUs) {
-            snapshotUs = now + SNAPSHOT_US;
-            snapshot.write(known(), now / 1_000);
+        } else if (snapshot != null && now >= nextSnapshotUs) {
+            nextSnapshotUs = now + SNAPSHOT_INTERVAL_US;
+            snapshot.write(learnedState(), now / 1_000);
         }
     }
 
-    private void judge(long now) {
+    private void reportVerdicts(long now) {
         cases = verdicts.look(now);
-        List<Balancer.Verdict> said = cases.stream().map(Verdicts.Case::verdict).toList();
-        decisions.call(m -> m.onVerdicts(now, said), () -> {});
+        List<Balancer.Verdict> current =
+                cases.stream().map(Verdicts.Case::verdict).toList();
+        decisions.call(m -> m.onVerdicts(now, current), () -> {});
     }
 
-    private void weigh(long now) {
+    private void reportWeights(long now) {
         orders.look(now, members.view().here() > 1);
         watch.servers(servers.get());
         Map<String, Double> weights = orders.weights(servers.get());
-        if (weighed || !weights.isEmpty()) {
-            weighed = !weights.isEmpty();
-            decisions.call(m -> m.onWeights(now, new Balancer.Weights(weights, now + COUNTS_US)), () -> {});
+        if (hasWeights || !weights.isEmpty()) {
+            hasWeights = !weights.isEmpty();
+            decisions.call(m -> m.onWeights(now, new Balancer.Weights(weights, now + REPORT_VALID_US)), () -> {});
         }
     }
 
-    /** The module has seen this of an upstream itself. */
+    /** Shares the module's own observation of an upstream with the fleet. */
     void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
         if (verdicts != null) {
             verdicts.evidence(clock.now(), upstream, kind, factor);
-            // Soon, but not in the middle of what the module does.
-            sharedUs = Math.min(sharedUs, clock.now());
+            // On the next tick, as the module is in the middle of a call now.
+            nextShareUs = Math.min(nextShareUs, clock.now());
         }
     }
 
-    /** The process is to leave: told at once, and nothing follows. */
+    /** Announces the departure of this process and stops the plane. */
     void leave() {
         if (ticks != null) {
             ticks.cancel(false);
@@ -278,7 +299,7 @@
         if (letter != null && members.onLetter(clock.now(), from, letter) && store != null) {
             store.onLetter(clock.now(), from, letter);
             limits.onLetter(clock.now(), from, letter);
-            warm.onLetter(clock.now(), from, letter, members.self().incarnation());
+            warmStart.onLetter(clock.now(), from, letter, members.self().incarnation());
         }
     }
 
@@ -297,12 +318,12 @@
         Log.line("members: " + event);
     }
 
-    /** A part of the plane, by its name in the log. */
+    /** Host of one component, whose log lines get a prefix. */
     private final class ComponentHost implements Host {
-        private final String part;
+        private final String logPrefix;
 
-        ComponentHost(String part) {
-            this.part = part;
+        ComponentHost(String logPrefix) {
+            this.logPrefix = logPrefix;
         }
 
         @Override
@@ -312,7 +333,7 @@
 
         @Override
         public void note(String event) {
-            Log.line(part + event);
+            Log.line(logPrefix + event);
         }
     }
 
@@ -320,7 +341,7 @@
         return store != null;
     }
 
-    /** What is said of servers, in one line of JSON. */
+    /** The verdicts on upstreams with the reports behind them, in one line of JSON. */
     String verdictsJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
@@ -331,7 +352,7 @@
                         .map(c -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("server", c.server());
-                            one.put("kind", word(c.verdict().kind()));
+                            one.put("kind", lowerCase(c.verdict().kind()));
                             one.put("factor", c.verdict().factor());
                             one.put("holds", c.verdict().holds());
                             one.put("why", c.why());
@@ -342,7 +363,7 @@
                                                     "by",
                                                     members.name(w.witness()),
                                                     "kind",
-                                                    word(w.kind()),
+                                                    lowerCase(w.kind()),
                                                     "count",
                                                     w.count(),
                                                     "zone",
@@ -356,7 +377,7 @@
         return json(view);
     }
 
-    /** What is held of each limit, in one line of JSON. */
+    /** The shares of all limits, in one line of JSON. */
     String limitsJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
@@ -380,23 +401,25 @@
         return json(view);
     }
 
-    /** Null where the fleet is told it, else why not. */
-    String setLimit(String name, String of, String most, String per) {
+    /** Sets a limit for the fleet; returns null on success, otherwise the reason. */
+    String setLimit(String name, String scope, String maximum, String unit) {
         try {
-            limits.set(clock.now(), LimitSyntax.parse(name, of, per, Double.parseDouble(most), config.settings()));
+            limits.set(
+                    clock.now(), LimitSyntax.parse(name, scope, unit, Double.parseDouble(maximum), config.settings()));
             return null;
         } catch (NumberFormatException e) {
-            return "'" + most + "' is no number";
+            return "'" + maximum + "' is not a number";
         } catch (IllegalArgumentException e) {
             return e.getMessage();
         }
     }
 
+    /** Removes a limit set by {@link #setLimit}; returns null on success, otherwise the reason. */
     String removeLimit(String name) {
-        return limits.unset(clock.now(), name) ? null : "no limit of this name was set by a call";
+        return limits.unset(clock.now(), name) ? null : "no limit of this name was set by an operator";
     }
 
-    /** What releases order, in one line of JSON. */
+    /** The orders of releases and the resulting weights, in one line of JSON. */
     String ordersJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
@@ -409,7 +432,7 @@
                             one.put("release", o.release());
                             one.put("epoch", o.epoch());
                             one.put("step", o.step());
-                            one.put("state", word(o.state()));
+                            one.put("state", lowerCase(o.state()));
                             one.put("weight", o.weight());
                             one.put("safe", o.safe());
                             one.put("whom", o.whom().words());
@@ -425,44 +448,44 @@
         return json(view);
     }
 
-    /** An attempt has ended. */
-    void attemptEnded(String upstream, String requestClass, Balancer.Outcome outcome, long tookUs) {
+    /** Counts the outcome of an attempt for the releases. */
+    void attemptEnded(String upstream, String requestClass, Balancer.Outcome outcome, long latencyUs) {
         if (watch != null) {
-            watch.seen(clock.now(), upstream, requestClass, outcome, tookUs);
+            watch.seen(clock.now(), upstream, requestClass, outcome, latencyUs);
         }
     }
 
-    /** What was counted of a release's servers and their control, in one line of JSON. */
+    /** The counts for a release's servers and their control group, in one line of JSON. */
     String talliesJson(String release) {
         return json(Map.of("self", config.name(), "tallies", watch.view(release)));
     }
 
-    /** Null where the fleet is told it, else why not. */
+    /** Passes an order of a release controller to the fleet; returns null on success, otherwise the reason. */
     String submitOrder(
             String release, String epoch, String step, String state, String weight, String safe, String whom) {
         try {
-            Order.State is = Order.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
-            String no = orders.give(
+            Order.State parsedState = Order.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
+            String refusal = orders.give(
                     clock.now(),
                     new Order(
                             release,
                             Integer.parseInt(epoch),
                             Integer.parseInt(step),
-                            is,
+                            parsedState,
                             Double.parseDouble(weight),
                             Double.parseDouble(safe),
                             Order.Selector.of(whom)));
-            if (no == null) {
-                weigh(clock.now());
+            if (refusal == null) {
+                reportWeights(clock.now());
             }
-            return no;
+            return refusal;
         } catch (IllegalArgumentException e) {
-            return "no order: " + e.getMessage();
+            return "invalid order: " + e.getMessage();
         }
     }
 
-    private static String word(Enum<?> word) {
-        return word.name().toLowerCase(java.util.Locale.ROOT);
+    private static String lowerCase(Enum<?> constant) {
+        return constant.name().toLowerCase(java.util.Locale.ROOT);
     }
 
     private static String json(Map<String, Object> view) {
@@ -473,17 +496,17 @@
         }
     }
 
-    /** Its view in one line of JSON. */
+    /** This member's view of the fleet, in one line of JSON. */
     String membersJson() {
         long now = clock.now();
-        View v = members.view();
+        View current = members.view();
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
-        view.put("here", v.here());
-        view.put("expected", v.expected());
-        view.put("standing", v.standing().name().toLowerCase(java.util.Locale.ROOT));
-        view.put("since_ms", (now - v.sinceUs()) / 1_000);
-        List<Map<String, Object>> all = new ArrayList<>();
+        view.put("here", current.here());
+        view.put("expected", current.expected());
+        view.put("standing", current.standing().name().toLowerCase(java.util.Locale.ROOT));
+        view.put("since_ms", (now - current.sinceUs()) / 1_000);
+        List<Map<String, Object>> memberViews = new ArrayList<>();
         members.members().stream().sorted(Comparator.comparing(Member::name)).forEach(m -> {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("name", m.name());
@@ -493,9 +516,9 @@
             one.put("version", m.version());
             one.put("since_ms", (now - m.sinceUs()) / 1_000);
             one.put("why", m.why());
-            all.add(one);
+            memberViews.add(one);
         });
-        view.put("members", all);
+        view.put("members", memberViews);
         return json(view);
     }
 }
--- a/src/main/java/rushproxy/sidecar/Json.java
+++ b/src/main/java/rushproxy/sidecar/Json.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Reads JSON objects field by field; a field of the wrong kind is named in the exception. */
+/** A JSON object with typed access to its fields. Errors name the field. */
 final class Json {
     private final Map<String, Object> fields;
 
@@ -19,13 +19,13 @@
         try {
             Map<String, Object> fields = JSON.std.mapFrom(text);
             if (fields == null) {
-                throw new IllegalArgumentException("no JSON object");
+                throw new IllegalArgumentException("not a JSON object");
             }
             return new Json(fields);
         } catch (IOException e) {
             String reason = String.valueOf(e.getMessage());
             throw new IllegalArgumentException(
-                    "no JSON object: " + reason.lines().findFirst().orElse(""));
+                    "not a JSON object: " + reason.lines().findFirst().orElse(""));
         }
     }
 
@@ -38,23 +38,23 @@
     }
 
     String text(String name) {
-        return get(name, String.class, "a text");
+        return get(name, String.class, "a string");
     }
 
-    String textOr(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    String textOr(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     long number(String name) {
         return get(name, Number.class, "a number").longValue();
     }
 
-    long numberOr(String name, long absent) {
-        return has(name) ? number(name) : absent;
+    long numberOr(String name, long defaultValue) {
+        return has(name) ? number(name) : defaultValue;
     }
 
-    double realOr(String name, double absent) {
-        return has(name) ? get(name, Number.class, "a number").doubleValue() : absent;
+    double realOr(String name, double defaultValue) {
+        return has(name) ? get(name, Number.class, "a number").doubleValue() : defaultValue;
     }
 
     boolean flag(String name) {
@@ -72,7 +72,8 @@
                 .stream()
                         .map(o -> {
                             if (!(o instanceof Map)) {
-                                throw new IllegalArgumentException("'" + name + "' holds what is no object");
+                                throw new IllegalArgumentException(
+                                        "'" + name + "' contains an element that is not an object");
                             }
                             return new Json((Map<String, Object>) o);
                         })
@@ -87,18 +88,18 @@
                 : List.of();
     }
 
-    private <T> T get(String name, Class<T> type, String what) {
+    private <T> T get(String name, Class<T> type, String typeName) {
         Object value = fields.get(name);
         if (value == null) {
             throw new IllegalArgumentException("'" + name + "' is missing");
         }
         if (!type.isInstance(value)) {
-            throw new IllegalArgumentException("'" + name + "' is not " + what);
+            throw new IllegalArgumentException("'" + name + "' is not " + typeName);
         }
         return type.cast(value);
     }
 
-    /** All values by their paths, in the form of the simulator's pairs. */
+    /** All values by their dotted paths, as in the key-value pairs of the simulator. */
     Map<String, String> flatten() {
         Map<String, String> out = new TreeMap<>();
         flatten("", fields, out);
--- a/src/main/java/rushproxy/sidecar/LimitSyntax.java
+++ b/src/main/java/rushproxy/sidecar/LimitSyntax.java
@@ -5,43 +5,45 @@
 import rushproxy.Balancer.Settings;
 import rushproxy.fleet.shared.Limits;
 
-/** Limits as the configuration and the operators write them. */
+/** Parses and formats limits as written in the configuration and in admin commands. */
 final class LimitSyntax {
     private LimitSyntax() {}
 
     /**
-     * {@code of} is {@code all}, {@code class:NAME} or {@code tenant:NAME}, {@code per} is {@code per_second} or {@code
-     * in_flight}. Throws with what is wrong: another word, a class that there is not, a number that is no limit, too long a name.
+     * @param scopeText {@code all}, {@code class:NAME} or {@code tenant:NAME}
+     * @param unit {@code per_second} or {@code in_flight}
+     * @throws IllegalArgumentException if an argument is invalid or the class is unknown
      */
-    static Limits.Limit parse(String name, String of, String per, double most, Settings settings) {
-        int colon = of.indexOf(':');
-        Scope scope = switch (colon < 0 ? of : of.substring(0, colon)) {
+    static Limits.Limit parse(String name, String scopeText, String unit, double maximum, Settings settings) {
+        int colon = scopeText.indexOf(':');
+        Scope scope = switch (colon < 0 ? scopeText : scopeText.substring(0, colon)) {
             case "all" -> Scope.ALL;
             case "class" -> Scope.CLASS;
             case "tenant" -> Scope.TENANT;
-            default -> throw new IllegalArgumentException("'" + of + "' is not all, class:NAME or tenant:NAME");
+            default -> throw new IllegalArgumentException("'" + scopeText + "' is not all, class:NAME or tenant:NAME");
         };
-        String whom = colon < 0 ? "" : of.substring(colon + 1);
-        if (scope == Scope.ALL != whom.isEmpty()) {
-            throw new IllegalArgumentException("'" + of + "' is not all, class:NAME or tenant:NAME");
+        String subject = colon < 0 ? "" : scopeText.substring(colon + 1);
+        if (scope == Scope.ALL != subject.isEmpty()) {
+            throw new IllegalArgumentException("'" + scopeText + "' is not all, class:NAME or tenant:NAME");
         }
         if (scope == Scope.CLASS
-                && settings.classes().stream().noneMatch(c -> c.name().equals(whom))) {
-            throw new IllegalArgumentException("no class '" + whom + "'");
+                && settings.classes().stream().noneMatch(c -> c.name().equals(subject))) {
+            throw new IllegalArgumentException("unknown class '" + subject + "'");
         }
-        if (!per.equals("per_second") && !per.equals("in_flight")) {
-            throw new IllegalArgumentException("'" + per + "' is not per_second or in_flight");
+        if (!unit.equals("per_second") && !unit.equals("in_flight")) {
+            throw new IllegalArgumentException("'" + unit + "' is not per_second or in_flight");
         }
-        if (!(most >= 0 && most < 1e9)) {
-            throw new IllegalArgumentException(most + " is no limit");
+        if (!(maximum >= 0 && maximum < 1e9)) {
+            throw new IllegalArgumentException(maximum + " is not a valid limit");
         }
         if (!name.matches("[A-Za-z0-9._-]{1,24}")) {
-            throw new IllegalArgumentException("'" + name + "' is no name of 1 to 24 letters, digits, '.', '_', '-'");
+            throw new IllegalArgumentException(
+                    "'" + name + "' is not a name of 1 to 24 letters, digits, '.', '_', '-'");
         }
-        return Limits.checked(new Limits.Limit(name, scope, whom, per.equals("in_flight"), most));
+        return Limits.checked(new Limits.Limit(name, scope, subject, unit.equals("in_flight"), maximum));
     }
 
-    static String formatScope(Limits.Limit l) {
-        return (l.scope() == Scope.ALL ? "all" : l.scope().name().toLowerCase(Locale.ROOT) + ":" + l.of());
+    static String formatScope(Limits.Limit limit) {
+        return (limit.scope() == Scope.ALL ? "all" : limit.scope().name().toLowerCase(Locale.ROOT) + ":" + limit.of());
     }
 }
--- a/src/main/java/rushproxy/sidecar/LoadReportParser.java
+++ b/src/main/java/rushproxy/sidecar/LoadReportParser.java
@@ -3,19 +3,19 @@
 import rushproxy.Balancer.LoadReport;
 import rushproxy.wire.LoadValues;
 
-/** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
 final class LoadReportParser {
-    private static final String FORM = "TEXT ";
+    private static final String PREFIX = "TEXT ";
 
     private LoadReportParser() {}
 
-    /** Null where the text is no such report: a malformed one says nothing of its upstream. */
+    /** Null if the text is missing or malformed; a malformed report is ignored. */
     static LoadReport parse(String text) {
-        if (text == null || !text.startsWith(FORM)) {
+        if (text == null || !text.startsWith(PREFIX)) {
             return null;
         }
         LoadValues values = new LoadValues();
-        for (String pair : text.substring(FORM.length()).split(",")) {
+        for (String pair : text.substring(PREFIX.length()).split(",")) {
             int equals = pair.indexOf('=');
             if (equals < 0) {
                 return null;
--- a/src/main/java/rushproxy/sidecar/NumberSyntax.java
+++ b/src/main/java/rushproxy/sidecar/NumberSyntax.java
@@ -1,29 +1,29 @@
 package rushproxy.sidecar;
 
-/** Recognizes the numbers in headers. Every request has some: a regular expression would be compiled anew for each. */
+/** Checks the syntax of numbers in headers. Avoids regular expressions, as this runs several times for each request. */
 final class NumberSyntax {
     private NumberSyntax() {}
 
-    /** Whether the text is of digits alone, one at least and so many at most. */
-    static boolean isDecimal(String text, int mostDigits) {
-        return isOfDigits(text, mostDigits, NumberSyntax::isDecimalDigit);
+    /** Whether the text consists of 1 to {@code maxDigits} decimal digits. */
+    static boolean isDecimal(String text, int maxDigits) {
+        return consistsOf(text, maxDigits, NumberSyntax::isDecimalDigit);
     }
 
-    /** As {@link #isDecimal}, with the digits of both cases up to F. */
-    static boolean isHexadecimal(String text, int mostDigits) {
-        return isOfDigits(text, mostDigits, NumberSyntax::isHexadecimalDigit);
+    /** As {@link #isDecimal} for hexadecimal digits of either case. */
+    static boolean isHexadecimal(String text, int maxDigits) {
+        return consistsOf(text, maxDigits, NumberSyntax::isHexadecimalDigit);
     }
 
-    private interface Digits {
-        boolean has(char character);
+    private interface DigitTest {
+        boolean accepts(char character);
     }
 
-    private static boolean isOfDigits(String text, int mostDigits, Digits digits) {
-        if (text.isEmpty() || text.length() > mostDigits) {
+    private static boolean consistsOf(String text, int maxDigits, DigitTest test) {
+        if (text.isEmpty() || text.length() > maxDigits) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
-            if (!digits.has(text.charAt(i))) {
+            if (!test.accepts(text.charAt(i))) {
                 return false;
             }
         }
--- a/src/main/java/rushproxy/sidecar/OutboundConnector.java
+++ b/src/main/java/rushproxy/sidecar/OutboundConnector.java
@@ -16,26 +16,27 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** How this program opens HTTP connections, to upstreams and to discovery alike. */
+/** Opens HTTP connections to upstreams and to discovery. */
 final class OutboundConnector {
+    /** {@link #connect} has a timeout of its own. */
     private static final int NETTY_TIMEOUT_DISABLED = 0;
 
     private OutboundConnector() {}
 
-    /** Each connection gets a handler of its own, which sees whole answers of at most {@code maxBody} bytes. */
-    static Bootstrap aggregatingBootstrap(EventLoop loop, int maxBody, Supplier<ChannelHandler> handler) {
+    /** Each connection gets its own handler, which receives complete responses with at most {@code maxBodyBytes} of content. */
+    static Bootstrap aggregatingBootstrap(EventLoop loop, int maxBodyBytes, Supplier<ChannelHandler> handler) {
         return bootstrap(
                         loop,
                         channel -> channel.pipeline()
                                 .addLast(
                                         new HttpRequestEncoder(),
                                         new UpstreamResponseDecoder(),
-                                        new HttpObjectAggregator(maxBody),
+                                        new HttpObjectAggregator(maxBodyBytes),
                                         handler.get()))
                 .channelFactory(TcpConnection::new);
     }
 
-    /** As {@link #aggregatingBootstrap}, but the handler sees each part of an answer as it comes. */
+    /** As {@link #aggregatingBootstrap}, but the handler receives each part of a response as it arrives. */
     static Bootstrap streamingBootstrap(EventLoop loop, Supplier<ChannelHandler> handler) {
         return Window.on(bootstrap(
                         loop,
@@ -44,59 +45,59 @@
                 .channelFactory(() -> Window.sized(new TcpConnection()));
     }
 
-    /** How a connection came up, or did not: told once, on the loop. */
+    /** Receives the result of a connect, once, on the event loop. */
     interface ConnectListener {
-        /** {@code failure} is null where it is up. */
+        /** {@code failure} is null if the connection is established. */
         void connectCompleted(Throwable failure);
     }
 
     /**
-     * Connects, or fails {@code timeoutUs} later. Null where not even a socket could be opened, for want of descriptors: that is told
-     * on the loop like any other failure, but there is no connection, not even one to be closed.
+     * Connects, or fails after {@code timeoutUs}. Returns null if no socket could be opened, for example for lack of descriptors; the
+     * listener is then called on the event loop as with any other failure.
      *
-     * <p>A loop that was held up runs its timers before it sees which connections have come up meanwhile. So the time-out looks at the
-     * sockets first: Netty's own would end a connection that is up.
+     * <p>After a delay the event loop runs its timers before it processes the sockets that have become ready. The timeout therefore waits
+     * for the sockets to be processed first; Netty's own timeout would close a connection that is established.
      */
     static Channel connect(
-            Bootstrap by, EventLoop loop, InetSocketAddress to, long timeoutUs, ConnectListener dialled) {
-        ChannelFuture connecting = by.connect(to);
-        if (connecting.isDone() && !connecting.channel().isRegistered()) {
-            // It belongs to no loop, and would be told on a thread of nobody's.
-            loop.execute(() -> dialled.connectCompleted(connecting.cause()));
+            Bootstrap bootstrap, EventLoop loop, InetSocketAddress address, long timeoutUs, ConnectListener listener) {
+        ChannelFuture connect = bootstrap.connect(address);
+        if (connect.isDone() && !connect.channel().isRegistered()) {
+            // The channel is not registered with a loop, so its future would notify on a foreign thread.
+            loop.execute(() -> listener.connectCompleted(connect.cause()));
             return null;
         }
-        PendingConnect attempt = new PendingConnect(connecting, dialled);
+        PendingConnect pending = new PendingConnect(connect, listener);
         Future<?> timeout =
-                loop.schedule(() -> SocketLook.before(loop, attempt::timeOut), timeoutUs, TimeUnit.MICROSECONDS);
-        connecting.addListener(f -> {
+                loop.schedule(() -> SocketLook.before(loop, pending::timeOut), timeoutUs, TimeUnit.MICROSECONDS);
+        connect.addListener(f -> {
             timeout.cancel(false);
-            attempt.complete(f.cause());
+            pending.complete(f.cause());
         });
-        return connecting.channel();
+        return connect.channel();
     }
 
-    /** One connection that is coming up. */
+    /** A connect in progress. */
     private static final class PendingConnect {
-        private final ChannelFuture connecting;
-        private final ConnectListener dialled;
-        private boolean timedOut;
+        private final ChannelFuture connect;
+        private final ConnectListener listener;
+        private boolean isTimedOut;
 
-        PendingConnect(ChannelFuture connecting, ConnectListener dialled) {
-            this.connecting = connecting;
-            this.dialled = dialled;
+        PendingConnect(ChannelFuture connect, ConnectListener listener) {
+            this.connect = connect;
+            this.listener = listener;
         }
 
-        /** Its time is over: the close fails what is still connecting. */
+        /** Closing the channel fails a connect that is still in progress. */
         void timeOut() {
-            if (!connecting.isDone()) {
-                timedOut = true;
-                connecting.channel().close();
+            if (!connect.isDone()) {
+                isTimedOut = true;
+                connect.channel().close();
             }
         }
 
         void complete(Throwable failure) {
-            dialled.connectCompleted(
-                    timedOut && failure != null ? new ConnectTimeoutException("no connection in its time") : failure);
+            listener.connectCompleted(
+                    isTimedOut && failure != null ? new ConnectTimeoutException("connect timed out") : failure);
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/Peers.java
+++ b/src/main/java/rushproxy/sidecar/Peers.java
@@ -18,46 +18,49 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Short messages between sidecars. A peer's number is its place in the configuration. */
+/** Exchanges datagrams with the other sidecars. A peer's number is its index in the configuration. */
 final class Peers {
-    private static final int MAX_BYTES = 256;
-    private static final long AGAIN_MS = 500;
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final long RETRY_DELAY_MS = 500;
 
     private final Clock clock;
     private final Decisions decisions;
     private final List<InetSocketAddress> peers;
-    private final InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    /** Address that reaches all peers; null if there is none. */
+    private final InetSocketAddress broadcastAddress;
+
+    private final Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
     private volatile Channel channel;
-    /** Null until the socket is told to be bound. */
+    /** Null until the socket is bound. */
     private RegistrationRetry registration;
 
-    private boolean refused;
-    /** Null where the fleet plane is off: then whatever comes is the module's. */
+    private boolean isBindFailureLogged;
+    /** Null if the fleet plane is off; all datagrams then go to the module. */
     private FleetListener fleet;
 
-    private int wordLength;
+    private int moduleMessageBytes;
 
-    /** Takes all datagrams but the module's own, which are known by their length, and hears of those. */
+    /** Receives the datagrams of the fleet plane. Those of the module are recognized by their length. */
     interface FleetListener {
         void onFleetMessage(int from, byte[] message);
 
+        /** A datagram for the module has arrived from this peer. */
         void onModuleMessage(int from);
     }
 
-    Peers(Clock clock, Decisions decisions, List<InetSocketAddress> peers, InetSocketAddress all) {
+    Peers(Clock clock, Decisions decisions, List<InetSocketAddress> peers, InetSocketAddress broadcastAddress) {
         this.clock = clock;
         this.decisions = decisions;
         this.peers = peers;
-        this.all = all;
+        this.broadcastAddress = broadcastAddress;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i), i);
+            peerNumbers.put(peers.get(i), i);
         }
     }
 
     /**
-     * The process before may still have the address while this one starts: both may, and the last to come is the one
-     * that hears. Word of peers is of use but no need, so a start does not fail without.
+     * Binds the socket, and retries in the background on failure: a sidecar can start without its peers. The previous process may still
+     * be bound to the address; the socket that was bound last receives the datagrams.
      */
     void listen(EventLoop loop, InetSocketAddress address) {
         new Bootstrap()
@@ -68,50 +71,52 @@
                 .bind(address)
                 .addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
-                        heardOn(f.channel(), loop, address);
+                        onBound(f.channel(), loop, address);
                         return;
                     }
-                    if (!refused) {
-                        refused = true;
-                        Log.warn("can't hear peers yet: " + f.cause());
+                    if (!isBindFailureLogged) {
+                        isBindFailureLogged = true;
+                        Log.warn("can't bind the peer socket, will retry: " + f.cause());
                     }
-                    loop.schedule(() -> listen(loop, address), AGAIN_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> listen(loop, address), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                 });
     }
 
-    /** The transport closes a socket that fails to read for a moment: then another one takes its place. */
-    private void heardOn(Channel now, EventLoop loop, InetSocketAddress address) {
-        channel = now;
-        registration = new RegistrationRetry(new Registration(now, loop));
+    /** Replaces the socket when the transport closes it, which it does on any read error. */
+    private void onBound(Channel socket, EventLoop loop, InetSocketAddress address) {
+        channel = socket;
+        registration = new RegistrationRetry(new Registration(socket, loop));
         registration.interestChanged(0);
-        now.closeFuture().addListener(closed -> {
+        socket.closeFuture().addListener(closed -> {
             channel = null;
             if (!loop.isShuttingDown()) {
-                Log.warn("peers are not heard for a moment: the socket was closed");
-                loop.schedule(() -> listen(loop, address), AGAIN_MS, TimeUnit.MILLISECONDS);
+                Log.warn("the peer socket was closed and will be reopened");
+                loop.schedule(() -> listen(loop, address), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    /** The socket on which peers are heard; null while there is none. */
+    /** The bound socket; null if there is none. */
     Channel channel() {
         return channel;
     }
 
-    void attachFleet(FleetListener fleet, int wordLength) {
+    /** Passes all datagrams that do not have the length of a module message to the fleet plane. */
+    void attachFleet(FleetListener fleet, int moduleMessageBytes) {
         this.fleet = fleet;
-        this.wordLength = wordLength;
+        this.moduleMessageBytes = moduleMessageBytes;
     }
 
-    /** To one peer, or to all where the number is -1. What can't be sent is lost, as any datagram may be. */
+    /** Sends to one peer, or to all if the number is -1. A datagram that can't be sent is dropped. */
     void send(int peer, byte[] message) {
-        InetSocketAddress to = peer == -1 ? all : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
-        if (channel != null && to != null && message.length <= MAX_BYTES) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+        InetSocketAddress address =
+                peer == -1 ? broadcastAddress : peer >= 0 && peer < peers.size() ? peers.get(peer) : null;
+        if (channel != null && address != null && message.length <= MAX_DATAGRAM_BYTES) {
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), address));
         }
     }
 
-    /** The socket's interest, as its transport lets it be changed: it can't be extended. */
+    /** Changes the socket's interest through auto-read, as the transport's channel class can't be extended. */
     private record Registration(Channel socket, EventLoop eventLoop) implements RegistrationRetry.RegisteredChannel {
         @Override
         public int interestOps() {
@@ -140,12 +145,12 @@
             if (registration != null) {
                 registration.readinessObserved();
             }
-            Integer number = numbers.get(packet.sender());
-            if (number == null || packet.content().readableBytes() > MAX_BYTES) {
+            Integer number = peerNumbers.get(packet.sender());
+            if (number == null || packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                 return;
             }
             byte[] message = ByteBufUtil.getBytes(packet.content());
-            if (fleet != null && message.length != wordLength) {
+            if (fleet != null && message.length != moduleMessageBytes) {
                 fleet.onFleetMessage(number, message);
                 return;
             }
@@ -155,7 +160,7 @@
             decisions.call(m -> m.onPeer(clock.now(), number, message), () -> {});
         }
 
-        /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
+        /** Ignores errors such as a port unreachable message for an earlier datagram. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
     }
--- a/src/main/java/rushproxy/sidecar/RegistrationRetry.java
+++ b/src/main/java/rushproxy/sidecar/RegistrationRetry.java
@@ -6,93 +6,95 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Registers a channel's interest with the selector anew some times after each change of it. The runtime drops the error where the
- * system can't register a descriptor for a moment ({@code epoll_ctl}: ENOMEM, ENOSPC): the channel then stays open, and nobody is told
- * what comes on it. Readiness that is told proves the registration, and ends this; so does the number of retries, but for a way in: the
- * last retry may be the one that fails.
+ * Repeats the registration of a channel's interest with the selector several times after each change. The runtime discards the error if
+ * the kernel temporarily can't register a descriptor ({@code epoll_ctl}: ENOMEM, ENOSPC); the channel then stays open without ever
+ * becoming ready. Observed readiness confirms the registration and ends the retries. Otherwise they end after a fixed number, except for
+ * listeners, as the last retry may be the one that fails.
  */
 final class RegistrationRetry {
-    /** The first retry comes after this, each further one after twice the time before. */
-    private static final long FIRST_MS = 15;
-    /** Half a second and more of retries; then a way in is retried at the last one's distance. */
-    private static final int MOST_RETRIES = 6;
-    /** The selector has to see the interest gone before it comes back. */
-    private static final long GONE_MS = 1;
+    /** Delay before the first retry; doubles with each further one. */
+    private static final long FIRST_DELAY_MS = 15;
+    /** Covers about a second. A listener is retried further at the last interval. */
+    private static final int MAX_RETRIES = 6;
+    /** The selector must process the withdrawal before the interest is restored. */
+    private static final long WITHDRAWAL_MS = 1;
 
     /** A channel and its interest, as the bits of a selection key. */
     interface RegisteredChannel {
         EventLoop eventLoop();
 
-        /** 0 where it is interested in nothing, or closed. */
+        /** 0 if the channel has no interest or is closed. */
         int interestOps();
 
         void withdrawInterest();
 
-        /** What is still wanted of this interest. */
+        /** Restores those of the operations that are still wanted. */
         void restoreInterest(int ops);
 
-        /** Whether others come by it, whom nobody would miss: no time-out of theirs ends it where it hears nothing. */
+        /** Whether the channel accepts unsolicited traffic. No timeout would reveal that it has stopped receiving. */
         default boolean isListener() {
             return false;
         }
     }
 
     private final RegisteredChannel channel;
-    private Future<?> next;
+    private Future<?> nextRetry;
     private int retries;
-    private boolean retrying;
+    private boolean isRetrying;
 
     RegistrationRetry(RegisteredChannel channel) {
         this.channel = channel;
     }
 
-    /** The interest of a key; 0 where there is none any more. */
+    /** The interest of a key; 0 if it is no longer valid. */
     static int interestOps(SelectionKey key) {
         return key != null && key.isValid() ? key.interestOps() : 0;
     }
 
-    /** The channel's interest may have changed; {@code before} is what it was. Changes made here count for nothing. */
+    /** The interest may have changed from {@code before}. Changes made by this class itself are ignored. */
     void interestChanged(int before) {
         int now = channel.interestOps();
-        if (!retrying && now != before && now != 0) {
+        if (!isRetrying && now != before && now != 0) {
             retries = 0;
             schedule();
         }
     }
 
-    /** Readiness was told that only a registration of the whole interest brings. */
+    /** Readiness was observed that only a registration of the full interest can cause. */
     void readinessObserved() {
-        if (next != null) {
-            next.cancel(false);
-            next = null;
+        if (nextRetry != null) {
+            nextRetry.cancel(false);
+            nextRetry = null;
         }
     }
 
     private void schedule() {
         readinessObserved();
-        next = channel.eventLoop()
-                .schedule(this::retry, FIRST_MS << Math.min(retries, MOST_RETRIES - 1), TimeUnit.MILLISECONDS);
+        nextRetry = channel.eventLoop()
+                .schedule(this::retry, FIRST_DELAY_MS << Math.min(retries, MAX_RETRIES - 1), TimeUnit.MILLISECONDS);
     }
 
     private void retry() {
-        next = null;
+        nextRetry = null;
         int ops = channel.interestOps();
         if (ops == 0) {
             return;
         }
-        quietly(channel::withdrawInterest);
-        channel.eventLoop().schedule(() -> quietly(() -> channel.restoreInterest(ops)), GONE_MS, TimeUnit.MILLISECONDS);
-        if (++retries < MOST_RETRIES || channel.isListener()) {
+        withoutTrigger(channel::withdrawInterest);
+        channel.eventLoop()
+                .schedule(
+                        () -> withoutTrigger(() -> channel.restoreInterest(ops)), WITHDRAWAL_MS, TimeUnit.MILLISECONDS);
+        if (++retries < MAX_RETRIES || channel.isListener()) {
             schedule();
         }
     }
 
-    private void quietly(Runnable change) {
-        retrying = true;
+    private void withoutTrigger(Runnable change) {
+        isRetrying = true;
         try {
             change.run();
         } finally {
-            retrying = false;
+            isRetrying = false;
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/StartTimes.java
+++ b/src/main/java/rushproxy/sidecar/StartTimes.java
@@ -10,37 +10,37 @@
 import rushproxy.Balancer.Upstream;
 
 /**
- * When upstreams started, in module time. Lists tell it by a wall clock, which may have been stepped here or there. Only the
- * first lists of a process are compared with this machine's wall clock, and a start in the future is one of now. A start that
- * is told later is news of the moment in which it is told, whatever its number says.
+ * Converts the start times of upstreams from wall clock time, as listed by discovery, to module time. Either clock may have been stepped,
+ * so only the first lists of a process are compared with this machine's wall clock; a start in the future counts as now. A start time
+ * that is reported later, whatever its value, means that the upstream has just started.
  */
 final class StartTimes {
-    /** Upstreams that have left the list are remembered for a return with the same start, up to so many. */
+    /** Upstreams that have left the list are remembered up to this number, in case they return with the same start time. */
     private static final int MAX_REMEMBERED_GONE = 4_096;
 
     private record Start(long reportedUs, long startedUs) {}
 
     private final Clock clock;
-    private final LongSupplier wallMs;
+    private final LongSupplier wallClockMs;
     private final Map<String, Start> starts = new LinkedHashMap<>();
     private Set<String> listed = new HashSet<>();
-    /** Whether what is told is still what was so before this process began to listen. */
-    private boolean first = true;
+    /** Until the first list from discovery, reported starts may be older than this process. */
+    private boolean isInitial = true;
 
-    StartTimes(Clock clock, LongSupplier wallMs) {
+    StartTimes(Clock clock, LongSupplier wallClockMs) {
         this.clock = clock;
-        this.wallMs = wallMs;
+        this.wallClockMs = wallClockMs;
     }
 
-    /** The list that the process was started with: discovery's own first one is compared with the wall clock as well. */
+    /** Converts the list that the process was started with. Discovery's first list is still compared with the wall clock. */
     UpstreamList fromInitialList(UpstreamList list) {
         return translate(list);
     }
 
-    /** A list from discovery. */
+    /** Converts a list from discovery. */
     UpstreamList fromDiscovery(UpstreamList list) {
         UpstreamList translated = translate(list);
-        first = false;
+        isInitial = false;
         return translated;
     }
 
@@ -61,20 +61,20 @@
     }
 
     private Upstream translate(Upstream u) {
-        Start known = starts.get(u.id());
-        if (known == null || known.reportedUs != u.startedUs()) {
-            known = new Start(u.startedUs(), startedUs(u.startedUs()));
-            starts.put(u.id(), known);
+        Start start = starts.get(u.id());
+        if (start == null || start.reportedUs != u.startedUs()) {
+            start = new Start(u.startedUs(), toModuleTime(u.startedUs()));
+            starts.put(u.id(), start);
         }
-        return new Upstream(u.id(), u.zone(), u.kind(), u.cell(), known.startedUs, u.weight(), u.state());
+        return new Upstream(u.id(), u.zone(), u.kind(), u.cell(), start.startedUs, u.weight(), u.state());
     }
 
-    private long startedUs(long toldUs) {
-        if (toldUs <= 0) {
-            return toldUs;
+    private long toModuleTime(long reportedUs) {
+        if (reportedUs <= 0) {
+            return reportedUs;
         }
         long now = clock.now();
-        long ageUs = first ? Math.max(0, wallMs.getAsLong() * 1000 - toldUs) : 0;
+        long ageUs = isInitial ? Math.max(0, wallClockMs.getAsLong() * 1000 - reportedUs) : 0;
         return Math.max(1, now - ageUs);
     }
 
--- a/src/main/java/rushproxy/sidecar/TransientFailureTracker.java
+++ b/src/main/java/rushproxy/sidecar/TransientFailureTracker.java
@@ -4,46 +4,46 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** How long a call on one socket has been failing for a moment, and whether it is to be tried again. */
+/** Tracks how long a system call on one socket has been failing, and decides whether it is retried. */
 final class TransientFailureTracker {
-    /** A failed call is tried again after this. */
+    /** Delay before a failed call is retried. */
     static final long RETRY_DELAY_MS = 3;
-    /** What fails for so long without a break is not for a moment: longer than any client waits. */
+    /** A call that has failed without interruption for this long is not retried; no client waits longer. */
     private static final long MAX_FAILING_NANOS = TimeUnit.SECONDS.toNanos(20);
 
     private final LongSupplier nanoTime;
-    private boolean failing;
-    private long sinceNanos;
+    private boolean isFailing;
+    private long failingSinceNanos;
 
-    /** {@code nanoTime}: a monotonic clock. */
+    /** {@code nanoTime} is a monotonic clock. */
     TransientFailureTracker(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
     }
 
-    /** The call has failed; false where it is not to be tried again, its connection having ended. */
+    /** Records a failure; false if the call must not be retried, as the connection has ended or the failures have lasted too long. */
     boolean shouldRetry(IOException error) {
         if (SocketErrors.endsConnection(error)) {
             return false;
         }
-        if (!failing) {
-            failing = true;
-            sinceNanos = nanoTime.getAsLong();
+        if (!isFailing) {
+            isFailing = true;
+            failingSinceNanos = nanoTime.getAsLong();
         }
-        return nanoTime.getAsLong() - sinceNanos < MAX_FAILING_NANOS;
+        return nanoTime.getAsLong() - failingSinceNanos < MAX_FAILING_NANOS;
     }
 
-    /** The call has succeeded. */
+    /** Records a success. */
     void succeeded() {
-        failing = false;
+        isFailing = false;
     }
 
     /** Whether the last call failed. */
     boolean isFailing() {
-        return failing;
+        return isFailing;
     }
 
-    /** For how long it has been failing; 0 where it is not. */
+    /** Duration of the current series of failures; 0 if the last call succeeded. */
     long failingForMs() {
-        return failing ? TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - sinceNanos) : 0;
+        return isFailing ? TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - failingSinceNanos) : 0;
     }
 }
--- a/src/main/java/rushproxy/sidecar/UpstreamList.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamList.java
@@ -7,12 +7,13 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** A list of upstreams, or of changes, in discovery's form. */
+/** A list from discovery: all upstreams, or the changes since the previous list. */
 record UpstreamList(long generation, boolean isFull, List<Entry> entries) {
 
+    /** One listed upstream and its address. */
     record Entry(Upstream upstream, InetSocketAddress address) {}
 
-    /** Starts are as they are told, by a wall clock, in microseconds: {@link StartTimes} makes module time of them. */
+    /** Start times remain in wall clock time, in microseconds; {@link StartTimes} converts them. */
     static UpstreamList fromJson(Json json) {
         List<Entry> entries = new ArrayList<>();
         for (Json e : json.objects("instances")) {
@@ -36,18 +37,18 @@
         return new UpstreamList(json.number("generation"), json.flag("reset"), entries);
     }
 
-    /** An address in numbers: there is no DNS, and nothing here may block on a look-up. */
+    /** Parses a numeric address; host names are not supported, as a lookup could block the event loop. */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (host == null) {
-            throw new IllegalArgumentException("no address: '" + text + "'");
+            throw new IllegalArgumentException("invalid address: '" + text + "'");
         }
         try {
             return new InetSocketAddress(
                     java.net.InetAddress.getByAddress(host), Integer.parseInt(text.substring(colon + 1)));
         } catch (java.net.UnknownHostException | NumberFormatException e) {
-            throw new IllegalArgumentException("no address: '" + text + "'");
+            throw new IllegalArgumentException("invalid address: '" + text + "'");
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/UpstreamResponseDecoder.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamResponseDecoder.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Decodes answers, and tells whether any byte has come beyond the end of the last one. Netty reads some heads that are
- * no HTTP/1.1 as if they were; here they fail, as any other broken answer does.
+ * Decodes the responses of upstreams and tells whether there are surplus bytes after the last one. Rejects some heads that are invalid
+ * in HTTP/1.1 but that Netty accepts.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
     private static final int STATUS_DIGITS = 3;
@@ -21,7 +21,7 @@
     protected HttpMessage createMessage(String[] initialLine) {
         isInResponse = true;
         if (!initialLine[0].startsWith("HTTP/1.") || !isStatus(initialLine[1])) {
-            throw new IllegalArgumentException("no status line of HTTP/1.1");
+            throw new IllegalArgumentException("invalid HTTP/1.1 status line");
         }
         return super.createMessage(initialLine);
     }
@@ -30,11 +30,11 @@
         return text.length() == STATUS_DIGITS && text.charAt(0) != '0' && NumberSyntax.isDecimal(text, STATUS_DIGITS);
     }
 
-    /** A name ends at its colon: a line with white space or nothing there is no header, and names no length. */
+    /** Requires a colon right after the name: a line with whitespace or nothing in its place must not set the content length. */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon after a header's name");
+            throw new IllegalArgumentException("header name without a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
@@ -47,6 +47,7 @@
         }
     }
 
+    /** Whether the last response is complete and no further bytes are buffered. */
     boolean isBetweenResponses() {
         return !isInResponse && actualReadableBytes() == 0;
     }
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -139,14 +139,14 @@
                     .contains("\"name\":\"some\",\"of\":\"class:c\",\"per\":\"in_flight\",\"most\":10.0"));
             assertEquals("ACK\n", rig.call("unlimit some"));
             assertEquals("share some 20.0", rig.await("share some 20.0"));
-            assertEquals("NAK no limit of this name was set by a call\n", rig.call("unlimit other"));
-            assertEquals("NAK no class 'x'\n", rig.call("limit some class:x 10 in_flight"));
-            assertEquals("NAK 'ten' is no number\n", rig.call("limit some all ten in_flight"));
+            assertEquals("NAK no limit of this name was set by an operator\n", rig.call("unlimit other"));
+            assertEquals("NAK unknown class 'x'\n", rig.call("limit some class:x 10 in_flight"));
+            assertEquals("NAK 'ten' is not a number\n", rig.call("limit some all ten in_flight"));
             assertEquals(
                     "NAK 'most' is not all, class:NAME or tenant:NAME\n", rig.call("limit some most 10 in_flight"));
             assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.call("limit some all 10 a_day"));
-            assertEquals("NAK -1.0 is no limit\n", rig.call("limit some all -1 in_flight"));
-            assertEquals("NAK no such call\n", rig.call("limit some all 10"));
+            assertEquals("NAK -1.0 is not a valid limit\n", rig.call("limit some all -1 in_flight"));
+            assertEquals("NAK unknown command\n", rig.call("limit some all 10"));
         }
     }
 
@@ -171,9 +171,9 @@
                 last = rig.await("weights");
             } while (last.contains("u1"));
             assertEquals("weights {}", last);
-            assertTrue(rig.call("order r1 x 1 on 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 open 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 on 1 1 color=red").startsWith("NAK no order: 'color' is not"));
+            assertTrue(rig.call("order r1 x 1 on 1 1 ids=u1").startsWith("NAK invalid order: "));
+            assertTrue(rig.call("order r1 3 1 open 1 1 ids=u1").startsWith("NAK invalid order: "));
+            assertTrue(rig.call("order r1 3 1 on 1 1 color=red").startsWith("NAK invalid order: 'color' is not"));
         }
     }
 
@@ -201,9 +201,9 @@
     @Test
     void withoutItNothingIsSentAndNoViewIsKept() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
-            assertEquals("NAK keeps no view of members\n", rig.call("members"));
-            assertEquals("NAK shares nothing\n", rig.call("verdicts"));
-            assertEquals("NAK shares nothing\n", rig.call("limit some all 10 in_flight"));
+            assertEquals("NAK fleet membership is off\n", rig.call("members"));
+            assertEquals("NAK fleet sharing is off\n", rig.call("verdicts"));
+            assertEquals("NAK fleet sharing is off\n", rig.call("limit some all 10 in_flight"));
         }
     }
 
@@ -235,9 +235,9 @@
             {"{\"per_second\":1}", "'name' is missing"},
             {"{\"name\":\"a\",\"per_second\":1,\"x\":1}", "'fleet.limits.x' is unknown"},
             {"{\"name\":\"a\"}", "'fleet.limits', 'a' wants 'per_second' or 'in_flight'"},
-            {"{\"name\":\"a\",\"per_second\":1,\"class\":\"none\"}", "'fleet.limits', 'a': no class 'none'"},
+            {"{\"name\":\"a\",\"per_second\":1,\"class\":\"none\"}", "'fleet.limits', 'a': unknown class 'none'"},
             {"{\"name\":\"a\",\"per_second\":1},{\"name\":\"a\",\"per_second\":2}", "names 'a' twice"},
-            {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is no name"}
+            {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is not a name"}
         }) {
             assertTrue(
                     assertThrows(Config.Broken.class, () -> Rig.config(on.formatted(bad[0])))
