--- a/src/main/java/rushproxy/sidecar/CallListener.java
+++ b/src/main/java/rushproxy/sidecar/CallListener.java
@@ -26,7 +26,7 @@
     }
 
     /** Whether the call may still be sent; checked immediately before its first byte. */
-    default boolean mayBegin(UpstreamCall call) {
+    default boolean maySend(UpstreamCall call) {
         return true;
     }
 
--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/rushproxy/sidecar/Discovery.java
@@ -55,7 +55,7 @@
     /** Invalid responses double the interval, up to this multiple of {@link #MIN_INTERVAL_MS}. */
     private static final int MAX_INTERVAL_FACTOR = 16;
     /** Upper bound of the time from a poll that gets no response to the response to the next one. */
-    static final long MAX_NEWS_DELAY_MS = WAIT_MS + RESPONSE_TIMEOUT_MS + 2 * MIN_INTERVAL_MS + IMMEDIATE_TIMEOUT_MS;
+    static final long MAX_CHANGE_DELAY_MS = WAIT_MS + RESPONSE_TIMEOUT_MS + 2 * MIN_INTERVAL_MS + IMMEDIATE_TIMEOUT_MS;
 
     private final EventLoop loop;
     private final Clock clock;
@@ -126,7 +126,7 @@
     }
 
     /** Runs {@code callback} once the first poll has succeeded or failed, at once if none was ever started. */
-    void whenFirstCallCompletes(Runnable callback) {
+    void whenFirstPollCompletes(Runnable callback) {
         if (polls > 1 || pendingPoll == 0) {
             callback.run();
         } else {
--- a/src/main/java/rushproxy/sidecar/Requests.java
+++ b/src/main/java/rushproxy/sidecar/Requests.java
@@ -203,7 +203,7 @@
                     }
 
                     @Override
-                    public boolean mayBegin(UpstreamCall c) {
+                    public boolean maySend(UpstreamCall c) {
                         return Requests.this.mayBegin(x, number, c);
                     }
 
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -336,7 +336,7 @@
             listening = config.listen();
         }
         // What discovery has counts as told from the first moment: its first answer goes before the first client.
-        loop.execute(() -> discovery.whenFirstCallCompletes(() -> {
+        loop.execute(() -> discovery.whenFirstPollCompletes(() -> {
             if (fleet == null) {
                 clients.warm();
             } else {
--- a/src/main/java/rushproxy/sidecar/UpstreamPool.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamPool.java
@@ -373,7 +373,7 @@
      * once more.
      */
     private void write(UpstreamCall call) {
-        if (!acceptsCall(call) || !call.listener.mayBegin(call)) {
+        if (!acceptsCall(call) || !call.listener.maySend(call)) {
             call.cancelIfUnsent();
             return;
         }
@@ -436,7 +436,7 @@
             return true;
         }
         boolean isOutOfDate = waitedUs >= MAX_FIRST_BYTE_DELAY_US && ((TcpConnection) call.channel).writesFail();
-        if (!isOutOfDate && acceptsCall(call) && call.listener.mayBegin(call)) {
+        if (!isOutOfDate && acceptsCall(call) && call.listener.maySend(call)) {
             return true;
         }
         call.cancelIfUnsent();
--- a/src/test/java/rushproxy/sidecar/AdminServerTest.java
+++ b/src/test/java/rushproxy/sidecar/AdminServerTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The operators' address answers every line, and nobody there holds up another. */
+/** The administrative port replies to every line, and no connection can block another. */
 @Timeout(60)
 class AdminServerTest {
     @Test
-    void healthIsYesOnceClientsAreTaken() throws Exception {
+    void healthIsAcknowledgedOnceClientsAreAccepted() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
             assertEquals("ACK\n", rig.call("health"));
             assertEquals("ACK\n", rig.call("health\r"));
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void whatIsNoCallIsRefused() throws Exception {
+    void invalidCommandsAreRefused() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
             for (String line : List.of(
                     "", "reboot", "HEALTH", "health now", "cordon", "cordon ", "cordon a b", "x".repeat(9_000))) {
@@ -31,19 +31,19 @@
     }
 
     @Test
-    void oneLineToAConnection() throws Exception {
+    void onlyTheFirstLineOfAConnectionIsExecuted() throws Exception {
         try (Rig rig = new Rig().withAdmin().start();
                 Peer.Client c = rig.operator()) {
             assertEquals("ACK\n", c.send("health\nquiesce\n").rest());
             try (Peer.Client client = rig.client()) {
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(null, client.answer().header("Connection"), "a second call was carried out");
+                assertEquals(null, client.answer().header("Connection"), "the second command was executed");
             }
         }
     }
 
     @Test
-    void halfACallGetsItsNoAndSoDoesSilence() throws Exception {
+    void incompleteAndMissingCommandsAreRefused() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
             try (Peer.Client ended = rig.operator();
                     Peer.Client half = rig.operator();
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void callersThatStayKeepNobodyOut() throws Exception {
+    void idleConnectionsDoNotBlockOthers() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
             List<Peer.Client> silent = new ArrayList<>();
             for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void withoutAnAddressNothingListens() throws Exception {
+    void nothingListensWithoutAnAddress() throws Exception {
         try (Rig rig = new Rig().start()) {
             assertEquals(null, rig.sidecar.administered());
         }
--- a/src/test/java/rushproxy/sidecar/ClientDisconnectTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientDisconnectTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A client that closes its connection has gone: nothing is begun for it any more. */
+/** No attempt is started for a client that has disconnected. */
 @Timeout(60)
 class ClientDisconnectTest {
-    /** An upstream whose connections come up only when the test lets them: its backlog is full until then. */
+    /** A listener with a full backlog: connects stay pending until the test makes room. */
     private static final class FullBacklogServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> filling = new ArrayList<>();
@@ -38,12 +38,12 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** What the first connection sends that was not opened here; empty where it sends nothing before its end. */
+        /** Makes room and returns the first bytes that the sidecar sends; empty if it sends nothing. */
         String firstSent() throws Exception {
             for (Socket s : filling) {
                 s.close();
             }
-            // A connection that found no room is tried again after a second.
+            // The kernel repeats an unanswered SYN after a second.
             server.setSoTimeout(1_800);
             try {
                 while (true) {
@@ -65,9 +65,9 @@
         }
     }
 
-    /** In whichever way it ends its side: the request it waits for is over at once. */
+    /** Both ways of ending a connection expire the pending request at once. */
     @Test
-    void aResetAndAHalfCloseAreDeparturesToo() throws Exception {
+    void aResetAndAHalfCloseCountAsDisconnect() throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
@@ -82,20 +82,20 @@
                 halfCloses.send(Rig.get("a2", 3_000));
                 rig.await("request a2");
                 halfCloses.socket.shutdownOutput();
-                // Its end, not an answer: the time of the request is not over by far.
+                // The connection is closed without a response, long before the request's deadline.
                 assertEquals(null, halfCloses.answer());
                 assertEquals("expired a2", rig.await("expired"));
             }
         }
     }
 
-    /** The connection for its attempt comes up a second after the client has gone. */
+    /** The upstream connection is established a second after the client has disconnected. */
     @Test
-    void nothingIsSentWhenTheConnectionComesUpAfterTheClientHasGone() throws Exception {
-        try (FullBacklogServer door = new FullBacklogServer();
+    void nothingIsSentIfTheClientDisconnectsDuringTheConnect() throws Exception {
+        try (FullBacklogServer blocked = new FullBacklogServer();
                 Rig rig = new Rig((m, line) -> {})) {
             rig.discovery.script = (m, line) ->
-                    line.answer("200 OK", "", Rig.list(50, true, Rig.entry("u0", door.address(), "Ready", 0)));
+                    line.answer("200 OK", "", Rig.list(50, true, Rig.entry("u0", blocked.address(), "Ready", 0)));
             rig.upstream((m, line) -> {});
             rig.start();
             rig.await("list FULL u0=READY");
@@ -104,13 +104,13 @@
                 rig.await("request a1");
             }
             assertEquals("expired a1", rig.await("expired"));
-            assertEquals("", door.firstSent());
+            assertEquals("", blocked.firstSent());
         }
     }
 
-    /** The module is asked again once the connection is up: the window of a repeat may have closed meanwhile. */
+    /** The module's permission is checked again after the connect, as the retry window may have closed meanwhile. */
     @Test
-    void theModuleHasTheLastWordOnceTheConnectionIsUp() throws Exception {
+    void theModuleIsAskedAgainAfterTheConnect() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.mayBegin = false;
@@ -125,9 +125,9 @@
         }
     }
 
-    /** Its request and its departure lie there together, and the request is read first. */
+    /** The request and the end of the connection are both unread when the event loop continues, and the request is read first. */
     @Test
-    void nothingIsSentForAClientThatLeftWhileTheLoopWasHeldUp() throws Exception {
+    void nothingIsSentForAClientThatDisconnectedDuringAStall() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
@@ -145,9 +145,9 @@
         }
     }
 
-    /** The news that an upstream drains lies there as well: the order in which sockets are read must not matter. */
+    /** The list update is unread when the event loop continues; the order in which sockets are read must not matter. */
     @Test
-    void nothingIsSentToAnUpstreamWhoseDrainLiesUnreadWhileTheLoopWasHeldUp() throws Exception {
+    void nothingIsSentToAnUpstreamThatDrainedDuringAStall() throws Exception {
         for (int i = 0; i < 3; i++) {
             BlockingQueue<Peer.Line> watches = new LinkedBlockingQueue<>();
             try (Rig rig = new Rig((m, line) -> {
@@ -176,10 +176,10 @@
         }
     }
 
-    /** A class may allow a second copy: once one has served, the other is not begun. */
+    /** A hedged attempt that is still connecting is dropped once the other one has answered. */
     @Test
-    void aCopyWhoseConnectionStillComesUpIsNotSentOnceAnotherHasServed() throws Exception {
-        try (FullBacklogServer door = new FullBacklogServer();
+    void aHedgedAttemptIsNotSentOnceAnotherHasAnswered() throws Exception {
+        try (FullBacklogServer blocked = new FullBacklogServer();
                 Rig rig = new Rig((m, line) -> {})) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.discovery.script = (m, line) -> line.answer(
@@ -188,7 +188,7 @@
                     Rig.list(
                             50,
                             true,
-                            Rig.entry("u0", door.address(), "Ready", 0),
+                            Rig.entry("u0", blocked.address(), "Ready", 0),
                             Rig.entry("u1", up.address(), "Ready", 0)));
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
@@ -200,23 +200,23 @@
                 client.send(Rig.get("a1", 20_000));
                 assertEquals("served", client.answer().body());
             }
-            assertEquals("", door.firstSent());
+            assertEquals("", blocked.firstSent());
         }
     }
 
-    /** Its end lies behind all that it has sent ahead. */
+    /** The end of the connection is behind all pipelined requests. */
     @Test
-    void aClientThatSendsManyRequestsAndGoesIsSeenToHaveGone() throws Exception {
+    void aDisconnectBehindPipelinedRequestsIsDetected() throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                StringBuilder all = new StringBuilder();
+                StringBuilder pipelined = new StringBuilder();
                 for (int i = 0; i < 400; i++) {
-                    all.append(Rig.get("a" + i, 20_000));
+                    pipelined.append(Rig.get("a" + i, 20_000));
                 }
-                client.send(all.toString());
+                client.send(pipelined.toString());
             }
             assertEquals("expired a0", rig.await("expired"));
             assertEquals(
@@ -224,9 +224,9 @@
         }
     }
 
-    /** No attempt has taken of its body yet, and what is kept of it is full. */
+    /** No attempt consumes the body yet, and its buffer is full. */
     @Test
-    void aClientThatGoesWithinALongBodyThatWaitsIsSeenToHaveGone() throws Exception {
+    void aDisconnectWithinABufferedBodyIsDetected() throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
@@ -239,9 +239,9 @@
         }
     }
 
-    /** Behind so much that it can't be read: nothing may be begun for a client that nobody can see. */
+    /** More unread data than is buffered hides a disconnect, so no attempt may be started. */
     @Test
-    void whatWaitsForAClientThatCannotBeWatchedIsRefusedAndNeverBegun() throws Exception {
+    void aRequestIsRefusedIfADisconnectCouldNotBeDetected() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
@@ -256,17 +256,17 @@
     }
 
     @Test
-    void aClientThatSendsMoreAheadThanIsKeptGetsAnAnswerToAllThatWasRead() throws Exception {
+    void eachRequestReadIsAnsweredIfPipeliningExceedsTheBuffer() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                StringBuilder all = new StringBuilder();
+                StringBuilder pipelined = new StringBuilder();
                 for (int i = 0; i < 2_000; i++) {
-                    all.append(Rig.get("a" + i, 20_000));
+                    pipelined.append(Rig.get("a" + i, 20_000));
                 }
-                client.send(all.toString());
+                client.send(pipelined.toString());
                 int refused = 0;
                 for (int status; (status = client.status()) != -1; ) {
                     assertEquals(503, status);
@@ -278,15 +278,15 @@
         }
     }
 
-    /** It waited for room in memory, and nothing was read until there was some. */
+    /** The body waited for memory, and nothing was read from the client meanwhile. */
     @Test
-    void aClientThatLeftWhileItsBodyWaitedForRoomIsSentNothingFor() throws Exception {
+    void nothingIsSentForAClientThatDisconnectedWhileItsBodyWaitedForMemory() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             java.util.List<Peer.Client> filling = new ArrayList<>();
             try {
-                // 192 of 64 KiB are all that may be kept.
+                // 192 bodies of 64 KiB use up the budget.
                 for (int i = 0; i < 192; i++) {
                     filling.add(rig.client().send(upload("f" + i, 65_536)));
                 }
--- a/src/test/java/rushproxy/sidecar/CordonTest.java
+++ b/src/test/java/rushproxy/sidecar/CordonTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the operators call out stays out until they call it back, over lists, restarts and spoilt files. */
+/** A cordoned upstream stays cordoned until it is uncordoned, across list updates, restarts and damaged files. */
 @Timeout(60)
 class CordonTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private Rig rig() throws Exception {
         Rig rig = new Rig().withAdmin();
-        rig.kept = folder;
+        rig.kept = directory;
         rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
         return rig;
     }
@@ -31,14 +31,14 @@
     }
 
     private List<Path> files() throws Exception {
-        try (var all = Files.walk(folder)) {
+        try (var all = Files.walk(directory)) {
             return all.filter(Files::isRegularFile).toList();
         }
     }
 
-    /** The module of the test goes on sending: the sockets' side must not let it. */
+    /** The test's module keeps sending to the upstream; the connection pool must refuse. */
     @Test
-    void nothingIsSentToWhatWasCalledOut() throws Exception {
+    void nothingIsSentToACordonedUpstream() throws Exception {
         try (Rig rig = rig().start()) {
             assertEquals(200, serve(rig, "a1"));
             assertEquals("ACK\n", rig.call("cordon u0"));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void idsThatNobodyHasGetANo() throws Exception {
+    void unknownUpstreamsAreRefused() throws Exception {
         try (Rig rig = rig().start()) {
             assertTrue(rig.call("cordon u7").startsWith("NAK"));
             assertTrue(rig.call("uncordon u7").startsWith("NAK"));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void theNextProcessKnowsAndBothHearOfEachOthersCalls() throws Exception {
+    void theNextProcessLoadsCordonsAndBothSeeEachOthersCommands() throws Exception {
         try (Rig first = rig().start()) {
             assertEquals("ACK\n", first.call("cordon u0"));
             try (Rig next = rig().start()) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void spoiltFilesAreAnOrdinaryStart() throws Exception {
+    void damagedFilesAreIgnored() throws Exception {
         try (Rig first = rig().start()) {
             assertEquals("ACK\n", first.call("cordon u0"));
         }
@@ -97,30 +97,30 @@
         }
     }
 
-    /** Whatever the wall clock said when it was written: it is forgotten some time after this process has seen it. */
+    /** Guards against an uncordon that expires at once or never because the wall clock was stepped. */
     @Test
-    void aCallBackIsForgottenByTheMonotonicClock() throws Exception {
+    void anUncordonExpiresByTheMonotonicClock() throws Exception {
         long hourMs = 3_600_000;
         for (long stepMs : new long[] {-hourMs, hourMs}) {
             Files.writeString(
-                    folder.resolve("cordon-a.json"),
+                    directory.resolve("cordon-a.json"),
                     "{\"version\":1,\"id\":\"u0\",\"out\":false,\"atMs\":" + (System.currentTimeMillis() + stepMs)
                             + "}");
-            java.util.concurrent.atomic.AtomicLong nanos = new java.util.concurrent.atomic.AtomicLong();
+            java.util.concurrent.atomic.AtomicLong nanoTime = new java.util.concurrent.atomic.AtomicLong();
             java.util.concurrent.BlockingQueue<java.util.Map<String, CordonStore.CordonState>> changes =
                     new java.util.concurrent.LinkedBlockingQueue<>();
-            try (CordonStore store = new CordonStore(folder, 1_000, changes::add, nanos::get)) {
+            try (CordonStore store = new CordonStore(directory, 1_000, changes::add, nanoTime::get)) {
                 store.start();
                 assertEquals(java.util.Set.of("u0"), changes.take().keySet(), "clock stepped by " + stepMs);
-                nanos.set(1_000_000_000L);
+                nanoTime.set(1_000_000_000L);
                 assertEquals(java.util.Set.of(), changes.take().keySet(), "clock stepped by " + stepMs);
             }
         }
     }
 
-    /** While the process lives it holds what it was told, and writes it anew for the next one. */
+    /** The running process keeps the cordon and writes the file again for the next one. */
     @Test
-    void aFileThatVanishesIsNoCallBack() throws Exception {
+    void aMissingFileIsNotAnUncordon() throws Exception {
         try (Rig rig = rig().start()) {
             assertEquals("ACK\n", rig.call("cordon u0"));
             Files.delete(files().get(0));
@@ -131,15 +131,15 @@
         }
     }
 
-    /** Listed again as another start it is another target, and left out still. */
+    /** A restarted upstream is a new target in the pool, but is still cordoned. */
     @Test
-    void theListDoesNotBringItBack() throws Exception {
+    void aListUpdateDoesNotUncordon() throws Exception {
         String[] address = new String[1];
-        CountDownLatch calledOut = new CountDownLatch(1);
+        CountDownLatch cordoned = new CountDownLatch(1);
         try (Rig rig = new Rig((m, line) -> {
                     if (m.path().contains("index=41")) {
                         try {
-                            calledOut.await();
+                            cordoned.await();
                         } catch (InterruptedException e) {
                             throw new java.io.InterruptedIOException();
                         }
@@ -151,7 +151,7 @@
             address[0] = rig.peers.get(0).address();
             rig.start();
             assertEquals("ACK\n", rig.call("cordon u0"));
-            calledOut.countDown();
+            cordoned.countDown();
             rig.await("list FULL");
             assertEquals(502, serve(rig, "a1"));
         }
--- a/src/test/java/rushproxy/sidecar/DiscoveryTest.java
+++ b/src/test/java/rushproxy/sidecar/DiscoveryTest.java
@@ -7,14 +7,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Polling of the discovery agent: versions, invalid responses, and the bounds on how late a change is learned. */
 @Timeout(60)
 class DiscoveryTest {
     private static final String UP = Rig.entry("u0", "127.0.0.1:9", "Ready", 0);
-    /** The call after a bad answer is made by then, and the one after that is not given up. */
-    private static final long NEXT_CALL_MS = 300;
+    /** Longer than the interval after an invalid response, shorter than the timeout of a poll. */
+    private static final long NEXT_POLL_MS = 300;
 
     @Test
-    void theWatchGoesOnFromEachVersion() throws Exception {
+    void eachPollContinuesFromTheLastVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = new Rig((m, line) -> {
             switch (calls.incrementAndGet()) {
@@ -27,7 +28,7 @@
             rig.upstream((m, line) -> {});
             rig.start();
             assertEquals("list CACHED u0=READY", rig.await("list"));
-            // The first answer tells the module that it is subscribed, even without a change.
+            // The first response confirms the subscription to the module, even without a change.
             assertEquals("list DELTA ", rig.await("list"));
             assertEquals("list DELTA u0=DRAINING", rig.await("list"));
             assertEquals("list FULL u0=READY", rig.await("list"));
@@ -38,9 +39,9 @@
         }
     }
 
-    /** Guards against a watch that ends for good, and unsaid, where memory lacks for a list that has come. */
+    /** Guards against polling that stops silently after an error, such as a lack of memory, while a list is applied. */
     @Test
-    void theWatchGoesOnWhereAListCouldNotBeTakenOver() throws Exception {
+    void pollingContinuesAfterAListCouldNotBeApplied() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = new Rig((m, line) -> {
             if (calls.incrementAndGet() <= 2) {
@@ -50,7 +51,7 @@
             AtomicInteger lists = new AtomicInteger();
             rig.onWholeList = () -> {
                 if (lists.incrementAndGet() == 1) {
-                    throw new OutOfMemoryError("as the test wants");
+                    throw new OutOfMemoryError("simulated");
                 }
             };
             rig.upstream((m, line) -> {});
@@ -62,10 +63,10 @@
         }
     }
 
-    /** A bad answer is a failed call; taken for an empty list it would end all service. */
+    /** Guards against an invalid response being taken for an empty list, which would stop all service. */
     @Test
-    void aBadAnswerIsAFailedCallAndThenTheWholeListIsAskedFor() throws Exception {
-        String[] bad = {
+    void anInvalidResponseIsAFailureAndTheFullListIsRequestedNext() throws Exception {
+        String[] invalid = {
             "no json",
             "",
             "{}",
@@ -78,7 +79,7 @@
             Rig.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
-        for (String answer : bad) {
+        for (String answer : invalid) {
             AtomicInteger calls = new AtomicInteger();
             try (Rig rig = new Rig((m, line) -> {
                 switch (calls.incrementAndGet()) {
@@ -88,14 +89,14 @@
                 }
             })) {
                 rig.upstream((m, line) -> {});
-                // However late the answer comes here, the call that it answers is not given up.
+                // With the clock stopped no poll times out, however late its response is processed.
                 rig.time.stop();
                 rig.start();
                 rig.await("list CACHED");
                 assertEquals("list FAILED ", rig.await("list"), answer);
-                rig.pass(NEXT_CALL_MS);
+                rig.pass(NEXT_POLL_MS);
                 assertEquals("list FULL u0=READY", rig.await("list"));
-                rig.pass(NEXT_CALL_MS);
+                rig.pass(NEXT_POLL_MS);
                 rig.discovery.next();
                 assertEquals("/registry/instances", rig.discovery.next().path(), answer);
                 assertTrue(rig.discovery.next().path().contains("?index=60&wait="));
@@ -104,7 +105,7 @@
     }
 
     @Test
-    void callsThatFailAreToldAndTheVersionIsKept() throws Exception {
+    void failedPollsAreReportedAndTheVersionIsKept() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = new Rig((m, line) -> {
             switch (calls.incrementAndGet()) {
@@ -126,9 +127,9 @@
         }
     }
 
-    /** Where lists are pushed the module never asks: the sidecar keeps its watch by itself, also after failures. */
+    /** If lists are pushed the module never subscribes; the sidecar polls by itself, also after failures. */
     @Test
-    void pushedListsAreWatchedWithoutBeingAskedFor() throws Exception {
+    void pushedListsArePolledWithoutASubscription() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = new Rig((m, line) -> {
             switch (calls.incrementAndGet()) {
@@ -143,11 +144,11 @@
             rig.upstream((m, line) -> {});
             rig.start();
             rig.await("list CACHED");
-            assertEquals("list DELTA u0=READY", rig.await("list"), "told of a call it has not made, or of no change");
+            assertEquals("list DELTA u0=READY", rig.await("list"), "the module was notified without a change");
         }
     }
 
-    private static long waits(String path) {
+    private static long waitMs(String path) {
         return Long.parseLong(path.substring(path.indexOf("wait=") + 5));
     }
 
@@ -162,11 +163,11 @@
     }
 
     /**
-     * What a silent watch misses counts 6 s after it fell silent, or 2 s after its wait is over. So it waits briefly, is given
-     * up within half a second of that, and what follows does not wait: news is there, or the call is made again at once.
+     * If the agent stops responding, its changes must be known 6 s later, and 2 s after the wait of the poll. So a poll waits briefly, times
+     * out half a second after its wait, and is followed by one without a wait.
      */
     @Test
-    void aWatchThatFallsSilentIsOpenedAnewBeforeItsNewsCounts() throws Exception {
+    void anUnresponsivePollIsReplacedWithinItsBound() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = pushed((m, line) -> {
             switch (calls.incrementAndGet()) {
@@ -176,18 +177,18 @@
             }
         })) {
             assertEquals("list DELTA u0=DRAINING", rig.await("list"));
-            assertEquals(0, waits(rig.discovery.next().path()), "of a new process all counts at once");
-            assertTrue(waits(rig.discovery.next().path()) <= 2_000);
-            assertEquals(0, waits(rig.discovery.next().path()), "after silence nothing is waited for");
-            assertTrue(Discovery.MAX_NEWS_DELAY_MS + 500 <= 6_000, "with the grace for sends");
-            assertTrue(Discovery.MAX_NEWS_DELAY_MS <= 2_000 + 2_000, "2 s after the wait of the silent watch");
+            assertEquals(0, waitMs(rig.discovery.next().path()), "the first poll of a process must not wait");
+            assertTrue(waitMs(rig.discovery.next().path()) <= 2_000);
+            assertEquals(0, waitMs(rig.discovery.next().path()), "a poll after a timeout must not wait");
+            assertTrue(Discovery.MAX_CHANGE_DELAY_MS + 500 <= 6_000, "6 s, with the grace of half a second for sends");
+            assertTrue(Discovery.MAX_CHANGE_DELAY_MS <= 2_000 + 2_000, "2 s after the wait of the unresponsive poll");
         }
     }
 
-    /** Each way in which a watch can break is followed by a call that does not wait, on a connection of its own. */
+    /** Each failure of a pending poll is followed by a poll without a wait on a new connection. */
     @Test
-    void aWatchThatBreaksIsFollowedByACallThatDoesNotWait() throws Exception {
-        java.util.Map<String, Peer.Script> breaks = java.util.Map.of(
+    void aBrokenPollIsFollowedByOneWithoutAWait() throws Exception {
+        java.util.Map<String, Peer.Script> failures = java.util.Map.of(
                 "reset", (m, line) -> line.reset(),
                 "reset within a list",
                         (m, line) -> {
@@ -196,28 +197,28 @@
                         },
                 "closed", (m, line) -> line.socket().close(),
                 "refused", (m, line) -> line.answer("503 Down", "", ""));
-        for (java.util.Map.Entry<String, Peer.Script> broken : breaks.entrySet()) {
+        for (java.util.Map.Entry<String, Peer.Script> failure : failures.entrySet()) {
             AtomicInteger calls = new AtomicInteger();
             try (Rig rig = pushed((m, line) -> {
                 switch (calls.incrementAndGet()) {
                     case 1 -> line.answer("200 OK", "", Rig.list(41, false));
-                    case 2 -> broken.getValue().handle(m, line);
+                    case 2 -> failure.getValue().handle(m, line);
                     case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
                     default -> {}
                 }
             })) {
-                assertEquals("list DELTA u0=DRAINING", rig.await("list"), broken.getKey());
+                assertEquals("list DELTA u0=DRAINING", rig.await("list"), failure.getKey());
                 rig.discovery.next();
                 rig.discovery.next();
                 String path = rig.discovery.next().path();
-                assertEquals("/registry/instances?index=41&wait=0", path, broken.getKey());
+                assertEquals("/registry/instances?index=41&wait=0", path, failure.getKey());
             }
         }
     }
 
-    /** While discovery is down nearly always a call is out, and none that would be given up late. */
+    /** While the agent is down a poll without a wait is nearly always pending, and times out early. */
     @Test
-    void whileDiscoveryIsSilentItIsCalledAgainAndAgain() throws Exception {
+    void pollsAreRepeatedWhileDiscoveryIsUnresponsive() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = pushed((m, line) -> {
             int call = calls.incrementAndGet();
@@ -229,18 +230,18 @@
         })) {
             assertEquals("list DELTA u0=DRAINING", rig.await("list"));
             rig.discovery.next();
-            assertTrue(waits(rig.discovery.next().path()) > 0);
+            assertTrue(waitMs(rig.discovery.next().path()) > 0);
             for (int i = 3; i <= 5; i++) {
-                assertEquals(0, waits(rig.discovery.next().path()));
+                assertEquals(0, waitMs(rig.discovery.next().path()));
             }
-            assertTrue(waits(rig.discovery.next().path()) > 0, "answered, it is a watch again");
-            assertTrue(rig.discovery.accepted.size() >= 4, "what is silent gets no second call");
+            assertTrue(waitMs(rig.discovery.next().path()) > 0, "after a response polls wait again");
+            assertTrue(rig.discovery.accepted.size() >= 4, "polls after a timeout must use new connections");
         }
     }
 
-    /** Where the module asks, the sidecar goes on by itself as well: the module's own pauses have no bound here. */
+    /** After a subscription the sidecar keeps polling by itself, as the module may pause between subscriptions for any time. */
     @Test
-    void aWatchThatTheModuleAskedForGoesOnWithoutIt() throws Exception {
+    void pollingContinuesAfterASingleSubscription() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (Rig rig = new Rig((m, line) -> {
             switch (calls.incrementAndGet()) {
@@ -266,14 +267,14 @@
                 .collect(java.util.stream.Collectors.joining(","));
     }
 
-    /** As discovery may write it: each value on a line of its own. */
+    /** Formats JSON with one value on each line, as discovery may. */
     private static String indented(String json) {
         return json.replace("{", "{\n            ")
                 .replace(",\"", ",\n            \"")
                 .replace("}", "\n        }");
     }
 
-    /** Whole, indented, in changes; then one that is too long and one that is spoilt, after which the list before holds. */
+    /** A full list in indented JSON and a delta are applied; an oversized and a truncated response leave the previous list in force. */
     @Test
     void largeListsAreAppliedAndInvalidAnswersKeepThePreviousList() throws Exception {
         int servers = 10_000;
@@ -295,14 +296,14 @@
             assertEquals(servers, rig.await("list FULL").split("=READY", -1).length - 1);
             String changes = rig.await("list");
             assertEquals(1_024, changes.split("=DRAINING", -1).length - 1, changes.substring(0, 20));
-            // The two answers that are no lists told the module nothing.
+            // The module was not notified of the two invalid responses.
             assertEquals("list FULL s5=READY", rig.await("list"));
             String[] paths = new String[5];
             for (int i = 0; i < paths.length; i++) {
                 paths[i] = rig.discovery.next().path();
             }
-            assertTrue(paths[3].contains("index=43&wait=0"), "after the one too long: " + paths[3]);
-            assertEquals("/registry/instances", paths[4], "after the spoilt one");
+            assertTrue(paths[3].contains("index=43&wait=0"), "after the oversized response: " + paths[3]);
+            assertEquals("/registry/instances", paths[4], "after the truncated response");
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -18,10 +18,10 @@
 import rushproxy.PeerWord;
 import rushproxy.fleet.Envelope;
 
-/** The fleet plane on the sidecar's sockets: what is whose, and what is said at the end. */
+/** The fleet plane in a sidecar: dispatch of datagrams, admin commands, warm start, departure and configuration errors. */
 @Timeout(60)
 class FleetPlaneTest {
-    private static final int WORD = PeerWord.length(1, 1);
+    private static final int MODULE_MESSAGE_BYTES = PeerWord.length(1, 1);
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
@@ -43,25 +43,26 @@
         return rig;
     }
 
-    /** One entry of the store, from its writer. */
-    private static byte[] said(int member, String server, int kind) {
+    /** A datagram with one entry of the shared store: a member's report on a server. */
+    private static byte[] report(int member, String server, int kind) {
         long now = System.currentTimeMillis();
         ByteBuffer b = ByteBuffer.allocate(60).put((byte) 1);
         Envelope.put48(b, Envelope.id(server));
         Envelope.put48(b, Envelope.id("n" + member));
         b.putLong(now << 16).putInt(15_000).put((byte) 6).put(new byte[] {(byte) kind, 0, 16, 3, 0, 0});
-        return Envelope.from(Envelope.id("n" + member), now).add(21, b).bytes(WORD);
+        return Envelope.from(Envelope.id("n" + member), now).add(21, b).bytes(MODULE_MESSAGE_BYTES);
     }
 
     private static Envelope.Letter next(DatagramSocket peer, DatagramPacket into) throws Exception {
         into.setLength(1_000);
         peer.receive(into);
-        assertTrue(into.getLength() <= Envelope.MOST && into.getLength() != WORD, "" + into.getLength());
+        assertTrue(
+                into.getLength() <= Envelope.MOST && into.getLength() != MODULE_MESSAGE_BYTES, "" + into.getLength());
         return Envelope.read(java.util.Arrays.copyOf(into.getData(), into.getLength()));
     }
 
     @Test
-    void lettersAreItsOwnAndWordsTheModules() throws Exception {
+    void datagramsAreDispatchedToTheFleetPlaneOrTheModuleByLength() throws Exception {
         try (DatagramSocket peer = socket();
                 Rig rig = rig(peer).start()) {
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
@@ -70,15 +71,16 @@
             InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
             byte[] ping = Envelope.from(Envelope.id("n1"), System.currentTimeMillis())
                     .add(1, ByteBuffer.allocate(2).putShort((short) 77))
-                    .bytes(WORD);
+                    .bytes(MODULE_MESSAGE_BYTES);
             peer.send(new DatagramPacket(ping, ping.length, sidecar));
             Envelope.Letter answer;
             do {
                 answer = next(peer, got);
             } while (answer.sections().get(0).type() != 2);
             assertEquals(77, ByteBuffer.wrap(answer.sections().get(0).bytes()).getShort());
-            peer.send(new DatagramPacket(new byte[WORD], WORD, sidecar));
-            assertEquals("peer 1 " + WORD, rig.await("peer"), "the letter came to the module");
+            peer.send(new DatagramPacket(new byte[MODULE_MESSAGE_BYTES], MODULE_MESSAGE_BYTES, sidecar));
+            assertEquals(
+                    "peer 1 " + MODULE_MESSAGE_BYTES, rig.await("peer"), "a fleet datagram was passed to the module");
             assertEquals("fleet 2 MAJORITY", rig.await("fleet 2"));
             String members = rig.call("members");
             assertTrue(
@@ -96,9 +98,9 @@
         }
     }
 
-    /** Two peers speak against an upstream: the module is told, operators see it, and it goes when nobody says so any more. */
+    /** Reports of two peers against an upstream lead to a verdict, which the module receives and operators can query. */
     @Test
-    void whatTwoSayOfAServerComesToTheModuleAndToOperators() throws Exception {
+    void reportsOfTwoPeersBecomeAVerdict() throws Exception {
         try (DatagramSocket one = socket();
                 DatagramSocket two = socket();
                 Rig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
@@ -108,8 +110,8 @@
             next(one, got);
             InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
             for (DatagramSocket s : new DatagramSocket[] {one, two}) {
-                byte[] word = said(s == one ? 1 : 2, "u0", 1);
-                s.send(new DatagramPacket(word, word.length, sidecar));
+                byte[] report = report(s == one ? 1 : 2, "u0", 1);
+                s.send(new DatagramPacket(report, report.length, sidecar));
             }
             assertEquals("verdict u0 SILENT true", rig.await("verdict u0 SILENT true"));
             String verdicts = rig.call("verdicts");
@@ -122,7 +124,7 @@
     }
 
     @Test
-    void limitsAreTheConfigurationsAndTheOperators() throws Exception {
+    void limitsComeFromTheConfigurationAndFromCommands() throws Exception {
         try (DatagramSocket peer = socket();
                 Rig rig = rig(
                                 "{\"members\":true,\"shared\":true,\"limits\":[{\"name\":\"some\","
@@ -132,7 +134,7 @@
             assertEquals(
                     "share some 20.0",
                     rig.await("share some 20.0"),
-                    "its part, once the time of the process before is over");
+                    "its share, once the previous process's lease is over");
             assertEquals("ACK\n", rig.call("limit some class:c 10 in_flight"));
             assertEquals("share some 5.0", rig.await("share some 5.0"));
             assertTrue(rig.call("limits")
@@ -151,7 +153,7 @@
     }
 
     @Test
-    void whatAReleaseOrdersComesToTheModuleAndAnOlderControllerIsRefused() throws Exception {
+    void ordersReachTheModuleAndThoseOfAnOlderEpochAreRefused() throws Exception {
         try (DatagramSocket peer = socket();
                 Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
             rig.upstream((m, line) -> {});
@@ -178,28 +180,28 @@
     }
 
     @Test
-    void aProcessThatTakesAnothersPlaceBeginsWithWhatThatKnew(@TempDir Path kept) throws Exception {
-        Path own = Files.createDirectories(kept.resolve("rushproxy-n0"));
+    void aNewProcessStartsFromTheSnapshotOfThePreviousOne(@TempDir Path kept) throws Exception {
+        Path directory = Files.createDirectories(kept.resolve("rushproxy-n0"));
         Files.write(
-                own.resolve("known.bin"),
+                directory.resolve("known.bin"),
                 LearnedStateSnapshot.encode(new byte[] {4, 5}, System.currentTimeMillis() - 1_000));
         try (DatagramSocket peer = socket();
                 Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
             rig.kept = kept;
             rig.start();
             assertEquals("know [4, 5]", rig.await("know"));
-            // And leaves what it knows itself.
-            byte[] before = Files.readAllBytes(own.resolve("known.bin"));
-            while (java.util.Arrays.equals(before, Files.readAllBytes(own.resolve("known.bin")))) {
+            // The new process writes its own snapshot.
+            byte[] before = Files.readAllBytes(directory.resolve("known.bin"));
+            while (java.util.Arrays.equals(before, Files.readAllBytes(directory.resolve("known.bin")))) {
                 Thread.sleep(20);
             }
-            byte[] now = Files.readAllBytes(own.resolve("known.bin"));
+            byte[] now = Files.readAllBytes(directory.resolve("known.bin"));
             assertEquals(3, now.length - 17);
         }
     }
 
     @Test
-    void withoutItNothingIsSentAndNoViewIsKept() throws Exception {
+    void commandsAreRefusedIfTheFleetPlaneIsOff() throws Exception {
         try (Rig rig = new Rig().withAdmin().start()) {
             assertEquals("NAK fleet membership is off\n", rig.call("members"));
             assertEquals("NAK fleet sharing is off\n", rig.call("verdicts"));
@@ -208,7 +210,7 @@
     }
 
     @Test
-    void aMistakeInItsTableNamesThePlace() {
+    void configurationErrorsNameTheField() {
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
                         + "\"instances\":[]},\"settings\":" + Rig.SETTINGS + "}";
@@ -218,20 +220,20 @@
         assertTrue(assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{\"members\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.members' needs 'peer_listen'"));
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"\"shared\":true", "'fleet.shared' needs 'fleet.members'"},
             {"\"limits\":[]", "'fleet.limits' needs 'fleet.shared'"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{" + bad[0] + "}," + rest))
+                    assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{" + invalid[0] + "}," + rest))
                             .getMessage()
-                            .contains(bad[1]),
-                    bad[1]);
+                            .contains(invalid[1]),
+                    invalid[1]);
         }
-        String on =
+        String withLimits =
                 "{\"peer_listen\":\"127.0.0.1:9\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:10\"],\"fleet\":{\"members\":true,"
                         + "\"shared\":true,\"limits\":[%s]}," + rest;
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"{\"per_second\":1}", "'name' is missing"},
             {"{\"name\":\"a\",\"per_second\":1,\"x\":1}", "'fleet.limits.x' is unknown"},
             {"{\"name\":\"a\"}", "'fleet.limits', 'a' wants 'per_second' or 'in_flight'"},
@@ -240,10 +242,10 @@
             {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is not a name"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config(on.formatted(bad[0])))
+                    assertThrows(Config.Broken.class, () -> Rig.config(withLimits.formatted(invalid[0])))
                             .getMessage()
-                            .contains(bad[1]),
-                    bad[1]);
+                            .contains(invalid[1]),
+                    invalid[1]);
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/NumberSyntaxTest.java
+++ b/src/test/java/rushproxy/sidecar/NumberSyntaxTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 class NumberSyntaxTest {
-    /** Guards against a header that is taken for a number where the protocol has none, or not where it has one. */
+    /** Guards against a header value that is wrongly accepted or rejected as a number. */
     @Test
-    void itSaysWhatTheRegularExpressionsOfTheProtocolSay() {
+    void checksMatchTheEquivalentRegularExpressions() {
         String[] texts = {
             "",
             "0",
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Datagrams between sidecars. */
 @Timeout(60)
 class PeersTest {
     private static DatagramSocket socket() throws Exception {
@@ -23,7 +24,7 @@
     }
 
     @Test
-    void onlyPeersAreHeardAndOnlyWhatFits() throws Exception {
+    void onlyDatagramsOfPeersWithinTheSizeLimitArePassedOn() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
@@ -63,9 +64,9 @@
         }
     }
 
-    /** The transport closes a datagram socket whose read fails with ENOMEM, say. */
+    /** Guards against a sidecar that stops receiving after the transport has closed its socket, as on a read error such as ENOMEM. */
     @Test
-    void aSocketThatWasClosedIsReplaced() throws Exception {
+    void aClosedSocketIsReplaced() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (DatagramSocket peer = socket();
                 DatagramSocket free = socket()) {
@@ -74,9 +75,9 @@
             Peers peers = new Peers(
                     new Clock(), new Decisions(), List.of((InetSocketAddress) peer.getLocalSocketAddress()), null);
             peers.listen(group.next(), address);
-            Channel first = bound(peers, null);
+            Channel first = awaitBound(peers, null);
             first.close().sync();
-            bound(peers, first);
+            awaitBound(peers, first);
             peers.send(0, new byte[3]);
             DatagramPacket got = new DatagramPacket(new byte[10], 10);
             peer.receive(got);
@@ -86,9 +87,9 @@
         }
     }
 
-    private static Channel bound(Peers peers, Channel not) throws InterruptedException {
+    private static Channel awaitBound(Peers peers, Channel previous) throws InterruptedException {
         Channel now;
-        while ((now = peers.channel()) == null || now == not) {
+        while ((now = peers.channel()) == null || now == previous) {
             Thread.sleep(5);
         }
         return now;
--- a/src/test/java/rushproxy/sidecar/RegistrationRetryTest.java
+++ b/src/test/java/rushproxy/sidecar/RegistrationRetryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An interest is registered anew until its readiness is told, and no more than a few times. */
+/** An interest is registered again until readiness is observed, at most a few times. */
 @Timeout(60)
 class RegistrationRetryTest {
     private static final int READ = 1;
@@ -23,11 +23,11 @@
         loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** A channel whose interest is as told; all on its loop. */
+    /** A channel whose interest is set by the test, on its event loop. */
     private final class Channel implements RegistrationRetry.RegisteredChannel {
         private final CountDownLatch restored;
         private final RegistrationRetry retry = new RegistrationRetry(this);
-        private boolean wayIn;
+        private boolean listener;
         private int ops;
         private int withdrawn;
         private int restores;
@@ -36,7 +36,7 @@
             restored = new CountDownLatch(restores);
         }
 
-        void interested(int now) {
+        void setInterest(int now) {
             int before = ops;
             ops = now;
             retry.interestChanged(before);
@@ -55,28 +55,28 @@
         @Override
         public void withdrawInterest() {
             withdrawn++;
-            interested(0);
+            setInterest(0);
         }
 
         @Override
         public void restoreInterest(int now) {
             restores++;
-            interested(now);
+            setInterest(now);
             restored.countDown();
         }
 
         @Override
         public boolean isListener() {
-            return wayIn;
+            return listener;
         }
     }
 
     @Test
-    void anInterestIsRegisteredAnewSomeTimes() throws Exception {
+    void anInterestIsRegisteredAgainSeveralTimes() throws Exception {
         Channel channel = new Channel(6);
-        loop.execute(() -> channel.interested(READ));
+        loop.execute(() -> channel.setInterest(READ));
         assertTrue(channel.restored.await(30, TimeUnit.SECONDS));
-        // The retries of a retry would come within the first time again.
+        // If a retry triggered retries of its own, they would come within this time.
         loop.schedule(() -> {}, 60, TimeUnit.MILLISECONDS).sync();
         loop.submit(() -> {
                     assertEquals(6, channel.withdrawn);
@@ -87,10 +87,10 @@
     }
 
     @Test
-    void readinessThatWasToldEndsIt() throws Exception {
+    void observedReadinessEndsTheRetries() throws Exception {
         Channel channel = new Channel(1);
         loop.submit(() -> {
-                    channel.interested(READ);
+                    channel.setInterest(READ);
                     channel.retry.readinessObserved();
                 })
                 .sync();
@@ -99,23 +99,23 @@
     }
 
     @Test
-    void whatIsInterestedInNothingIsLeftAlone() throws Exception {
+    void nothingIsRetriedWithoutAnInterest() throws Exception {
         Channel channel = new Channel(1);
         loop.submit(() -> {
-                    channel.interested(READ);
-                    channel.interested(0);
+                    channel.setInterest(READ);
+                    channel.setInterest(0);
                 })
                 .sync();
         loop.schedule(() -> {}, 60, TimeUnit.MILLISECONDS).sync();
         loop.submit(() -> assertEquals(0, channel.withdrawn)).sync();
     }
 
-    /** Guards against a listener that hears nobody any more where the registration of the last retry failed. */
+    /** Guards against a listener that receives nothing more because the registration of the last retry failed. */
     @Test
-    void aWayInIsRegisteredAnewUntilItIsProven() throws Exception {
+    void aListenerIsRegisteredAgainUntilReadinessIsObserved() throws Exception {
         Channel channel = new Channel(8);
-        channel.wayIn = true;
-        loop.execute(() -> channel.interested(READ));
+        channel.listener = true;
+        loop.execute(() -> channel.setInterest(READ));
         assertTrue(channel.restored.await(30, TimeUnit.SECONDS));
         int restores = loop.submit(() -> {
                     channel.retry.readinessObserved();
--- a/src/test/java/rushproxy/sidecar/StartTimesTest.java
+++ b/src/test/java/rushproxy/sidecar/StartTimesTest.java
@@ -6,19 +6,20 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Starts of upstreams by a wall clock that is stepped by an hour, on this machine or on another. */
+/** Conversion of start times while a wall clock, on this machine or another, is stepped by up to an hour. */
 class StartTimesTest {
     private static final long HOUR_MS = 3_600_000;
     private static final long WALL_MS = 1_800_000_000_000L;
-    private static final long SLACK_US = 1_000_000;
+    private static final long TOLERANCE_US = 1_000_000;
 
     private final Clock clock = new Clock();
     private long wallMs = WALL_MS;
     private final StartTimes starts = new StartTimes(clock, () -> wallMs);
 
-    private static UpstreamList list(boolean whole, long startedAtMs) {
-        return UpstreamList.fromJson(Json.parse(Rig.list(1, whole, Rig.entry("u0", "127.0.0.1:1", "Ready", startedAtMs))
-                .getBytes(StandardCharsets.UTF_8)));
+    private static UpstreamList list(boolean isFull, long startedAtMs) {
+        return UpstreamList.fromJson(
+                Json.parse(Rig.list(1, isFull, Rig.entry("u0", "127.0.0.1:1", "Ready", startedAtMs))
+                        .getBytes(StandardCharsets.UTF_8)));
     }
 
     private static long started(UpstreamList list) {
@@ -28,8 +29,8 @@
     private void assertAge(long expectedMs, UpstreamList list) {
         long ageUs = clock.now() - started(list);
         assertTrue(
-                Math.abs(ageUs - expectedMs * 1_000) < SLACK_US,
-                "age " + ageUs / 1_000 + " ms instead of " + expectedMs);
+                Math.abs(ageUs - expectedMs * 1_000) < TOLERANCE_US,
+                "age " + ageUs / 1_000 + " ms, expected " + expectedMs);
     }
 
     @Test
@@ -39,22 +40,22 @@
     }
 
     @Test
-    void aFirstStartInTheFutureIsOneOfNow() {
+    void aFirstStartInTheFutureCountsAsNow() {
         assertAge(0, starts.fromInitialList(list(true, WALL_MS + HOUR_MS)));
     }
 
     @Test
-    void aRestartThatIsToldLaterIsOneOfNowWhateverItsNumber() {
+    void aStartReportedLaterCountsAsNow() {
         starts.fromDiscovery(list(true, WALL_MS - 60_000));
-        for (long step : new long[] {HOUR_MS, -HOUR_MS, 3_000, -3_000}) {
-            wallMs = WALL_MS + step;
+        for (long stepMs : new long[] {HOUR_MS, -HOUR_MS, 3_000, -3_000}) {
+            wallMs = WALL_MS + stepMs;
             assertAge(0, starts.fromDiscovery(list(false, wallMs)));
-            assertAge(0, starts.fromDiscovery(list(false, WALL_MS - 2 * step)));
+            assertAge(0, starts.fromDiscovery(list(false, WALL_MS - 2 * stepMs)));
         }
     }
 
     @Test
-    void whatIsToldAgainKeepsItsStart() {
+    void aRepeatedReportKeepsTheStart() {
         long first = started(starts.fromDiscovery(list(true, WALL_MS - 4_000)));
         wallMs = WALL_MS - HOUR_MS;
         assertEquals(first, started(starts.fromDiscovery(list(false, WALL_MS - 4_000))));
@@ -64,7 +65,7 @@
     }
 
     @Test
-    void longAgoStaysLongAgo() {
+    void anUnknownStartStaysUnknown() {
         assertEquals(0, started(starts.fromInitialList(list(true, 0))));
         assertEquals(0, started(starts.fromDiscovery(list(false, 0))));
     }
--- a/src/test/java/rushproxy/sidecar/UpstreamOutcomeTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamOutcomeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an upstream does, and the outcome that the module is told. */
+/** How the behaviour of an upstream maps to the outcome reported to the module. */
 @Timeout(60)
 class UpstreamOutcomeTest {
     private static void outcome(String expected, int status, Peer.Script script) throws Exception {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aServedAnswerCarriesItsLoadReport() throws Exception {
+    void aResponseCarriesItsLoadReport() throws Exception {
         outcome(
                 "OK true 7.0",
                 200,
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void malformedLoadReportsAreNoReports() throws Exception {
+    void malformedLoadReportsAreIgnored() throws Exception {
         for (String report :
                 new String[] {"TEXT inflight=", "TEXT inflight=NaN", "TEXT inflight=-1", "JSON {}", "TEXT"}) {
             outcome("OK true -", 200, (m, line) -> line.answer("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void onlyAnAnswerSaidToBeTurnedAwayProvesThatNothingRan() throws Exception {
+    void onlyAStatus503Or504WithTheTurnedAwayHeaderIsARejection() throws Exception {
         outcome("REJECTED false -", 502, (m, line) -> line.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
         outcome("REJECTED false -", 502, (m, line) -> line.answer("504 Late", "X-Turned-Away: 1\r\n", ""));
         outcome("ERROR false -", 502, (m, line) -> line.answer("503 Busy", "", ""));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatBreaksAfterTheRequestWasWrittenIsAReset() throws Exception {
+    void aFailureAfterTheRequestWasWrittenIsAReset() throws Exception {
         outcome("RESET false -", 502, (m, line) -> line.reset());
         outcome("RESET false -", 502, (m, line) -> line.socket().close());
         outcome("RESET false -", 502, (m, line) -> {
@@ -63,9 +63,8 @@
                 (m, line) -> line.raw("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"));
     }
 
-    /** An interim answer is not the answer. */
     @Test
-    void interimAnswersAreWaitedThrough() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
             line.raw("HTTP/1.1 102 Processing\r\n\r\n");
             line.answer("200 OK", "", "slot");
@@ -73,7 +72,7 @@
     }
 
     @Test
-    void aRefusedConnectionCouldNotConnect() throws Exception {
+    void aRefusedConnectionIsAConnectFailure() throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream((m, line) -> {}).close();
             rig.start();
@@ -84,9 +83,9 @@
         }
     }
 
-    /** A late answer to a call given up must find nobody, so the connection may not be used again. */
+    /** Guards against a late response being taken for that of the next call on the connection. */
     @Test
-    void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
+    void aTimeoutClosesTheConnection() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
@@ -121,9 +120,9 @@
         }
     }
 
-    /** No library and no pool may send a request again by itself: the stale connection's end is an outcome. */
+    /** Guards against a library or the pool repeating a request by itself; the failure of a stale connection is an outcome. */
     @Test
-    void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
+    void aRequestOnAStaleConnectionIsAResetAndNotRepeated() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
             rig.start();
@@ -131,7 +130,7 @@
                 client.send(Rig.get("a1", 20_000));
                 assertEquals(200, client.status());
                 rig.await("outcome a1");
-                // Before it has rested another one is opened.
+                // Wait until the reuse delay is over.
                 Thread.sleep(2 * UpstreamPool.REUSE_DELAY_US / 1000);
                 up.script = (m, line) -> line.reset();
                 client.send(Rig.get("a2", 20_000));
@@ -143,9 +142,9 @@
         }
     }
 
-    /** Where an upstream says that it closes, a call written to that connection would end as a reset. */
+    /** Guards against a call on a connection that the upstream has announced to close, which would end as a reset. */
     @Test
-    void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
+    void aConnectionAnnouncedToCloseIsNotReused() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
             rig.start();
@@ -160,7 +159,7 @@
     }
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (Rig rig = new Rig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
             rig.start();
@@ -175,15 +174,15 @@
                 assertEquals("q7", sent.header("X-Txn"));
                 assertEquals("k9", sent.header("Idempotency-Key"));
                 assertEquals("h\u00e9llo", sent.body());
-                int waits = Integer.parseInt(sent.header("X-Remaining-Ms"));
-                assertTrue(waits > 0 && waits <= 9000, "waits " + waits);
+                int remainingMs = Integer.parseInt(sent.header("X-Remaining-Ms"));
+                assertTrue(remainingMs > 0 && remainingMs <= 9000, "remaining " + remainingMs);
             }
         }
     }
 
-    /** An answer that can't be read as HTTP/1.1 may have run, and nothing of it is passed on as served. */
+    /** An invalid response does not prove that the request was not processed, and must not be forwarded. */
     @Test
-    void answersThatAreNoHttpAreResets() throws Exception {
+    void invalidResponsesAreResets() throws Exception {
         for (String head : new String[] {
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 3",
             "HTTP/1.1 200 OK\r\nContent-Length : 3",
@@ -204,9 +203,9 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\nabc\r\n0\r\n\r\n"));
     }
 
-    /** Without a length only an orderly end tells that an answer is whole. */
+    /** Without a length only an orderly close marks a response as complete. */
     @Test
-    void anAnswerWithoutALengthThatBreaksOffIsAReset() throws Exception {
+    void aResponseWithoutALengthThatIsCutOffIsAReset() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
             line.raw("HTTP/1.1 200 OK\r\n\r\nslot");
             line.socket().close();
@@ -217,37 +216,34 @@
         });
     }
 
-    /**
-     * An upstream that sends more than one answer to a request: the surplus must not be taken for the answer to the
-     * request that goes out as soon as the first has ended.
-     */
+    /** Guards against surplus bytes after a response being taken for the response to the next request on the connection. */
     @Test
-    void whatComesBeyondAnAnswerIsNeverTheAnswerToTheNextRequest() throws Exception {
-        nextRequestGetsItsOwnAnswer((m, line) -> {
-            String answer = answerTo(m);
+    void surplusBytesAreNotTakenForTheNextResponse() throws Exception {
+        assertNextRequestGetsItsOwnResponse((m, line) -> {
+            String answer = responseTo(m);
             line.raw(answer + answer);
         });
         for (int cut : new int[] {1, 12, 30, 39}) {
-            nextRequestGetsItsOwnAnswer(new Peer.Script() {
-                private String rest = "";
+            assertNextRequestGetsItsOwnResponse(new Peer.Script() {
+                private String remainder = "";
 
                 @Override
                 public synchronized void handle(Peer.Message m, Peer.Line line) throws java.io.IOException {
-                    String answer = answerTo(m);
-                    String late = rest;
-                    rest = answer.substring(cut);
-                    line.raw(late + answer + answer.substring(0, cut));
+                    String answer = responseTo(m);
+                    String surplus = remainder;
+                    remainder = answer.substring(cut);
+                    line.raw(surplus + answer + answer.substring(0, cut));
                 }
             });
         }
     }
 
-    private static String answerTo(Peer.Message m) {
+    private static String responseTo(Peer.Message m) {
         String id = m.header("X-Txn");
         return "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
     }
 
-    private static void nextRequestGetsItsOwnAnswer(Peer.Script script) throws Exception {
+    private static void assertNextRequestGetsItsOwnResponse(Peer.Script script) throws Exception {
         try (Rig rig = new Rig()) {
             rig.upstream(new Peer.Script() {
                 private java.net.Socket first;
@@ -258,7 +254,7 @@
                         first = line.socket();
                         script.handle(m, line);
                     } else {
-                        line.raw(answerTo(m));
+                        line.raw(responseTo(m));
                     }
                 }
             });
--- a/src/test/java/rushproxy/sidecar/UpstreamPoolTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamPoolTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections and the list: everything here happens on one event loop, as in the program. */
+/** Connection handling and list updates of {@link UpstreamPool}, on one event loop as in production. */
 @Timeout(60)
 class UpstreamPoolTest {
-    /** Running, until a test stops it. */
+    /** Runs until a test stops it. */
     private final MovableTime clock = new MovableTime();
 
     private final LoopDelay loopDelay = new LoopDelay();
@@ -33,40 +33,41 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private UpstreamPool upstreams(long idleUs, int most) throws Exception {
-        return upstreams(idleUs, 0, most);
+    private UpstreamPool upstreams(long idleUs, int maxConnections) throws Exception {
+        return upstreams(idleUs, 0, maxConnections);
     }
 
-    private UpstreamPool upstreams(long idleUs, long restUs, int most) throws Exception {
-        return upstreams(idleUs, restUs, 2_000_000, most);
+    private UpstreamPool upstreams(long idleUs, long reuseDelayUs, int maxConnections) throws Exception {
+        return upstreams(idleUs, reuseDelayUs, 2_000_000, maxConnections);
     }
 
-    private UpstreamPool upstreams(long idleUs, long restUs, long dialTimeoutUs, int most) throws Exception {
+    private UpstreamPool upstreams(long idleUs, long reuseDelayUs, long connectTimeoutUs, int maxConnections)
+            throws Exception {
         return loop.submit(() -> new UpstreamPool(
                         loop,
                         new RunningTime(clock, loopDelay),
                         idleUs,
-                        restUs,
-                        dialTimeoutUs,
-                        () -> most,
+                        reuseDelayUs,
+                        connectTimeoutUs,
+                        () -> maxConnections,
                         new Budget(1 << 20)))
                 .get();
     }
 
-    private static UpstreamList list(boolean whole, String... entries) {
-        return UpstreamList.fromJson(Json.parse(Rig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
+    private static UpstreamList list(boolean isFull, String... entries) {
+        return UpstreamList.fromJson(Json.parse(Rig.list(1, isFull, entries).getBytes(StandardCharsets.UTF_8)));
     }
 
     private UpstreamCall call(String upstream) {
         return call(upstream, 20_000_000);
     }
 
-    private UpstreamCall call(String upstream, long withinUs) {
+    private UpstreamCall call(String upstream, long timeoutUs) {
         return new UpstreamCall(
                 upstream,
-                clock.now() + withinUs,
+                clock.now() + timeoutUs,
                 false,
-                left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
+                remainingUs -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 null,
                 (c, outcome, report, body) -> outcomes.add(upstream + " " + outcome));
     }
@@ -76,11 +77,11 @@
     }
 
     /**
-     * A connection that comes up after its upstream drained, went or restarted must carry nothing. The change
-     * falls into the same turn of the loop as the call, so that the connection can't be up before it.
+     * Guards against a request to an upstream that drained, left or restarted during the connect. The list changes in the same iteration
+     * of the event loop that starts the call, so the connection can't be established before it.
      */
     @Test
-    void nothingIsSentToAnUpstreamThatChangedWhileItsConnectionCameUp() throws Exception {
+    void nothingIsSentToAnUpstreamThatChangedDuringTheConnect() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
                 Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamPool upstreams = upstreams(15_000_000, 100);
@@ -99,24 +100,24 @@
                 });
                 assertEquals("u NOT_SENT", outcome());
             }
-            assertTrue(up.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent all the same");
+            assertTrue(up.messages.isEmpty() && moved.messages.isEmpty(), "a request was sent");
         }
     }
 
-    /** Guards against a repeat that a process, held up between its last look at the clock and the write, sends after its window. */
+    /** Guards against a retry sent after its window by a process that was delayed between its last check and the write. */
     @Test
-    void whatMayNotBeginAnyMoreAtItsFirstByteIsNotSent() throws Exception {
+    void permissionIsCheckedAgainBeforeTheFirstByte() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamPool upstreams = upstreams(15_000_000, 100);
-            java.util.concurrent.atomic.AtomicLong closesUs =
+            java.util.concurrent.atomic.AtomicLong windowEndUs =
                     new java.util.concurrent.atomic.AtomicLong(Long.MAX_VALUE);
             UpstreamCall late = new UpstreamCall(
                     "u",
                     clock.now() + 20_000_000,
                     false,
-                    left -> {
-                        closesUs.set(clock.now() + 5_000);
-                        while (clock.now() < closesUs.get()) {
+                    remainingUs -> {
+                        windowEndUs.set(clock.now() + 5_000);
+                        while (clock.now() < windowEndUs.get()) {
                             Thread.onSpinWait();
                         }
                         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
@@ -124,8 +125,8 @@
                     null,
                     new CallListener() {
                         @Override
-                        public boolean mayBegin(UpstreamCall c) {
-                            return clock.now() < closesUs.get();
+                        public boolean maySend(UpstreamCall c) {
+                            return clock.now() < windowEndUs.get();
                         }
 
                         @Override
@@ -142,13 +143,13 @@
                 upstreams.start(late);
             });
             assertEquals("u NOT_SENT", outcome());
-            assertTrue(up.messages.isEmpty(), "its first byte left after its window");
+            assertTrue(up.messages.isEmpty(), "sent after its window");
         }
     }
 
-    /** The same upstream named again, as in every whole list, is no change: its connections stay. */
+    /** An unchanged entry, as in every full list, must not close connections. */
     @Test
-    void aListThatSaysTheSameKeepsTheConnections() throws Exception {
+    void anUnchangedListEntryKeepsItsConnections() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamPool upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
@@ -162,9 +163,9 @@
         }
     }
 
-    /** An upstream drops idle connections unseen; a request written to one from then on would end as a reset. */
+    /** Guards against a request on a connection that the upstream is closing for idleness, which ends as a reset. */
     @Test
-    void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
+    void idleConnectionsAreClosedBeforeTheUpstreamClosesThem() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamPool upstreams = upstreams(1, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
@@ -173,31 +174,31 @@
                 assertEquals("u OK", outcome());
             }
             assertEquals(-1, up.accepted.take().getInputStream().read());
-            assertEquals(1, up.accepted.size(), "the second call did not open a connection of its own");
+            assertEquals(1, up.accepted.size(), "the second call did not open a connection");
         }
     }
 
-    /** Also a body that would flow on to it: the attempt has failed, and nothing of the body is gone. */
+    /** The upstream accepts and resets at once. The call must count as not connected, and its streamed body must not be consumed. */
     @Test
-    void aConnectionThatEndsAsSoonAsItIsUpHasCarriedNothing() throws Exception {
-        try (java.net.ServerSocket door =
+    void aConnectionResetOnAcceptIsAConnectFailure() throws Exception {
+        try (java.net.ServerSocket listener =
                 new java.net.ServerSocket(0, 50, java.net.InetAddress.getByName("127.0.0.1"))) {
-            Thread closes = new Thread(() -> {
+            Thread resets = new Thread(() -> {
                 try {
                     while (true) {
-                        java.net.Socket socket = door.accept();
+                        java.net.Socket socket = listener.accept();
                         socket.setSoLinger(true, 0);
                         socket.close();
                     }
                 } catch (java.io.IOException e) {
-                    // the test is over
+                    // The test has closed the listener.
                 }
             });
-            closes.setDaemon(true);
-            closes.start();
+            resets.setDaemon(true);
+            resets.start();
             UpstreamPool upstreams = upstreams(15_000_000, 100);
             loop.execute(() ->
-                    upstreams.update(list(true, Rig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
+                    upstreams.update(list(true, Rig.entry("u", "127.0.0.1:" + listener.getLocalPort(), "Ready", 0))));
             for (int i = 0; i < 50; i++) {
                 Body body = new Body(() -> {}, -1);
                 loop.execute(() -> {
@@ -206,7 +207,7 @@
                             "u",
                             clock.now() + 20_000_000,
                             false,
-                            left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api"),
+                            remainingUs -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api"),
                             body,
                             (c, outcome, report, answer) -> outcomes.add("u " + outcome)));
                 });
@@ -215,9 +216,9 @@
         }
     }
 
-    /** It says nothing about the upstream, which was never asked. */
+    /** The upstream was not involved, so the timeout must not count against it. */
     @Test
-    void aCallWhoseTimeEndsWhileItsConnectionRestsWasNotSent() throws Exception {
+    void aTimeoutDuringTheReuseDelayIsNotSent() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             UpstreamPool upstreams = upstreams(15_000_000, 5_000_000, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
@@ -229,9 +230,9 @@
         }
     }
 
-    /** The second answer comes once the next call waits for the connection: it must not be taken for that call's. */
+    /** Guards against a duplicate response, received while the next call waits for the reuse delay, being taken for that call's. */
     @Test
-    void anAnswerThatComesTwiceIsNotTheNextCalls() throws Exception {
+    void aDuplicateResponseIsNotTakenForTheNextCalls() throws Exception {
         Peer.Line[] first = new Peer.Line[1];
         try (Peer up = new Peer((m, line) -> {
             if (first[0] == null) {
@@ -249,25 +250,26 @@
             first[0].answer("503 Busy", "X-Turned-Away: 1\r\n", "");
             assertEquals("u OK", outcome());
             assertEquals(
-                    -1, up.accepted.take().getInputStream().read(), "what brought an answer too many is used again");
+                    -1,
+                    up.accepted.take().getInputStream().read(),
+                    "a connection with a surplus response is used again");
         }
     }
 
-    /** A call that finds only connections that rest waits for the first of them: another would cost more. */
+    /** Waiting for the reuse delay takes less time than a new connection. */
     @Test
-    void aCallWaitsForAConnectionThatRests() throws Exception {
+    void aCallWaitsForTheReuseDelayOfAConnection() throws Exception {
         threeCallsUseOneConnection(100_000, 0);
     }
 
-    /** Once it has rested it is as good as before. */
     @Test
-    void aConnectionThatHasRestedIsUsedAgain() throws Exception {
+    void aConnectionIsReusedAfterItsReuseDelay() throws Exception {
         threeCallsUseOneConnection(1, 2);
     }
 
-    private void threeCallsUseOneConnection(long restUs, long pauseMs) throws Exception {
+    private void threeCallsUseOneConnection(long reuseDelayUs, long pauseMs) throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "served"))) {
-            UpstreamPool upstreams = upstreams(15_000_000, restUs, 100);
+            UpstreamPool upstreams = upstreams(15_000_000, reuseDelayUs, 100);
             loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
@@ -278,9 +280,9 @@
         }
     }
 
-    /** Descriptors are few: at the cap an idle connection elsewhere makes room, and without one nothing is sent. */
+    /** At the limit an idle connection of another upstream is closed to make room; if there is none, the call is not sent. */
     @Test
-    void connectionsStayWithinTheirCap() throws Exception {
+    void connectionsStayWithinTheLimit() throws Exception {
         try (Peer a = new Peer((m, line) -> line.answer("200 OK", "", ""));
                 Peer silent = new Peer((m, line) -> {})) {
             UpstreamPool upstreams = upstreams(15_000_000, 1);
@@ -296,9 +298,9 @@
         }
     }
 
-    /** What never came up holds no place: otherwise a crashed upstream would use up the cap by and by. */
+    /** Guards against a crashed upstream using up the limit with failed connects. */
     @Test
-    void connectionsThatFailFreeTheirPlace() throws Exception {
+    void failedConnectsDoNotCountAgainstTheLimit() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", ""));
                 Peer gone = new Peer((m, line) -> {})) {
             gone.close();
@@ -315,21 +317,21 @@
         }
     }
 
-    private static final long DIAL_US = 100_000;
-    private static final long HOLD_UP_MS = 3 * DIAL_US / 1_000;
+    private static final long CONNECT_TIMEOUT_US = 100_000;
+    private static final long STALL_MS = 3 * CONNECT_TIMEOUT_US / 1_000;
 
-    /** The loop does nothing for a while, as in a process that gets no processor. */
-    private static void holdUp() {
+    /** Blocks the event loop, as in a process that gets no processor time. */
+    private static void stall() {
         try {
-            Thread.sleep(HOLD_UP_MS);
+            Thread.sleep(STALL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** With an upstream that has answered once before, so that no code runs for the first time. */
-    private UpstreamPool used(Peer up) throws Exception {
-        UpstreamPool upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
+    /** A pool whose upstream has answered once before, so that no code runs for the first time in the test. */
+    private UpstreamPool warmedUp(Peer up) throws Exception {
+        UpstreamPool upstreams = upstreams(15_000_000, 0, CONNECT_TIMEOUT_US, 100);
         loop.submit(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))))
                 .get();
         loop.execute(() -> upstreams.start(call("u")));
@@ -338,69 +340,69 @@
     }
 
     /**
-     * Starts the call while the loop handles a socket, and holds the loop up there: its timers run next, and only then does it ask
-     * which sockets are ready.
+     * Starts the call while the event loop handles a socket, and blocks the loop there. Its timers run next, before it selects the
+     * sockets that are ready.
      */
-    private void startAndHoldUp(UpstreamPool upstreams, UpstreamCall call) {
+    private void startAndStall(UpstreamPool upstreams, UpstreamCall call) {
         loop.execute(() -> upstreams.start(new UpstreamCall(
                 "u",
                 clock.now() + 20_000_000,
                 false,
-                left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
+                remainingUs -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 null,
                 (c, outcome, report, body) -> {
                     upstreams.start(call);
-                    holdUp();
+                    stall();
                 })));
     }
 
-    /** The dial's time-out is due when the loop goes on, and so is the news that the connection is up: the news counts. */
+    /** When the event loop continues, both the connect timeout and the established connection are pending; the connection must win. */
     @Test
-    void aConnectionThatCameUpInAHoldUpIsUsed() throws Exception {
+    void aConnectionEstablishedDuringAStallIsUsed() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
-            UpstreamPool upstreams = used(up);
-            startAndHoldUp(upstreams, call("u"));
+            UpstreamPool upstreams = warmedUp(up);
+            startAndStall(upstreams, call("u"));
             assertEquals("u OK", outcome());
         }
     }
 
-    /** Guards against a time-out that runs behind a look which passed over its socket, whose registration was being made anew. */
+    /** Guards against a timeout after a selection that missed the socket because its registration was being renewed. */
     @Test
-    void anAnswerBehindAWithdrawnRegistrationIsTaken() throws Exception {
+    void aResponseIsReadWhileTheRegistrationIsRenewed() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamPool upstreams = used(up);
-            UpstreamCall call = call("u", DIAL_US);
+            UpstreamPool upstreams = warmedUp(up);
+            UpstreamCall call = call("u", CONNECT_TIMEOUT_US);
             loop.execute(() -> {
                 upstreams.start(call);
                 loop.execute(() -> {
                     ((TcpConnection) call.channel).withdrawInterest();
-                    holdUp();
+                    stall();
                 });
             });
             assertEquals("u OK", outcome());
         }
     }
 
-    /** It is up, but its call's time was used up here. */
+    /** The connection is established, and the call's time was lost in this process. */
     @Test
-    void aCallWhoseTimeEndsInAHoldUpIsNoFailureOfItsUpstream() throws Exception {
+    void aConnectThatTimesOutInAStallIsNotBlamedOnTheUpstream() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "sent"))) {
-            UpstreamPool upstreams = used(up);
-            startAndHoldUp(upstreams, call("u", DIAL_US / 2));
+            UpstreamPool upstreams = warmedUp(up);
+            startAndStall(upstreams, call("u", CONNECT_TIMEOUT_US / 2));
             assertEquals("u NOT_SENT", outcome());
-            assertEquals(2, up.messages.size(), "it was sent too late");
+            assertEquals(2, up.messages.size(), "sent after its deadline");
         }
     }
 
-    /** As it is with a call that had but a moment left for its connection to come up in. */
+    /** Guards against blaming the upstream when the call's deadline left too little time for a connect. */
     @Test
-    void aConnectionThatHadButAMomentIsNoFailureOfItsUpstream() throws Exception {
-        try (java.net.ServerSocket full = full()) {
-            UpstreamPool upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
+    void aConnectCutOffByAShortDeadlineIsNotBlamedOnTheUpstream() throws Exception {
+        try (java.net.ServerSocket full = fullBacklog()) {
+            UpstreamPool upstreams = upstreams(15_000_000, 0, CONNECT_TIMEOUT_US, 100);
             loop.submit(() -> upstreams.update(
                             list(true, Rig.entry("u", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
-            // However late the loop is, no more than the call's time passes.
+            // With the clock stopped exactly the call's time passes, however late the loop is.
             clock.stop();
             loop.execute(() -> {
                 upstreams.start(call("u", 2_000));
@@ -411,56 +413,56 @@
     }
 
     @Test
-    void anAnswerThatCameInAHoldUpIsTaken() throws Exception {
+    void aResponseReceivedDuringAStallIsUsed() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamPool upstreams = used(up);
-            startAndHoldUp(upstreams, call("u", DIAL_US));
+            UpstreamPool upstreams = warmedUp(up);
+            startAndStall(upstreams, call("u", CONNECT_TIMEOUT_US));
             assertEquals("u OK", outcome());
         }
     }
 
-    /** It may have run, but whether its upstream is silent is not known. */
+    /** The request may have been processed, but the timeout does not show that the upstream is unresponsive. */
     @Test
-    void aCallThatWasHeldUpForMostOfItsTimeIsNoSilenceOfItsUpstream() throws Exception {
+    void aTimeoutMostlySpentInAStallIsNotBlamedOnTheUpstream() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
-            UpstreamPool upstreams = used(up);
+            UpstreamPool upstreams = warmedUp(up);
             up.script = (m, line) -> {};
-            UpstreamCall call = call("u", DIAL_US);
+            UpstreamCall call = call("u", CONNECT_TIMEOUT_US);
             loop.execute(() -> {
                 loopDelay.beat(clock.now());
                 upstreams.start(call);
-                holdUp();
+                stall();
             });
             assertEquals("u CANCELLED", outcome());
             assertTrue(call.mayHaveReachedUpstream());
-            long tookUs = loop.submit(() -> upstreams.latencyUs(call)).get();
-            assertTrue(tookUs < HOLD_UP_MS * 1_000, "the hold-up counts as the upstream's: " + tookUs);
+            long latencyUs = loop.submit(() -> upstreams.latencyUs(call)).get();
+            assertTrue(latencyUs < STALL_MS * 1_000, "the stall counts as latency of the upstream: " + latencyUs);
         }
     }
 
-    /** Without a hold-up both are what they were. */
+    /** Counterpart of the tests above: without a stall, timeouts do count. */
     @Test
-    void silenceAndConnectionsThatNeverComeUpAreTheUpstreams() throws Exception {
+    void timeoutsWithoutAStallAreBlamedOnTheUpstream() throws Exception {
         try (Peer silent = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
-                java.net.ServerSocket full = full()) {
-            UpstreamPool upstreams = used(silent);
+                java.net.ServerSocket full = fullBacklog()) {
+            UpstreamPool upstreams = warmedUp(silent);
             silent.script = (m, line) -> {};
             loop.submit(() -> upstreams.update(
                             list(false, Rig.entry("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
-            loop.execute(() -> upstreams.start(call("u", DIAL_US)));
+            loop.execute(() -> upstreams.start(call("u", CONNECT_TIMEOUT_US)));
             assertEquals("u TIMEOUT", outcome());
-            long sinceUs = clock.now();
+            long startUs = clock.now();
             loop.execute(() -> upstreams.start(call("full")));
             assertEquals("full CONNECT_FAILED", outcome());
-            assertTrue(clock.now() - sinceUs >= DIAL_US, "given up early");
-            loop.execute(() -> upstreams.start(call("full", DIAL_US / 2)));
+            assertTrue(clock.now() - startUs >= CONNECT_TIMEOUT_US, "timed out early");
+            loop.execute(() -> upstreams.start(call("full", CONNECT_TIMEOUT_US / 2)));
             assertEquals("full CONNECT_FAILED", outcome());
         }
     }
 
-    /** Listens, and has no room for further connections: the kernel lets them wait. */
-    private static java.net.ServerSocket full() throws java.io.IOException {
+    /** A listener with a full backlog: further connects stay pending. */
+    private static java.net.ServerSocket fullBacklog() throws java.io.IOException {
         java.net.ServerSocket full = new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName("127.0.0.1"));
         for (int i = 0; i < 2; i++) {
             new java.net.Socket("127.0.0.1", full.getLocalPort());
@@ -468,19 +470,19 @@
         return full;
     }
 
-    /** A late loop took another turn for a look at the sockets that it had looked at since, and was as late again. */
+    /** Guards against a late timeout waiting for another loop iteration although the sockets have been read since it was due. */
     @Test
-    void aTimeOutThatComesLateTakesNoFurtherTurn() throws Exception {
+    void aLateTimeoutNeedsNoFurtherLoopIteration() throws Exception {
         BlockingQueue<String> order = new LinkedBlockingQueue<>();
-        TimeOuts timeOuts = new TimeOuts(loop, new RunningTime(clock, loopDelay));
+        TimeOuts timeouts = new TimeOuts(loop, new RunningTime(clock, loopDelay));
         loop.execute(() -> {
-            timeOuts.at(clock.now(), () -> true, () -> order.add("time-out"));
-            Runnable turnEnds = () -> order.add("end of the turn");
+            timeouts.at(clock.now(), () -> true, () -> order.add("timeout"));
+            Runnable iterationEnds = () -> order.add("end of iteration");
             loop.schedule(
-                    () -> ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(turnEnds),
+                    () -> ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(iterationEnds),
                     0,
                     TimeUnit.MILLISECONDS);
         });
-        assertEquals("time-out", order.poll(20, TimeUnit.SECONDS));
+        assertEquals("timeout", order.poll(20, TimeUnit.SECONDS));
     }
 }
