--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/rushproxy/sidecar/Discovery.java
@@ -50,7 +50,10 @@
     private static final long IMMEDIATE_TIMEOUT_MS = 400;
 
     private static final long MAX_IMMEDIATE_TIMEOUT_MS = 1_600;
-    /** Minimum time between the starts of two polls. A watch counts as continuous while polls follow each other within 200 ms. */
+    /**
+     * Minimum time between the starts of two polls, for an agent that responds at once. A watch counts as continuous while polls follow
+     * each other within 200 ms.
+     */
     private static final long MIN_INTERVAL_MS = 100;
     /** Invalid responses double the interval, up to this multiple of {@link #MIN_INTERVAL_MS}. */
     private static final int MAX_INTERVAL_FACTOR = 16;
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -93,6 +93,7 @@
 
     void start() {
         Balancer.Settings settings = config.settings();
+        // Datagrams of this length belong to the module.
         int reservedLength =
                 PeerWord.length(settings.zones().size(), settings.kinds().size());
         members = new Membership(
--- a/src/main/java/rushproxy/sidecar/LearnedStateSnapshot.java
+++ b/src/main/java/rushproxy/sidecar/LearnedStateSnapshot.java
@@ -22,7 +22,6 @@
 
     private static final int CHECKSUM_OFFSET = 5;
     private static final int CHECKED_OFFSET = 9;
-
     private static final int MAX_FILE_BYTES = 4_096;
     /** The learned speeds and rates change within tens of seconds. */
     static final long MAX_AGE_MS = 60_000;
--- a/src/main/java/rushproxy/sidecar/UpstreamCall.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamCall.java
@@ -22,6 +22,7 @@
 
     final CallListener listener;
     private final boolean isReportInBody;
+    /** Start of the latency measurement. */
     RunningTime.Mark sent;
     /** When the upstream was first given work: a connection to accept, or a request on an open one; null before. */
     RunningTime.Mark dispatched;
