--- a/src/main/java/rushproxy/sidecar/AnswerDeadlines.java
+++ b/src/main/java/rushproxy/sidecar/AnswerDeadlines.java
@@ -20,10 +20,10 @@
     /** A margin takes no more than this part of a request's time. */
     private static final int MARGIN_PART = 4;
 
-    private final LoopDelay loopDelay;
+    private final EventLoopDelay loopDelay;
     private final Map<String, Long> reserves = new HashMap<>();
 
-    AnswerDeadlines(List<RequestClass> classes, LoopDelay loopDelay) {
+    AnswerDeadlines(List<RequestClass> classes, EventLoopDelay loopDelay) {
         this.loopDelay = loopDelay;
         for (RequestClass c : classes) {
             long afterAimUs = Math.max(0, c.deadlineUs() - c.aimUs());
@@ -38,6 +38,6 @@
 
     private long marginUs(String requestClass, long remainingUs) {
         long reserveUs = Math.max(LEAST_MARGIN_US, reserves.getOrDefault(requestClass, 0L));
-        return Math.min(reserveUs + loopDelay.recentUs(), remainingUs / MARGIN_PART);
+        return Math.min(reserveUs + loopDelay.recentDelayUs(), remainingUs / MARGIN_PART);
     }
 }
--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnection.java
@@ -125,7 +125,7 @@
             Set<String> classes,
             ClientServer server,
             Budget budget,
-            LoopDelay loopDelay,
+            EventLoopDelay loopDelay,
             AnswerDeadlines deadlines,
             RequestGuard guard) {
         this.channel = channel;
@@ -136,7 +136,7 @@
         this.deadlines = deadlines;
         this.guard = guard;
         input = new ClientInput(clock, loopDelay, budget, this);
-        activeUs = openedUs = clock.now();
+        activeUs = openedUs = clock.nowUs();
     }
 
     TcpConnection channel() {
@@ -151,10 +151,10 @@
     /** Half a request is no quiet. */
     @Override
     public void arrived(long sinceUs) {
-        activeUs = clock.now();
+        activeUs = clock.nowUs();
         sentUs = sinceUs;
         if (firstBytesUs == 0) {
-            long agoUs = channel.lastReceivedAgoUs();
+            long agoUs = channel.sinceLastReceiveUs();
             firstBytesUs = agoUs == TcpInfo.UNKNOWN ? openedUs : Math.min(openedUs, activeUs - agoUs);
         }
         if (readingSinceUs == 0) {
@@ -223,7 +223,7 @@
                 go(content, atUs);
             }
         } catch (RuntimeException e) {
-            Log.trouble("a handler failed", e);
+            Log.exception("a handler failed", e);
             if (busy && !answered && current == null) {
                 reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
             }
@@ -237,7 +237,7 @@
         answered = written = false;
         head = m;
         body = null;
-        bodySinceUs = pieceUs = clock.now();
+        bodySinceUs = pieceUs = clock.nowUs();
         firstByteUs = headSinceUs;
         unreadSinceUs = 0;
         bodyBytes = size = 0;
@@ -291,7 +291,7 @@
         asking = budget.ask(body.keeps(), () -> {
             asking = null;
             reserved = body.keeps();
-            bodySinceUs = pieceUs = clock.now();
+            bodySinceUs = pieceUs = clock.nowUs();
             if (!HttpUtil.is100ContinueExpected(m)) {
                 input.unreadSince(unreadSinceUs);
             } else {
@@ -313,7 +313,7 @@
         HttpRequest waits = head;
         unreadSinceUs = sentUs;
         long untilUs =
-                Math.min(clock.now() + ROOM_US, deadlines.dueUs(asked.requestClass(), sentUs, asked.remainingUs()));
+                Math.min(clock.nowUs() + ROOM_US, deadlines.dueUs(asked.requestClass(), sentUs, asked.remainingUs()));
         channel.eventLoop()
                 .schedule(
                         () -> {
@@ -321,7 +321,7 @@
                                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                             }
                         },
-                        untilUs - clock.now(),
+                        untilUs - clock.nowUs(),
                         TimeUnit.MICROSECONDS);
     }
 
@@ -349,7 +349,7 @@
     }
 
     private void took(ByteBuf piece, boolean ends, long atUs) {
-        pieceUs = clock.now();
+        pieceUs = clock.nowUs();
         bodyBytes += piece.readableBytes();
         size += piece.readableBytes();
         if (size > Headers.MAX_BODY) {
@@ -384,12 +384,12 @@
                 asked.resent(),
                 false,
                 asked.estimateUs(),
-                Math.max(1, deadline - clock.now()),
+                Math.max(1, deadline - clock.nowUs()),
                 asked.tenant(),
                 asked.requestClass(),
                 !body.complete());
         RequestTimes times = new RequestTimes(
-                openedUs, firstByteUs, body.complete() ? clock.now() : 0, atUs, atUs + asked.remainingUs());
+                openedUs, firstByteUs, body.complete() ? clock.nowUs() : 0, atUs, atUs + asked.remainingUs());
         current = new Exchange(
                 request,
                 head.method(),
@@ -497,7 +497,7 @@
             if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
                 // The end of the connection would be the end of the answer.
                 channel.options().set(StandardSocketOptions.SO_LINGER, 0);
-                channel.options().whenSet(() -> close(CloseReason.ANSWER_BROKEN));
+                channel.options().whenApplied(() -> close(CloseReason.ANSWER_BROKEN));
                 return;
             }
             var stuck = channel.eventLoop()
@@ -528,7 +528,7 @@
     /** What the client still sends of a request that has been answered may be long: nothing follows on it. */
     private void closeOrKeep(HttpResponse response) {
         anyAnswer = true;
-        channel.history().answered();
+        channel.history().recordResponse();
         last |= !server.goesOn() || receiving && bodyComes();
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -544,18 +544,18 @@
     }
 
     private void log(Exchange x, String end) {
-        x.times.log(x.request.id(), end, x.attempts.size(), clock.now());
+        x.times.log(x.request.id(), end, x.attempts.size(), clock.nowUs());
     }
 
     private void over(ChannelFuture written, String end) {
         if (current != null) {
             Exchange x = current;
-            x.times.answered(clock.now());
+            x.times.answered(clock.nowUs());
             written.addListener(f -> log(x, f.isSuccess() ? end : "not written"));
         }
         current = null;
         answered = true;
-        activeUs = clock.now();
+        activeUs = clock.nowUs();
         written.addListener(f -> {
             this.written = true;
             if (last) {
@@ -611,7 +611,7 @@
 
     /** It has brought no request yet, and is so new that its first one may be on its way. */
     boolean isYoung() {
-        return !proven && clock.now() - openedUs < YOUNG_US;
+        return !proven && clock.nowUs() - openedUs < YOUNG_US;
     }
 
     /** A whole request has come, and its answer is not wholly with the kernel yet. */
@@ -728,7 +728,7 @@
         input.discard();
         release();
         server.lingers(this);
-        LingeringClose.begin(channel, Math.min(LingeringClose.MOST_US, server.openUntilUs() - clock.now()));
+        LingeringClose.begin(channel, Math.min(LingeringClose.MOST_US, server.openUntilUs() - clock.nowUs()));
     }
 
     /** A whole request that has no part of an answer yet gets one before its connection ends, which then follows on it. */
@@ -761,7 +761,7 @@
     /** While reads fail the client's end can't be seen: no attempt begins any more for what has been read whole. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == TcpConnection.ReadsFail.FOR_LONG && current != null && current.body.whole()) {
+        if (event == TcpConnection.ReadFailure.FOR_LONG && current != null && current.body.whole()) {
             requests.unwatched(current);
         }
         ctx.fireUserEventTriggered(event);
@@ -785,8 +785,8 @@
             ctx.close();
             return;
         }
-        channel.history().failed(ConnectionHistory.Call.HANDLER, cause);
-        Log.trouble("a client's connection failed", cause);
+        channel.history().recordFailure(ConnectionHistory.SocketOperation.HANDLER, cause);
+        Log.exception("a client's connection failed", cause);
         if (busy && !answered && current == null) {
             last = true;
             reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
--- a/src/main/java/rushproxy/sidecar/ClientInput.java
+++ b/src/main/java/rushproxy/sidecar/ClientInput.java
@@ -38,7 +38,7 @@
     private record Kept(ByteBuf bytes, long sentUs) {}
 
     private final Clock clock;
-    private final LoopDelay loopDelay;
+    private final EventLoopDelay loopDelay;
     private final Budget budget;
     private final Listener listener;
     private final long openedUs;
@@ -69,26 +69,26 @@
     /** Nothing is read any more. */
     private boolean stopped;
 
-    ClientInput(Clock clock, LoopDelay loopDelay, Budget budget, Listener listener) {
+    ClientInput(Clock clock, EventLoopDelay loopDelay, Budget budget, Listener listener) {
         this.clock = clock;
         this.loopDelay = loopDelay;
         this.budget = budget;
         this.listener = listener;
-        openedUs = clock.now();
-        sentUs = openedUs - loopDelay.behindUs(openedUs);
+        openedUs = clock.nowUs();
+        sentUs = openedUs - loopDelay.heartbeatLagUs(openedUs);
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         context = ctx;
         if (ctx.channel() instanceof TcpConnection connection) {
-            connection.tellsAgeIf(this::mayBeOld);
+            connection.measureDataAgeIf(this::mayBeOld);
         }
     }
 
     /** What is read next may have lain in the kernel: before the connection was accepted, in a hold-up, or while nothing was read. */
     private boolean mayBeOld() {
-        return readAtUs == 0 || lay || loopDelay.behindUs(clock.now()) >= LoopDelay.LATE_US;
+        return readAtUs == 0 || lay || loopDelay.heartbeatLagUs(clock.nowUs()) >= EventLoopDelay.STALL_THRESHOLD_US;
     }
 
     /**
@@ -97,7 +97,7 @@
      */
     private static long receivedAgoUs(ChannelHandlerContext ctx, ByteBuf bytes) {
         long agoUs =
-                ctx.channel() instanceof TcpConnection connection ? connection.lastReceivedAgoUs() : TcpInfo.UNKNOWN;
+                ctx.channel() instanceof TcpConnection connection ? connection.sinceLastReceiveUs() : TcpInfo.UNKNOWN;
         return agoUs == TcpInfo.UNKNOWN || mayHoldSeveral(bytes) ? TcpInfo.UNKNOWN : agoUs;
     }
 
@@ -113,10 +113,10 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        long now = clock.now();
+        long now = clock.nowUs();
         // What comes with a new connection is read a turn of the loop later, and may be as old as that.
-        if (now - openedUs >= LoopDelay.BEAT_US) {
-            sentUs = now - loopDelay.behindUs(now);
+        if (now - openedUs >= EventLoopDelay.HEARTBEAT_INTERVAL_US) {
+            sentUs = now - loopDelay.heartbeatLagUs(now);
         }
         if (readAtUs > 0 && now - readAtUs >= PAUSE_US) {
             unreadSinceUs = 0;
@@ -126,7 +126,7 @@
         long agoUs = receivedAgoUs(ctx, bytes);
         if (agoUs != TcpInfo.UNKNOWN) {
             sentUs = now - agoUs;
-            lay = agoUs >= LoopDelay.LATE_US;
+            lay = agoUs >= EventLoopDelay.STALL_THRESHOLD_US;
         }
         if (unreadSinceUs > 0) {
             sentUs = Math.min(sentUs, unreadSinceUs);
@@ -146,11 +146,11 @@
      */
     private void lookIfEmpty(long now) {
         int read = ++reads;
-        if (now - sentUs < LoopDelay.LATE_US) {
+        if (now - sentUs < EventLoopDelay.STALL_THRESHOLD_US) {
             return;
         }
-        SocketLook.before((EventLoop) context.executor(), () -> {
-            if (read == reads && context.channel() instanceof TcpConnection connection && connection.reads()) {
+        SocketPolling.runAfterNextPoll((EventLoop) context.executor(), () -> {
+            if (read == reads && context.channel() instanceof TcpConnection connection && connection.isReading()) {
                 emptySinceUs = now;
                 lay = false;
             }
--- a/src/main/java/rushproxy/sidecar/ClientServer.java
+++ b/src/main/java/rushproxy/sidecar/ClientServer.java
@@ -75,7 +75,7 @@
     private final BooleanSupplier canServe;
 
     private final Budget budget;
-    private final LoopDelay loopDelay;
+    private final EventLoopDelay loopDelay;
     private final AnswerDeadlines deadlines;
     private final RequestGuard guard;
     /** No client waits longer than this for an answer. */
@@ -114,7 +114,7 @@
             BooleanSupplier canServe,
             ClientPlaces places,
             Budget budget,
-            LoopDelay loopDelay,
+            EventLoopDelay loopDelay,
             AnswerDeadlines deadlines,
             RequestGuard guard) {
         this.loop = loop;
@@ -156,17 +156,17 @@
     }
 
     void start() {
-        Recurring.every(loop, SWEEP_MS, this::closeUnfinished);
+        PeriodicTask.scheduleEvery(loop, SWEEP_MS, this::closeUnfinished);
     }
 
     private ServerBootstrap accepting() {
-        return Window.on(new ServerBootstrap())
+        return ConnectionBuffers.configure(new ServerBootstrap())
                 .group(loop)
                 .option(ChannelOption.SO_BACKLOG, 256)
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                        unanswered.watch(Window.sized((TcpConnection) accepted));
+                        unanswered.watch(ConnectionBuffers.withSocketBuffers((TcpConnection) accepted));
                         ctx.fireChannelRead(accepted);
                     }
 
@@ -195,7 +195,7 @@
 
     private void accepted(TcpConnection channel) {
         stuck = false;
-        acceptedUs = clock.now();
+        acceptedUs = clock.nowUs();
         ClientConnection connection =
                 new ClientConnection(channel, clock, classes, this, budget, loopDelay, deadlines, guard);
         // The listener as the connection knows it: the first one may come before the bind has been told here.
@@ -216,7 +216,7 @@
         if (stopAtUs > 0) {
             return killedAtUs + STAY_US;
         }
-        return drainAtUs > 0 ? Math.max(clock.now(), drainAtUs + DRAIN_CLOSED_US) : Long.MAX_VALUE;
+        return drainAtUs > 0 ? Math.max(clock.nowUs(), drainAtUs + DRAIN_CLOSED_US) : Long.MAX_VALUE;
     }
 
     private boolean hasRoom() {
@@ -224,7 +224,7 @@
     }
 
     private void closeUnfinished() {
-        long now = clock.now();
+        long now = clock.nowUs();
         // The limit follows what upstreams take: by now it may leave no place, or one.
         places.keepOneFree();
         listener.config().setAutoRead(hasRoom());
@@ -251,7 +251,7 @@
 
     /** Where this request is carried through its attempts. */
     Requests requestsFor(HttpRequest message) {
-        return warmUp != null && warmUp.owns(message) ? warmUp.requests() : requests;
+        return warmUp != null && warmUp.isOwnMessage(message) ? warmUp.requests() : requests;
     }
 
     boolean isAttemptOfWarmUp(HttpRequest message) {
@@ -296,7 +296,7 @@
 
     /** Whether connections outlive their answers. */
     boolean goesOn() {
-        return drainAtUs == 0 && (stopAtUs == 0 || !shared && clock.now() < killedAtUs - GOODBYE_US);
+        return drainAtUs == 0 && (stopAtUs == 0 || !shared && clock.nowUs() < killedAtUs - GOODBYE_US);
     }
 
     /** When a request that is taken now has to be over at the latest, whatever its client allows. */
@@ -304,13 +304,13 @@
         if (stopAtUs > 0) {
             return killedAtUs - LEAVE_DUE_US;
         }
-        return drainAtUs > 0 && clock.now() >= drainAtUs + DRAIN_ALL_US ? drainAtUs + DRAIN_DUE_US : Long.MAX_VALUE;
+        return drainAtUs > 0 && clock.nowUs() >= drainAtUs + DRAIN_ALL_US ? drainAtUs + DRAIN_DUE_US : Long.MAX_VALUE;
     }
 
     /** Told again it changes nothing: the time runs from the first call. */
     void drain() {
         if (drainAtUs == 0) {
-            drainAtUs = clock.now();
+            drainAtUs = clock.nowUs();
             // One that was taken back just now may still have its look to come.
             if (!drainLooked) {
                 drainLooked = true;
@@ -328,7 +328,7 @@
             drainLooked = false;
             return;
         }
-        long now = clock.now();
+        long now = clock.nowUs();
         long age = now - drainAtUs;
         if (age >= DRAIN_ON_US) {
             long quietUs = age < DRAIN_ALL_US ? DRAIN_QUIET_US : 0;
@@ -385,10 +385,10 @@
     }
 
     private void look(Runnable stopped) {
-        long now = clock.now();
+        long now = clock.nowUs();
         long left = killedAtUs - now;
         if (places.open() == 0 && now - nobodyCameSinceUs() >= SERVE_ON_US && now - closedUs >= CROSSED_US) {
-            SocketLook.before(loop, () -> leaveUnlessSomebodyCame(stopped));
+            SocketPolling.runAfterNextPoll(loop, () -> leaveUnlessSomebodyCame(stopped));
             return;
         }
         if (shared ? now - stopAtUs >= SERVE_ON_US : left < GOODBYE_US) {
--- a/src/main/java/rushproxy/sidecar/Clock.java
+++ b/src/main/java/rushproxy/sidecar/Clock.java
@@ -5,7 +5,7 @@
     private final long unixUs = System.currentTimeMillis() * 1000;
     private final long nanos = System.nanoTime();
 
-    long now() {
+    long nowUs() {
         return unixUs + (System.nanoTime() - nanos) / 1000;
     }
 }
--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/rushproxy/sidecar/Config.java
@@ -15,60 +15,60 @@
 import rushproxy.wire.WireException;
 
 /**
- * What a sidecar is told at its start. {@code inherits}: the clients' socket is descriptor 0. {@code admin}, {@code kept}
- * (the folder for what outlives the process), {@code peerListen} and {@code peersAll} are null where there are none.
+ * What a sidecar is told at its start. {@code inheritsListener}: the clients' socket is descriptor 0. {@code adminAddress}, {@code stateDirectory}
+ * (the folder for what outlives the process), {@code peerListenAddress} and {@code allPeersAddress} are null where there are none.
  * {@code fleet}: the parts of the fleet plane that are on.
  */
 record Config(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
-        InetSocketAddress admin,
-        boolean inherits,
-        Path kept,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
+        InetSocketAddress adminAddress,
+        boolean inheritsListener,
+        Path stateDirectory,
         long seed,
-        int sockets,
+        int maxSockets,
         int memoryMb,
-        InetSocketAddress peerListen,
-        List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        UpstreamList known,
+        InetSocketAddress peerListenAddress,
+        List<InetSocketAddress> peerAddresses,
+        InetSocketAddress allPeersAddress,
+        UpstreamList knownUpstreams,
         Settings settings,
         long dialTimeoutUs,
-        Fleet fleet,
-        Log.Style log) {
+        FleetOptions fleet,
+        Log.Options logOptions) {
 
     /** {@code shared} is on only where {@code members} is; limits only where both are. */
-    record Fleet(boolean members, boolean shared, List<Limits.Limit> limits) {
-        static final Fleet NONE = new Fleet(false, false, List.of());
+    record FleetOptions(boolean members, boolean shared, List<Limits.Limit> limits) {
+        static final FleetOptions NONE = new FleetOptions(false, false, List.of());
     }
 
     /** A configuration that no sidecar can start with; the message is one line and names the field. */
-    static final class Broken extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Broken(String message) {
+        InvalidConfigException(String message) {
             super(message.replaceAll("\\s+", " "));
         }
     }
 
-    static Config read(Map<String, String> environment) throws Broken {
+    static Config read(Map<String, String> environment) throws InvalidConfigException {
         String path = environment.get("BALANCER_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new Broken("BALANCER_CONFIG is not set");
+            throw new InvalidConfigException("BALANCER_CONFIG is not set");
         }
         byte[] text;
         try {
             text = Files.readAllBytes(Path.of(path));
         } catch (IOException | InvalidPathException e) {
-            throw new Broken("BALANCER_CONFIG can't be read: " + e);
+            throw new InvalidConfigException("BALANCER_CONFIG can't be read: " + e);
         }
         try {
             return parse(Json.parse(text), environment);
         } catch (IllegalArgumentException e) {
-            throw new Broken("configuration: " + e.getMessage());
+            throw new InvalidConfigException("configuration: " + e.getMessage());
         } catch (WireException e) {
-            throw new Broken("configuration, settings: " + e.getMessage());
+            throw new InvalidConfigException("configuration, settings: " + e.getMessage());
         }
     }
 
@@ -107,11 +107,11 @@
      * {@code "log": {"form": "json", "level": "warn"}}; the words alone where there is no such table. The level of the
      * environment, if it names one, goes first.
      */
-    private static Log.Style log(Json json, Map<String, String> environment, String name) {
+    private static Log.Options log(Json json, Map<String, String> environment, String name) {
         String level = environment.getOrDefault("BALANCER_LOG_LEVEL", "");
         if (!json.has("log")) {
-            return new Log.Style(
-                    Log.Form.PLAIN,
+            return new Log.Options(
+                    Log.Format.PLAIN,
                     word("BALANCER_LOG_LEVEL", Log.Level.class, level.isEmpty() ? "info" : level),
                     name);
         }
@@ -121,8 +121,8 @@
                 throw new IllegalArgumentException("'log." + key + "' is unknown");
             }
         }
-        return new Log.Style(
-                word("log.form", Log.Form.class, log.textOr("form", "plain")),
+        return new Log.Options(
+                word("log.form", Log.Format.class, log.textOr("form", "plain")),
                 level.isEmpty()
                         ? word("log.level", Log.Level.class, log.textOr("level", "info"))
                         : word("BALANCER_LOG_LEVEL", Log.Level.class, level),
@@ -141,9 +141,9 @@
     }
 
     /** The parts of the fleet plane that are on: none where there is no {@code fleet}. */
-    private static Fleet fleet(Json json, Settings settings, List<InetSocketAddress> peers) {
+    private static FleetOptions fleet(Json json, Settings settings, List<InetSocketAddress> peers) {
         if (!json.has("fleet")) {
-            return Fleet.NONE;
+            return FleetOptions.NONE;
         }
         Json fleet = json.object("fleet");
         for (String name : fleet.names()) {
@@ -170,7 +170,7 @@
                 limits.add(limit(limit, settings, limits));
             }
         }
-        return new Fleet(members, shared, List.copyOf(limits));
+        return new FleetOptions(members, shared, List.copyOf(limits));
     }
 
     private static Limits.Limit limit(Json json, Settings settings, List<Limits.Limit> before) {
--- a/src/main/java/rushproxy/sidecar/ConnectionHistory.java
+++ b/src/main/java/rushproxy/sidecar/ConnectionHistory.java
@@ -3,7 +3,7 @@
 /** What is known of one connection at its end, for the log: its age, what was read of it, and why it ended. */
 final class ConnectionHistory {
     /** A call on a socket that can fail. */
-    enum Call {
+    enum SocketOperation {
         REGISTER,
         READ,
         WRITE,
@@ -13,34 +13,34 @@
     private final long openedNanos = System.nanoTime();
     private long readBytes;
     /** The peer has ended its side. */
-    private boolean peerEnded;
+    private boolean peerClosed;
 
     private boolean answered;
-    private CloseReason reason;
-    private Call failedCall;
+    private CloseReason closeReason;
+    private SocketOperation failedOperation;
     private Throwable error;
 
-    void read(int bytes) {
+    void recordRead(int bytes) {
         readBytes += bytes;
     }
 
-    void peerEnded() {
-        peerEnded = true;
+    void recordPeerClosed() {
+        peerClosed = true;
     }
 
     /** A part of an answer has been handed to the connection. */
-    void answered() {
+    void recordResponse() {
         answered = true;
     }
 
     /** This program closes it; the first reason counts. */
-    void closes(CloseReason why) {
-        reason = reason == null ? why : reason;
+    void recordCloseReason(CloseReason why) {
+        closeReason = closeReason == null ? why : closeReason;
     }
 
     /** The last call that failed is kept. */
-    void failed(Call call, Throwable why) {
-        failedCall = call;
+    void recordFailure(SocketOperation call, Throwable why) {
+        failedOperation = call;
         error = why;
     }
 
@@ -53,15 +53,15 @@
     }
 
     /** Whether it ends by this program's doing, or this machine's, before its client had any part of an answer. */
-    boolean endsUnanswered() {
-        return !answered && !peerEnded && !SocketErrors.endsConnection(error);
+    boolean isClosedLocallyUnanswered() {
+        return !answered && !peerClosed && !SocketErrors.isConnectionLost(error);
     }
 
     /** Why it ended, as words without figures of its own, so that ends of one kind can be counted. */
-    String end() {
-        String words = reason == null ? "not taken" : reason.words();
-        return failedCall == null
+    String describeEnd() {
+        String words = closeReason == null ? "not taken" : closeReason.words();
+        return failedOperation == null
                 ? words
-                : words + " (" + failedCall.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
+                : words + " (" + failedOperation.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
     }
 }
--- a/src/main/java/rushproxy/sidecar/Dialling.java
+++ b/src/main/java/rushproxy/sidecar/Dialling.java
@@ -37,11 +37,11 @@
 
     /** As {@link #whole}, but the handler sees each part of an answer as it comes. */
     static Bootstrap http(EventLoop loop, Supplier<ChannelHandler> handler) {
-        return Window.on(dialling(
+        return ConnectionBuffers.configure(dialling(
                         loop,
                         channel -> channel.pipeline()
                                 .addLast(new HttpRequestEncoder(), new AnswerDecoder(), handler.get())))
-                .channelFactory(() -> Window.sized(new TcpConnection()));
+                .channelFactory(() -> ConnectionBuffers.withSocketBuffers(new TcpConnection()));
     }
 
     /** How a connection came up, or did not: told once, on the loop. */
@@ -66,7 +66,7 @@
         }
         Attempt attempt = new Attempt(connecting, dialled);
         Future<?> timeout =
-                loop.schedule(() -> SocketLook.before(loop, attempt::giveUp), timeoutUs, TimeUnit.MICROSECONDS);
+                loop.schedule(() -> SocketPolling.runAfterNextPoll(loop, attempt::giveUp), timeoutUs, TimeUnit.MICROSECONDS);
         connecting.addListener(f -> {
             timeout.cancel(false);
             attempt.tell(f.cause());
--- a/src/main/java/rushproxy/sidecar/Discovery.java
+++ b/src/main/java/rushproxy/sidecar/Discovery.java
@@ -158,7 +158,7 @@
             long paceMs = PACE_MS << Math.min(senseless, Integer.numberOfTrailingZeros(MOST_PACES));
             // Jittered, so that sidecars that failed together do not ask together again.
             long jitterMs = failures == 0 ? 0 : ThreadLocalRandom.current().nextLong(PACE_MS);
-            restMs = paceMs + jitterMs - (clock.now() - begunUs) / 1000;
+            restMs = paceMs + jitterMs - (clock.nowUs() - begunUs) / 1000;
         }
         if (restMs <= 0) {
             begin();
@@ -176,7 +176,7 @@
     private void begin() {
         long number = ++calls;
         call = number;
-        begunUs = clock.now();
+        begunUs = clock.nowUs();
         long patienceMs =
                 watching && !doubt ? waitMs + SILENT_MS : Math.min(MOST_NOW_MS, NOW_MS << Math.min(failures, 8));
         timeout = loop.schedule(() -> failed(number, "no answer"), patienceMs, TimeUnit.MILLISECONDS);
@@ -220,7 +220,7 @@
             Log.warn("a call to discovery failed: " + why + "; the list before holds");
         }
         if (!pushed && told) {
-            decisions.call(m -> m.onList(clock.now(), ListKind.FAILED, List.of()), () -> {});
+            decisions.call(m -> m.onList(clock.nowUs(), ListKind.FAILED, List.of()), () -> {});
         }
         goOn();
         over();
@@ -259,7 +259,7 @@
         }
         end();
         if (failures > 0) {
-            Log.line("discovery answers again, after " + failures + " calls that failed");
+            Log.info("discovery answers again, after " + failures + " calls that failed");
         }
         doubt = false;
         watching = true;
@@ -289,7 +289,7 @@
             List<Upstream> entries =
                     list.entries().stream().map(UpstreamList.Entry::upstream).toList();
             decisions.call(
-                    m -> m.onList(clock.now(), list.whole() ? ListKind.FULL : ListKind.DELTA, entries), () -> {});
+                    m -> m.onList(clock.nowUs(), list.whole() ? ListKind.FULL : ListKind.DELTA, entries), () -> {});
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/FailureSpell.java
+++ b/src/main/java/rushproxy/sidecar/FailureSpell.java
@@ -22,7 +22,7 @@
 
     /** The call has failed; false where it is not to be tried again, its connection having ended. */
     boolean mayTryAgain(IOException error) {
-        if (SocketErrors.endsConnection(error)) {
+        if (SocketErrors.isConnectionLost(error)) {
             return false;
         }
         if (!failing) {
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -93,14 +93,14 @@
                 new Membership.Self(
                         config.name(),
                         s.me(),
-                        config.peers().size(),
+                        config.peerAddresses().size(),
                         Math.max(0, s.zones().indexOf(s.zone())),
                         s.zones().size(),
                         VERSION,
                         PART_MEMBERS | (config.fleet().shared() ? PART_SHARED : 0),
-                        clock.now() / 1_000,
+                        clock.nowUs() / 1_000,
                         taken),
-                clock.now(),
+                clock.nowUs(),
                 config.seed(),
                 this);
         if (config.fleet().shared()) {
@@ -111,7 +111,7 @@
                     PART_SHARED,
                     taken,
                     List.of(Table.VERDICTS, Table.LIMITS, Table.COUNTS, Table.ORDERS),
-                    clock.now(),
+                    clock.nowUs(),
                     config.seed() + 1,
                     members,
                     says);
@@ -123,22 +123,22 @@
                     taken,
                     store,
                     config.fleet().limits(),
-                    clock.now(),
+                    clock.nowUs(),
                     config.seed() + 2,
                     members,
                     says);
-            orders = new Orders(store, clock.now(), says);
+            orders = new Orders(store, clock.nowUs(), says);
             watch = new Watch(orders, s.rules().rampUs());
-            warm = new WarmStart(me, PART_SHARED, taken, clock.now(), config.seed() + 3, members, says, this::known);
-            snapshot = config.kept() == null ? null : new Snapshot(config.kept());
-            snapshotUs = clock.now() + SNAPSHOT_US;
+            warm = new WarmStart(me, PART_SHARED, taken, clock.nowUs(), config.seed() + 3, members, says, this::known);
+            snapshot = config.stateDirectory() == null ? null : new Snapshot(config.stateDirectory());
+            snapshotUs = clock.nowUs() + SNAPSHOT_US;
         }
         peers.hand(this, taken);
-        ticks = Recurring.every(loop, Membership.TICK_US / 1000, this::tick);
+        ticks = PeriodicTask.scheduleEvery(loop, Membership.TICK_US / 1000, this::tick);
     }
 
     private void tick() {
-        long now = clock.now();
+        long now = clock.nowUs();
         members.onTick(now);
         View view = members.view();
         if (now >= tellUs || told == null || view.here() != told.here() || view.standing() != told.standing()) {
@@ -223,7 +223,7 @@
                     decisions.call(
                             m -> {
                                 int read = m.onKnow(now, all);
-                                Log.line("shared: begins with what "
+                                Log.info("shared: begins with what "
                                         + (kept != null ? "the process before" : told.size() + " others") + " knew"
                                         + (read < all.size()
                                                 ? "; " + (all.size() - read) + " of another shape left aside"
@@ -258,9 +258,9 @@
     /** The module has seen this of an upstream itself. */
     void evidence(String upstream, Balancer.Evidence kind, double factor) {
         if (verdicts != null) {
-            verdicts.evidence(clock.now(), upstream, kind, factor);
+            verdicts.evidence(clock.nowUs(), upstream, kind, factor);
             // Soon, but not in the middle of what the module does.
-            sharedUs = Math.min(sharedUs, clock.now());
+            sharedUs = Math.min(sharedUs, clock.nowUs());
         }
     }
 
@@ -268,23 +268,23 @@
     void leave() {
         if (ticks != null) {
             ticks.cancel(false);
-            members.leave(clock.now());
+            members.leave(clock.nowUs());
         }
     }
 
     @Override
     public void letter(int from, byte[] message) {
         Envelope.Letter letter = Envelope.read(message);
-        if (letter != null && members.onLetter(clock.now(), from, letter) && store != null) {
-            store.onLetter(clock.now(), from, letter);
-            limits.onLetter(clock.now(), from, letter);
-            warm.onLetter(clock.now(), from, letter, members.self().incarnation());
+        if (letter != null && members.onLetter(clock.nowUs(), from, letter) && store != null) {
+            store.onLetter(clock.nowUs(), from, letter);
+            limits.onLetter(clock.nowUs(), from, letter);
+            warm.onLetter(clock.nowUs(), from, letter, members.self().incarnation());
         }
     }
 
     @Override
     public void word(int from) {
-        members.onOldWord(clock.now(), from);
+        members.onOldWord(clock.nowUs(), from);
     }
 
     @Override
@@ -294,7 +294,7 @@
 
     @Override
     public void note(String event) {
-        Log.line("members: " + event);
+        Log.info("members: " + event);
     }
 
     /** A part of the plane, by its name in the log. */
@@ -312,7 +312,7 @@
 
         @Override
         public void note(String event) {
-            Log.line(part + event);
+            Log.info(part + event);
         }
     }
 
@@ -362,7 +362,7 @@
         view.put("self", config.name());
         view.put(
                 "limits",
-                limits.held(clock.now()).stream()
+                limits.held(clock.nowUs()).stream()
                         .map(h -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("name", h.limit().name());
@@ -383,7 +383,7 @@
     /** Null where the fleet is told it, else why not. */
     String limit(String name, String of, String most, String per) {
         try {
-            limits.set(clock.now(), LimitWords.limit(name, of, per, Double.parseDouble(most), config.settings()));
+            limits.set(clock.nowUs(), LimitWords.limit(name, of, per, Double.parseDouble(most), config.settings()));
             return null;
         } catch (NumberFormatException e) {
             return "'" + most + "' is no number";
@@ -393,7 +393,7 @@
     }
 
     String unlimit(String name) {
-        return limits.unset(clock.now(), name) ? null : "no limit of this name was set by a call";
+        return limits.unset(clock.nowUs(), name) ? null : "no limit of this name was set by a call";
     }
 
     /** What releases order, in one line of JSON. */
@@ -403,7 +403,7 @@
         Map<String, Double> weights = orders.weights(servers.get());
         view.put(
                 "orders",
-                orders.look(clock.now(), members.view().here() > 1).stream()
+                orders.look(clock.nowUs(), members.view().here() > 1).stream()
                         .map(o -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("release", o.release());
@@ -428,7 +428,7 @@
     /** An attempt has ended. */
     void ended(String upstream, String requestClass, Balancer.Outcome outcome, long tookUs) {
         if (watch != null) {
-            watch.seen(clock.now(), upstream, requestClass, outcome, tookUs);
+            watch.seen(clock.nowUs(), upstream, requestClass, outcome, tookUs);
         }
     }
 
@@ -442,7 +442,7 @@
         try {
             Order.State is = Order.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
             String no = orders.give(
-                    clock.now(),
+                    clock.nowUs(),
                     new Order(
                             release,
                             Integer.parseInt(epoch),
@@ -452,7 +452,7 @@
                             Double.parseDouble(safe),
                             Order.Selector.of(whom)));
             if (no == null) {
-                weigh(clock.now());
+                weigh(clock.nowUs());
             }
             return no;
         } catch (IllegalArgumentException e) {
@@ -474,7 +474,7 @@
 
     /** Its view in one line of JSON. */
     String view() {
-        long now = clock.now();
+        long now = clock.nowUs();
         View v = members.view();
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
--- a/src/main/java/rushproxy/sidecar/LingeringClose.java
+++ b/src/main/java/rushproxy/sidecar/LingeringClose.java
@@ -31,7 +31,7 @@
         channel.pipeline().addFirst(new LingeringClose());
         channel.shutdownOutput().addListener(ended -> {
             if (!ended.isSuccess()) {
-                channel.endOutput();
+                channel.shutdownOutputWithRetry();
             }
         });
         channel.config().setAutoRead(true);
--- a/src/main/java/rushproxy/sidecar/Log.java
+++ b/src/main/java/rushproxy/sidecar/Log.java
@@ -10,9 +10,9 @@
 
 /**
  * Lines to standard error for what an operator should know; on a single request only at the debug level. Of three forms by the
- * configuration's {@code log} table: {@code plain}, the words alone; {@code text}, with time, level, node and fields;
- * {@code json}, an object a line. Taken by the runtime's own logging (java.util.logging), to which Netty's goes too, and
- * written by {@link LogWriter}, which nobody who logs waits for.
+ * configuration's {@code log} table: {@code plain}, the words alone; {@code formatText}, with time, level, node and fields;
+ * {@code formatJson}, an object a line. Taken by the runtime's own logging (java.util.logging), to which Netty's goes too, and
+ * written by {@link AsyncLogWriter}, which nobody who logs waits for.
  */
 final class Log {
     enum Level {
@@ -21,70 +21,70 @@
         INFO(java.util.logging.Level.INFO),
         DEBUG(java.util.logging.Level.FINE);
 
-        private final java.util.logging.Level theirs;
+        private final java.util.logging.Level julLevel;
 
         Level(java.util.logging.Level theirs) {
-            this.theirs = theirs;
+            this.julLevel = theirs;
         }
 
         static Level of(java.util.logging.Level level) {
-            return level.intValue() >= ERROR.theirs.intValue()
+            return level.intValue() >= ERROR.julLevel.intValue()
                     ? ERROR
-                    : level.intValue() >= WARN.theirs.intValue()
+                    : level.intValue() >= WARN.julLevel.intValue()
                             ? WARN
-                            : level.intValue() >= INFO.theirs.intValue() ? INFO : DEBUG;
+                            : level.intValue() >= INFO.julLevel.intValue() ? INFO : DEBUG;
         }
     }
 
-    enum Form {
+    enum Format {
         PLAIN,
         TEXT,
         JSON
     }
 
-    /** How it is to write. {@code least}: what is less grave is left out. */
-    record Style(Form form, Level least, String node) {
-        static final Style DEFAULT = new Style(Form.PLAIN, Level.INFO, "sidecar");
+    /** How it is to write. {@code minLevel}: what is less grave is left out. */
+    record Options(Format format, Level minLevel, String node) {
+        static final Options DEFAULT = new Options(Format.PLAIN, Level.INFO, "sidecar");
     }
 
-    private static final int MOST_LINES_OF_TRACE = 4;
+    private static final int MAX_STACK_FRAMES = 4;
     /** A process that ends waits so long for its last lines to be written. */
-    private static final long LAST_LINES_MS = 50;
+    private static final long FLUSH_TIMEOUT_MS = 50;
 
-    private static final LogWriter WRITER = new LogWriter(System.err);
-    private static final Logger ROOT = Logger.getLogger("");
-    private static final Logger OURS = Logger.getLogger("rushproxy");
+    private static final AsyncLogWriter WRITER = new AsyncLogWriter(System.err);
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
+    private static final Logger LOGGER = Logger.getLogger("rushproxy");
 
     /** Kept, since it is asked for every request. */
-    private static boolean debugs;
+    private static boolean debugEnabled;
 
     static {
         // Netty would look for other libraries first.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        style(Style.DEFAULT);
+        configure(Options.DEFAULT);
     }
 
     private Log() {}
 
-    static void style(Style style) {
-        for (Handler h : ROOT.getHandlers()) {
-            ROOT.removeHandler(h);
+    static void configure(Options style) {
+        for (Handler h : ROOT_LOGGER.getHandlers()) {
+            ROOT_LOGGER.removeHandler(h);
         }
-        Handler handler = new ToWriter(style);
-        handler.setLevel(style.least.theirs);
-        ROOT.addHandler(handler);
+        Handler handler = new WriterHandler(style);
+        handler.setLevel(style.minLevel.julLevel);
+        ROOT_LOGGER.addHandler(handler);
         // Others' words only where they are grave: a request's fate is none.
-        ROOT.setLevel(Level.WARN.theirs);
-        OURS.setLevel(style.least.theirs);
-        debugs = style.least == Level.DEBUG;
+        ROOT_LOGGER.setLevel(Level.WARN.julLevel);
+        LOGGER.setLevel(style.minLevel.julLevel);
+        debugEnabled = style.minLevel == Level.DEBUG;
     }
 
     /** Hands each line to the writer. */
-    private static final class ToWriter extends Handler {
-        private final Style style;
+    private static final class WriterHandler extends Handler {
+        private final Options options;
 
-        ToWriter(Style style) {
-            this.style = style;
+        WriterHandler(Options style) {
+            this.options = style;
         }
 
         @Override
@@ -92,7 +92,7 @@
             if (isLoggable(r)) {
                 Object[] fields = r.getParameters() == null ? new Object[0] : r.getParameters();
                 String text = r.getThrown() == null ? r.getMessage() : r.getMessage() + ": " + r.getThrown();
-                WRITER.write(Log.format(style, r.getMillis(), Level.of(r.getLevel()), text, fields));
+                WRITER.write(Log.format(options, r.getMillis(), Level.of(r.getLevel()), text, fields));
             }
         }
 
@@ -104,16 +104,16 @@
     }
 
     /** Before the process ends: its last lines are written if their reader takes them. */
-    static void writeLastLines() {
-        WRITER.flush(LAST_LINES_MS);
+    static void flush() {
+        WRITER.flush(FLUSH_TIMEOUT_MS);
     }
 
     /** Whether lines of the debug level are written. */
-    static boolean debugs() {
-        return debugs;
+    static boolean isDebugEnabled() {
+        return debugEnabled;
     }
 
-    static void line(String text) {
+    static void info(String text) {
         event(Level.INFO, text);
     }
 
@@ -123,21 +123,21 @@
 
     /** {@code fields}: names and values in turn; the plain form leaves them out, since the words say it. */
     static void event(Level level, String text, Object... fields) {
-        LogRecord r = new LogRecord(level.theirs, text);
-        r.setLoggerName(OURS.getName());
+        LogRecord r = new LogRecord(level.julLevel, text);
+        r.setLoggerName(LOGGER.getName());
         r.setParameters(fields);
-        OURS.log(r);
+        LOGGER.log(r);
     }
 
-    static String format(Style style, long atMs, Level level, String text, Object... fields) {
-        return switch (style.form) {
+    static String format(Options style, long atMs, Level level, String text, Object... fields) {
+        return switch (style.format) {
             case PLAIN -> "rushproxy: " + text + "\n";
-            case TEXT -> text(style, atMs, level, text, fields);
-            case JSON -> json(style, atMs, level, text, fields);
+            case TEXT -> formatText(style, atMs, level, text, fields);
+            case JSON -> formatJson(style, atMs, level, text, fields);
         };
     }
 
-    private static String text(Style style, long atMs, Level level, String text, Object... fields) {
+    private static String formatText(Options style, long atMs, Level level, String text, Object... fields) {
         StringBuilder line = new StringBuilder(64 + text.length());
         line.append(Instant.ofEpochMilli(atMs))
                 .append(' ')
@@ -153,37 +153,37 @@
             if (bare) {
                 line.append(value);
             } else {
-                quote(line, value);
+                appendQuoted(line, value);
             }
         }
         return line.append('\n').toString();
     }
 
-    private static String json(Style style, long atMs, Level level, String text, Object... fields) {
+    private static String formatJson(Options style, long atMs, Level level, String text, Object... fields) {
         StringBuilder line = new StringBuilder(96 + text.length());
         line.append("{\"time\":\"")
                 .append(Instant.ofEpochMilli(atMs))
                 .append("\",\"level\":\"")
                 .append(level.name().toLowerCase(Locale.ROOT))
                 .append("\",\"node\":");
-        quote(line, style.node);
+        appendQuoted(line, style.node);
         line.append(",\"text\":");
-        quote(line, text);
+        appendQuoted(line, text);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             line.append(',');
-            quote(line, String.valueOf(fields[i]));
+            appendQuoted(line, String.valueOf(fields[i]));
             line.append(':');
             if (fields[i + 1] instanceof Number n && !(n instanceof Double d && !Double.isFinite(d))) {
                 line.append(n);
             } else {
-                quote(line, String.valueOf(fields[i + 1]));
+                appendQuoted(line, String.valueOf(fields[i + 1]));
             }
         }
         return line.append("}\n").toString();
     }
 
     /** As JSON has it (RFC 8259, section 7). */
-    private static void quote(StringBuilder to, String text) {
+    private static void appendQuoted(StringBuilder to, String text) {
         to.append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -199,10 +199,10 @@
     }
 
     /** A fault of this program: with the lines at which it arose. */
-    static void trouble(String what, Throwable e) {
+    static void exception(String what, Throwable e) {
         StringBuilder text = new StringBuilder(what).append(": ").append(e);
         StackTraceElement[] trace = e.getStackTrace();
-        for (int i = 0; i < Math.min(MOST_LINES_OF_TRACE, trace.length); i++) {
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, trace.length); i++) {
             text.append(" at ").append(trace[i]);
         }
         event(Level.ERROR, text.toString(), "exception", e.getClass().getName());
--- a/src/main/java/rushproxy/sidecar/OperatorCalls.java
+++ b/src/main/java/rushproxy/sidecar/OperatorCalls.java
@@ -38,13 +38,13 @@
 
     @Override
     public void quiesce() {
-        Log.line("drains, as the operators ask");
+        Log.info("drains, as the operators ask");
         clients.drain();
     }
 
     @Override
     public void resume() {
-        Log.line("goes on, as the operators ask");
+        Log.info("goes on, as the operators ask");
         clients.resume();
     }
 
@@ -75,7 +75,7 @@
 
     @Override
     public String limit(String name, String of, String most, String per) {
-        Log.line("limit " + name + " of " + of + ": " + most + " " + per + ", as the operators ask");
+        Log.info("limit " + name + " of " + of + ": " + most + " " + per + ", as the operators ask");
         return fleet.limit(name, of, most, per);
     }
 
@@ -96,7 +96,7 @@
 
     @Override
     public String unlimit(String name) {
-        Log.line("limit " + name + " is taken back, as the operators ask");
+        Log.info("limit " + name + " is taken back, as the operators ask");
         return fleet.unlimit(name);
     }
 
--- a/src/main/java/rushproxy/sidecar/Peers.java
+++ b/src/main/java/rushproxy/sidecar/Peers.java
@@ -152,7 +152,7 @@
             if (fleet != null) {
                 fleet.word(number);
             }
-            decisions.call(m -> m.onPeer(clock.now(), number, message), () -> {});
+            decisions.call(m -> m.onPeer(clock.nowUs(), number, message), () -> {});
         }
 
         /** The network says of an earlier datagram that nobody was there: no reason to stop listening. */
--- a/src/main/java/rushproxy/sidecar/Recurring.java
+++ b/src/main/java/rushproxy/sidecar/PeriodicTask.java
@@ -8,17 +8,17 @@
  * Work that the loop does again and again. A time that fails is logged and the next one comes all the same; left to itself the
  * loop would let the work end there for good, and unsaid, though want of descriptors or memory passes.
  */
-final class Recurring {
-    private Recurring() {}
+final class PeriodicTask {
+    private PeriodicTask() {}
 
     /** The result ends it. */
-    static Future<?> every(EventLoop loop, long ms, Runnable work) {
+    static Future<?> scheduleEvery(EventLoop loop, long ms, Runnable work) {
         return loop.scheduleAtFixedRate(
                 () -> {
                     try {
                         work.run();
                     } catch (Throwable e) {
-                        trouble(e);
+                        logFailure(e);
                     }
                 },
                 ms,
@@ -26,9 +26,9 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private static void trouble(Throwable e) {
+    private static void logFailure(Throwable e) {
         try {
-            Log.trouble("recurring work failed", e);
+            Log.exception("recurring work failed", e);
         } catch (Throwable again) {
             // What it lacks the log may lack too; it is about the next time that this is.
         }
--- a/src/main/java/rushproxy/sidecar/RequestGuard.java
+++ b/src/main/java/rushproxy/sidecar/RequestGuard.java
@@ -47,7 +47,7 @@
         if (x.unwatched) {
             return "the client can't be watched";
         }
-        if (clock.now() >= call.untilUs()) {
+        if (clock.nowUs() >= call.untilUs()) {
             return "no time left";
         }
         return whyNotRepeat(x, call);
@@ -75,7 +75,7 @@
             return true;
         }
         // The module has been asked just before, by its own clock reading.
-        if (clock.now() - earlier.sentUs() >= c.windowUs() + CLOCK_SLACK_US) {
+        if (clock.nowUs() - earlier.sentUs() >= c.windowUs() + CLOCK_SLACK_US) {
             return false;
         }
         Upstream at = earlier.target();
@@ -105,7 +105,7 @@
                     x.request.id(),
                     "was to be told " + (untilUs - clientUntilUs) + " us too much");
         }
-        return Math.min(untilUs, clientUntilUs) - clock.now();
+        return Math.min(untilUs, clientUntilUs) - clock.nowUs();
     }
 
     /** Whether a client's connection may be closed for others' sake: not while its first request may be on its way. */
--- a/src/main/java/rushproxy/sidecar/RequestLog.java
+++ b/src/main/java/rushproxy/sidecar/RequestLog.java
@@ -12,7 +12,7 @@
     private RequestLog() {}
 
     static void taken(String id, String requestClass, long leftUs) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " taken, class " + requestClass + ", " + leftUs / 1000 + " ms left",
@@ -26,7 +26,7 @@
     }
 
     static void attempt(String id, int number, String upstream, long leftUs) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " attempt " + number + " to " + upstream + ", " + leftUs / 1000 + " ms left",
@@ -43,7 +43,7 @@
 
     /** {@code why}: what forbids an attempt that was asked for. */
     static void notAttempted(String id, int number, String upstream, String why) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " attempt " + number + " to " + upstream + " not begun: " + why,
@@ -59,7 +59,7 @@
     }
 
     static void outcome(String id, int number, String upstream, Outcome outcome, long tookUs) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " attempt " + number + " to " + upstream + " ended " + outcome + " after "
@@ -79,14 +79,14 @@
 
     /** {@code state}: what the request has become, such as refused, failed, passing on, overdue or left by its client. */
     static void state(String id, String state) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(Log.Level.DEBUG, "request " + id + " " + state, "request", id, "state", state);
         }
     }
 
     /** A message of a client that is answered here, before it became a request. */
     static void rejected(Channel client, int status) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "connection " + client.remoteAddress() + " is answered " + status,
@@ -99,11 +99,11 @@
 
     /** The client had no part of an answer, and did not end the connection itself. */
     static void endsUnanswered(SocketAddress client, ConnectionHistory history) {
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "connection " + client + " ends with no answer after " + history.ageUs() / 1000 + " ms, "
-                            + history.readBytes() + " bytes read of it: " + history.end(),
+                            + history.readBytes() + " bytes read of it: " + history.describeEnd(),
                     "peer",
                     client,
                     "age_ms",
@@ -111,15 +111,15 @@
                     "read_bytes",
                     history.readBytes(),
                     "reason",
-                    history.end());
+                    history.describeEnd());
         }
     }
 
     static void closes(Channel channel, CloseReason reason) {
         if (channel instanceof TcpConnection connection) {
-            connection.history().closes(reason);
+            connection.history().recordCloseReason(reason);
         }
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "connection " + channel.remoteAddress() + " closed: " + reason.words(),
--- a/src/main/java/rushproxy/sidecar/RequestTimes.java
+++ b/src/main/java/rushproxy/sidecar/RequestTimes.java
@@ -39,7 +39,7 @@
 
     /** {@code end}: what became of it; {@code now}: when that was so, the kernel having the answer's last byte. */
     void log(String id, String end, int attempts, long now) {
-        if (!Log.debugs()) {
+        if (!Log.isDebugEnabled()) {
             return;
         }
         String text = String.format(
--- a/src/main/java/rushproxy/sidecar/Requests.java
+++ b/src/main/java/rushproxy/sidecar/Requests.java
@@ -47,7 +47,7 @@
 
     Requests(
             EventLoop loop,
-            RunningTime time,
+            StallAwareClock time,
             Decisions decisions,
             Upstreams upstreams,
             RequestGuard guard,
@@ -73,12 +73,12 @@
     /** Its body may still be coming: {@link #complete} tells when it is not. */
     void take(Exchange x) {
         taken++;
-        RequestLog.taken(x.request.id(), x.request.requestClass(), x.deadlineUs - clock.now());
+        RequestLog.taken(x.request.id(), x.request.requestClass(), x.deadlineUs - clock.nowUs());
         open.put(x.request.id(), x);
         if (x.body.complete()) {
             await(x);
         }
-        decisions.call(m -> m.onRequest(clock.now(), x.request), () -> fail(x));
+        decisions.call(m -> m.onRequest(clock.nowUs(), x.request), () -> fail(x));
     }
 
     private void await(Exchange x) {
@@ -163,7 +163,7 @@
     }
 
     private void expired(Exchange x) {
-        decisions.call(m -> m.onExpired(clock.now(), x.request.id()), () -> {});
+        decisions.call(m -> m.onExpired(clock.nowUs(), x.request.id()), () -> {});
     }
 
     /** After a call that broke off: what the module held may be forgotten, so it is answered now. */
@@ -181,7 +181,7 @@
             return;
         }
         int number = x.attempts.size();
-        long now = clock.now();
+        long now = clock.nowUs();
         long until =
                 !x.body.complete() ? now + UPLOAD_US : untilUs <= 0 ? x.deadlineUs : Math.min(untilUs, x.deadlineUs);
         String moot = whyMoot(x, number, until <= now);
@@ -210,7 +210,7 @@
                     @Override
                     public void sent(UpstreamCall c) {
                         if (x.request.partial()) {
-                            decisions.call(m -> m.onSent(clock.now(), x.request.id(), number), () -> {});
+                            decisions.call(m -> m.onSent(clock.nowUs(), x.request.id(), number), () -> {});
                         }
                     }
                 });
@@ -228,7 +228,7 @@
 
     /** Asked just before the first byte, on every way to it: the module, then the guard. */
     private boolean mayBegin(Exchange x, int number, UpstreamCall call) {
-        String why = decisions.ask(m -> m.mayBegin(clock.now(), x.request.id(), number))
+        String why = decisions.ask(m -> m.mayBegin(clock.nowUs(), x.request.id(), number))
                 ? guard.whyNotSend(x, call)
                 : "the module says no";
         if (why != null) {
@@ -275,7 +275,7 @@
 
     /** What lies in the sockets goes first: it may say that this must not be sent any more. */
     private void begin(UpstreamCall call) {
-        SocketLook.before(loop, () -> {
+        SocketPolling.runAfterNextPoll(loop, () -> {
             if (!call.ended()) {
                 upstreams.start(call);
             }
@@ -318,7 +318,7 @@
         x.passing = call;
         upstreams.endBy(call, endUs);
         x.answer.begins(length, resume);
-        long now = clock.now();
+        long now = clock.nowUs();
         decisions.call(
                 m -> m.onStreamStart(now, x.request.id(), number, call.upstream, upstreams.tookUs(call)), () -> {});
         return true;
@@ -335,7 +335,7 @@
             x.answer.served(body.retain());
         }
         forgetIfSettled(x);
-        long now = clock.now();
+        long now = clock.nowUs();
         watch.ended(call.upstream, x.request.requestClass(), outcome, tookUs);
         decisions.call(
                 m -> m.onOutcome(now, x.request.id(), number, call.upstream, outcome, tookUs, x.state.isOver(), report),
@@ -357,7 +357,7 @@
             fail(x);
         } else if (finish(x, RequestState.ANSWERED)) {
             refused++;
-            unserved.add(x, "refused", clock.now());
+            unserved.add(x, "refused", clock.nowUs());
             RequestLog.state(x.request.id(), "refused");
             x.answer.refused(retryAfterUs);
         }
@@ -376,7 +376,7 @@
     private void fail(Exchange x, String reason) {
         if (!x.state.isOver() && finish(x, RequestState.ANSWERED)) {
             failed++;
-            unserved.add(x, reason, clock.now());
+            unserved.add(x, reason, clock.nowUs());
             RequestLog.state(x.request.id(), "failed");
             x.answer.failed();
         }
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -22,24 +22,24 @@
 /** One sidecar: starts its parts on one event loop, which owns them all, and ends them in good order. */
 public final class Sidecar {
     /** Descriptors for the program itself: some 15 files, listeners and selectors, and all that operators may hold. */
-    private static final int OWN_DESCRIPTORS = 32 + AdminServer.MOST_CALLERS;
+    private static final int RESERVED_DESCRIPTORS = 32 + AdminServer.MOST_CALLERS;
 
-    private static final int LEAST_PER_SIDE = 16;
+    private static final int MIN_SOCKETS_PER_SIDE = 16;
     /** A sixteenth of the memory may hold bodies and answers: the runtime's own parts take a third and more. */
-    private static final int KEPT_SHIFT = 4;
+    private static final int BUFFER_BUDGET_SHIFT = 4;
     /** An answer to a probe that takes longer tells nothing of now. */
-    private static final long PROBE_US = 50_000;
+    private static final long PROBE_TIMEOUT_US = 50_000;
 
-    private static final long BEAT_MS = LoopDelay.BEAT_US / 1000;
-    private static final int BEATS = 100;
+    private static final long HEARTBEAT_INTERVAL_MS = EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000;
+    private static final int HEARTBEATS_PER_REPORT = 100;
     /** A lag worth a line in the log: more than the margin by which answers precede their deadlines. */
-    private static final long LAG_US = 15_000;
+    private static final long REPORTED_LAG_US = 15_000;
 
     private final Config config;
     private final ServerSocketChannel inherited;
-    private final Module module;
+    private final BalancerFactory balancerFactory;
     private final Clock clock;
-    private final LoopDelay loopDelay = new LoopDelay();
+    private final EventLoopDelay loopDelay = new EventLoopDelay();
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final Decisions decisions = new Decisions();
@@ -47,40 +47,40 @@
     private final Invariants invariants = new Invariants();
     private final RequestGuard guard;
     private final Requests requests;
-    private final StartTimes starts;
+    private final StartTimes startTimes;
     /** The list that the process was started with. */
-    private final UpstreamList known;
+    private final UpstreamList knownUpstreams;
 
     private final Discovery discovery;
-    private final Reload reload;
+    private final ConfigReloader configReloader;
     private final Peers peers;
     /** Null where no part of it is on. */
-    private final FleetPlane fleet;
+    private final FleetPlane fleetPlane;
 
     private final ClientServer clients;
     /** Null where no second address is named: nobody could call anything out, or back. */
-    private final CordonStore cordons;
+    private final CordonStore cordonStore;
 
-    private Map<String, CordonStore.Mark> marks = Map.of();
-    private InetSocketAddress listening;
+    private Map<String, CordonStore.Mark> cordonMarks = Map.of();
+    private InetSocketAddress listenAddress;
     /** Null where no second address is named. */
-    private InetSocketAddress administered;
+    private InetSocketAddress adminAddress;
 
     private final AnswerDeadlines deadlines;
-    private long worstLagUs;
+    private long maxLagUs;
     /** At the last line of the log; null where the kernel does not tell. */
-    private ThreadFigures figures;
+    private ThreadSchedStats lastSchedStats;
 
-    private long beats;
-    private boolean leaving;
+    private long heartbeats;
+    private boolean stopping;
 
     /** Makes the module that decides; its actions may be used from then on. */
-    interface Module {
+    interface BalancerFactory {
         Balancer create(Config config, long now, Balancer.Actions actions);
     }
 
     /** {@code inherited} listens for clients already; null where the sidecar is to listen itself. */
-    Sidecar(Config config, ServerSocketChannel inherited, Module module) {
+    Sidecar(Config config, ServerSocketChannel inherited, BalancerFactory module) {
         this(config, inherited, module, new Clock(), handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
     }
 
@@ -88,21 +88,21 @@
     Sidecar(
             Config config,
             ServerSocketChannel inherited,
-            Module module,
+            BalancerFactory module,
             Clock clock,
             Function<IoHandlerFactory, EventLoopGroup> loops) {
         this.clock = clock;
-        group = loops.apply(TimedIoHandler.factory(SocketLook.handlers(), clock, loopDelay));
+        group = loops.apply(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
         loop = group.next();
         this.config = config;
         this.inherited = inherited;
-        this.module = module;
+        this.balancerFactory = module;
         Balancer.Settings settings = config.settings();
-        Budget budget = new Budget((long) config.memoryMb() << 20 >> KEPT_SHIFT);
+        Budget budget = new Budget((long) config.memoryMb() << 20 >> BUFFER_BUDGET_SHIFT);
         // Those who only come to stay are on the clients' side. What that does not use upstreams may have.
-        int free = Math.max(2 * LEAST_PER_SIDE, config.sockets() - OWN_DESCRIPTORS);
-        int ofClients = free - Math.max(LEAST_PER_SIDE, free / 4);
-        RunningTime time = new RunningTime(clock, loopDelay);
+        int free = Math.max(2 * MIN_SOCKETS_PER_SIDE, config.maxSockets() - RESERVED_DESCRIPTORS);
+        int ofClients = free - Math.max(MIN_SOCKETS_PER_SIDE, free / 4);
+        StallAwareClock time = new StallAwareClock(clock, loopDelay);
         upstreams = new Upstreams(
                 loop,
                 time,
@@ -115,30 +115,30 @@
         guard = new RequestGuard(clock, settings.classes(), invariants);
         requests = new Requests(
                 loop, time, decisions, upstreams, guard, settings.limits().maxAttempts());
-        starts = new StartTimes(clock, System::currentTimeMillis);
-        known = starts.known(config.known());
+        startTimes = new StartTimes(clock, System::currentTimeMillis);
+        knownUpstreams = startTimes.known(config.knownUpstreams());
         discovery = new Discovery(
                 loop,
                 clock,
                 decisions,
                 upstreams,
-                starts,
-                config.discovery(),
-                config.known().generation(),
+                startTimes,
+                config.discoveryAddress(),
+                config.knownUpstreams().generation(),
                 settings.rules().askEveryUs(),
                 !settings.discoveryOnRequest());
-        reload = new Reload(address -> loop.execute(() -> discovery.moveTo(address)));
-        peers = new Peers(clock, decisions, config.peers(), config.peersAll());
-        fleet = config.fleet().members()
+        configReloader = new ConfigReloader(address -> loop.execute(() -> discovery.moveTo(address)));
+        peers = new Peers(clock, decisions, config.peerAddresses(), config.allPeersAddress());
+        fleetPlane = config.fleet().members()
                 ? new FleetPlane(loop, clock, peers, decisions, config, upstreams::ready)
                 : null;
-        if (fleet != null) {
-            requests.watch(fleet::ended);
+        if (fleetPlane != null) {
+            requests.watch(fleetPlane::ended);
         }
-        cordons = config.admin() == null
+        cordonStore = config.adminAddress() == null
                 ? null
                 : new CordonStore(
-                        config.kept(), settings.rules().rampUs() / 1000, now -> loop.execute(() -> mark(now)));
+                        config.stateDirectory(), settings.rules().rampUs() / 1000, now -> loop.execute(() -> applyCordonMarks(now)));
         deadlines = new AnswerDeadlines(settings.classes(), loopDelay);
         clients = new ClientServer(
                 loop,
@@ -161,46 +161,46 @@
         // Before all else: without handlers of its own the Java runtime ends on these, and a reload that comes now is
         // meant.
         ProcessSignals signals = new ProcessSignals(environment);
-        boolean reloads = signals.take();
+        boolean reloads = signals.installHandlers();
         Config config;
         try {
             config = Config.read(environment);
-        } catch (Config.Broken e) {
+        } catch (Config.InvalidConfigException e) {
             Log.event(Log.Level.ERROR, e.getMessage());
-            Log.writeLastLines();
+            Log.flush();
             return 2;
         }
-        Log.style(config.log());
-        TcpInfo.load();
+        Log.configure(config.logOptions());
+        TcpInfo.loadEagerly();
         Sidecar sidecar;
         try {
-            ServerSocketChannel inherited = config.inherits() ? InheritedListener.open() : null;
+            ServerSocketChannel inherited = config.inheritsListener() ? InheritedListener.open() : null;
             sidecar = new Sidecar(
                     config, inherited, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
             // Before anybody can ask.
             sidecar.clients.notReady();
-            LoopWatch.begin(sidecar.loop, Sidecar::endWithoutLoop);
+            EventLoopWatchdog.start(sidecar.loop, Sidecar::haltAfterLoopExit);
             sidecar.start();
         } catch (Exception e) {
             Log.event(Log.Level.ERROR, "can't start: " + e);
-            Log.writeLastLines();
+            Log.flush();
             return 1;
         }
         if (!reloads) {
             Log.warn("was started with SIGHUP ignored: it will not reload");
         }
-        signals.started(sidecar);
+        signals.sidecarStarted(sidecar);
         sidecar.warmUp();
-        Log.line(config.name() + " serves on " + sidecar.listening());
+        Log.info(config.name() + " serves on " + sidecar.listenAddress());
         new CountDownLatch(1).await();
         return 0;
     }
 
     /** Whoever supervises the process starts another. */
-    private static void endWithoutLoop() {
+    private static void haltAfterLoopExit() {
         try {
             Log.event(Log.Level.ERROR, "the event loop has ended, and the process with it");
-            Log.writeLastLines();
+            Log.flush();
         } finally {
             Runtime.getRuntime().halt(1);
         }
@@ -208,109 +208,109 @@
 
     /** The configuration file was replaced. */
     void reload(Map<String, String> environment) {
-        reload.begin(environment);
+        configReloader.reloadAsync(environment);
     }
 
     void start() throws InterruptedException {
         // Where the selector's own wake-up could not be registered, a loop without timers would never see what is
         // handed to it.
-        Future<?> wakes = Recurring.every(loop, BEAT_MS, () -> {});
-        upstreams.update(known);
+        Future<?> wakes = PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, () -> {});
+        upstreams.update(knownUpstreams);
         loop.submit(() -> decisions.start(
                         actions -> {
-                            Balancer made = module.create(config, clock.now(), actions);
+                            Balancer made = balancerFactory.create(config, clock.nowUs(), actions);
                             made.onList(
-                                    clock.now(),
+                                    clock.nowUs(),
                                     ListKind.CACHED,
-                                    known.entries().stream()
+                                    knownUpstreams.entries().stream()
                                             .map(UpstreamList.Entry::upstream)
                                             .toList());
                             return made;
                         },
-                        new Hands()))
+                        new ModuleActions()))
                 .sync();
-        if (cordons != null) {
-            cordons.start();
+        if (cordonStore != null) {
+            cordonStore.start();
         }
         loop.execute(discovery::start);
-        if (config.peerListen() != null) {
-            peers.listen(loop, config.peerListen());
+        if (config.peerListenAddress() != null) {
+            peers.listen(loop, config.peerListenAddress());
         }
-        if (fleet != null) {
-            loop.execute(fleet::start);
+        if (fleetPlane != null) {
+            loop.execute(fleetPlane::start);
         }
         if (inherited == null) {
-            listening = clients.listen(config.listen());
+            listenAddress = clients.listen(config.listenAddress());
         } else {
             // Until it has warmed up: a call to the shared address could land in the other process.
-            listening = clients.listen(new InetSocketAddress(config.listen().getAddress(), 0));
+            listenAddress = clients.listen(new InetSocketAddress(config.listenAddress().getAddress(), 0));
         }
         clients.start();
-        if (config.admin() != null) {
+        if (config.adminAddress() != null) {
             OperatorCalls calls =
-                    new OperatorCalls(loop, clients, upstreams, fleet, cordons, id -> marks.containsKey(id));
-            administered = new AdminServer(loop, calls).listen(config.admin());
+                    new OperatorCalls(loop, clients, upstreams, fleetPlane, cordonStore, id -> cordonMarks.containsKey(id));
+            adminAddress = new AdminServer(loop, calls).listen(config.adminAddress());
         }
-        Recurring.every(loop, BEAT_MS, this::beat);
+        PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, this::onHeartbeat);
         wakes.cancel(false);
     }
 
     /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
-    private void beat() {
-        long now = clock.now();
-        long behindUs = loopDelay.behindUs(now);
-        worstLagUs = Math.max(worstLagUs, behindUs);
+    private void onHeartbeat() {
+        long now = clock.nowUs();
+        long behindUs = loopDelay.heartbeatLagUs(now);
+        maxLagUs = Math.max(maxLagUs, behindUs);
         // The turn that this beat is part of is told only when it is over.
-        loopDelay.delayed(now, behindUs);
-        if (loopDelay.recentUs() >= Requests.LEAST_GAIN_US) {
+        loopDelay.recordDelay(now, behindUs);
+        if (loopDelay.recentDelayUs() >= Requests.LEAST_GAIN_US) {
             requests.tighten(deadlines);
         }
-        if (behindUs < LoopDelay.LATE_US) {
-            loopDelay.beat(now);
+        if (behindUs < EventLoopDelay.STALL_THRESHOLD_US) {
+            loopDelay.recordHeartbeat(now);
         } else {
             // What lay in the sockets meanwhile is read only now, and is as old as the hold-up.
-            loop.schedule(() -> loopDelay.beat(clock.now()), LoopDelay.LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> loopDelay.recordHeartbeat(clock.nowUs()), EventLoopDelay.EXTRA_POLL_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        if (++beats % BEATS == 0) {
-            tellUnanswered();
+        if (++heartbeats % HEARTBEATS_PER_REPORT == 0) {
+            reportUnansweredConnections();
             requests.tally((words, fields) -> Log.event(
-                    Log.Level.INFO, "in " + BEATS * BEAT_MS / 1000 + " s " + words + "; " + held() + broken(), fields));
-            tellLag();
+                    Log.Level.INFO, "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + words + "; " + describeConnections() + describeInvariantViolations(), fields));
+            reportLag();
         }
     }
 
     /** Whether it worked then or waited for a processor says whose the delay was. */
-    private void tellLag() {
-        ThreadFigures before = figures;
-        figures = ThreadFigures.ofCallingThread().orElse(null);
-        if (worstLagUs >= LAG_US) {
+    private void reportLag() {
+        ThreadSchedStats before = lastSchedStats;
+        lastSchedStats = ThreadSchedStats.ofCurrentThread().orElse(null);
+        if (maxLagUs >= REPORTED_LAG_US) {
             String words =
-                    "the event loop was late by up to " + worstLagUs / 1000 + " ms in " + BEATS * BEAT_MS / 1000 + " s";
-            if (before == null || figures == null) {
-                Log.event(Log.Level.WARN, words, "late_ms", worstLagUs / 1000);
+                    "the event loop was late by up to " + maxLagUs / 1000 + " ms in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
+            if (before == null || lastSchedStats == null) {
+                Log.event(Log.Level.WARN, words, "late_ms", maxLagUs / 1000);
             } else {
-                ThreadFigures since = figures.since(before);
+                ThreadSchedStats since = lastSchedStats.since(before);
                 Log.event(
                         Log.Level.WARN,
-                        words + ", in which it ran for " + since.ranMs() + " ms and waited for a processor for "
-                                + since.waitedMs() + " ms",
+                        words + ", in which it ran for " + since.cpuMs() + " ms and waited for a processor for "
+                                + since.runQueueWaitMs() + " ms",
                         "late_ms",
-                        worstLagUs / 1000,
+                        maxLagUs / 1000,
                         "ran_ms",
-                        since.ranMs(),
+                        since.cpuMs(),
                         "waited_ms",
-                        since.waitedMs());
+                        since.runQueueWaitMs());
             }
         }
-        worstLagUs = 0;
+        maxLagUs = 0;
     }
 
-    private void tellUnanswered() {
+    private void reportUnansweredConnections() {
         Map<String, Integer> ends = clients.unansweredSinceLast();
         if (!ends.isEmpty()) {
             Log.event(
                     Log.Level.WARN,
-                    "in " + BEATS * BEAT_MS / 1000 + " s clients' connections ended with no answer: " + ends,
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s clients' connections ended with no answer: " + ends,
                     "unanswered",
                     ends);
         }
@@ -319,12 +319,12 @@
     /** Readies the program's own code before {@link ClientServer} tells the application that it may come. */
     void warmUp() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        long sinceUs = clock.now();
+        long sinceUs = clock.nowUs();
         loop.execute(() -> {
             WarmUp warmUp = new WarmUp(loop, clock, config.settings());
             clients.warmsUp(warmUp);
-            warmUp.begin(listening, () -> {
-                Log.line("warmed up with " + warmUp.served() + " requests in " + (clock.now() - sinceUs) / 1_000
+            warmUp.start(listenAddress, () -> {
+                Log.info("warmed up with " + warmUp.successCount() + " requests in " + (clock.nowUs() - sinceUs) / 1_000
                         + " ms");
                 done.countDown();
             });
@@ -333,14 +333,14 @@
         if (inherited != null) {
             clients.closeListener();
             clients.take(inherited);
-            listening = config.listen();
+            listenAddress = config.listenAddress();
         }
         // What discovery has counts as told from the first moment: its first answer goes before the first client.
         loop.execute(() -> discovery.whenHeard(() -> {
-            if (fleet == null) {
+            if (fleetPlane == null) {
                 clients.warm();
             } else {
-                fleet.whenWarm(clients::warm);
+                fleetPlane.whenWarm(clients::warm);
             }
         }));
     }
@@ -349,30 +349,30 @@
         return loop;
     }
 
-    InetSocketAddress listening() {
-        return listening;
+    InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    InetSocketAddress administered() {
-        return administered;
+    InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
     /** {@code stopped} runs when all that was taken has been answered and all connections are closed. */
     void stop(Runnable stopped) {
         // The kill is counted from the signal, however late the loop comes to it.
-        long sinceUs = clock.now();
+        long sinceUs = clock.nowUs();
         loop.execute(() -> {
             // Told again it changes nothing: the time runs from the first call.
-            if (leaving) {
+            if (stopping) {
                 return;
             }
-            leaving = true;
-            Log.line("is to leave; " + held());
-            if (fleet != null) {
-                fleet.leave();
+            stopping = true;
+            Log.info("is to leave; " + describeConnections());
+            if (fleetPlane != null) {
+                fleetPlane.leave();
             }
             clients.stop(sinceUs, () -> {
-                long afterMs = (clock.now() - sinceUs) / 1000;
+                long afterMs = (clock.nowUs() - sinceUs) / 1000;
                 Log.event(Log.Level.INFO, "leaves after " + afterMs + " ms", "after_ms", afterMs);
                 stopped.run();
             });
@@ -391,19 +391,19 @@
         return invariants;
     }
 
-    private String broken() {
+    private String describeInvariantViolations() {
         return invariants.total() == 0 ? "" : "; broken invariants " + invariants.counts();
     }
 
-    private String held() {
+    private String describeConnections() {
         return clients.open() + " of " + clients.limit() + " connections of clients, " + upstreams.open()
                 + " to upstreams";
     }
 
     /** The operators have called upstreams out or back, here or at the other process of an upgrade. */
-    private void mark(Map<String, CordonStore.Mark> now) {
-        Map<String, CordonStore.Mark> before = marks;
-        marks = now;
+    private void applyCordonMarks(Map<String, CordonStore.Mark> now) {
+        Map<String, CordonStore.Mark> before = cordonMarks;
+        cordonMarks = now;
         for (Map.Entry<String, CordonStore.Mark> e : now.entrySet()) {
             CordonStore.Mark mark = e.getValue();
             if (!mark.equals(before.get(e.getKey()))) {
@@ -417,21 +417,21 @@
                 upstreams.cordon(e.getKey(), mark.out());
                 // Told here, it is news of now: the wall clock by which the mark was written may have been stepped
                 // since.
-                decisions.call(m -> m.onCordon(clock.now(), e.getKey(), mark.out(), clock.now()), () -> {});
+                decisions.call(m -> m.onCordon(clock.nowUs(), e.getKey(), mark.out(), clock.nowUs()), () -> {});
             }
         }
     }
 
     /** Ends at once, whatever is held. */
-    void end() {
-        if (cordons != null) {
-            cordons.close();
+    void shutdownNow() {
+        if (cordonStore != null) {
+            cordonStore.close();
         }
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     /** Carries out what the module decides. */
-    private final class Hands implements Balancer.Actions {
+    private final class ModuleActions implements Balancer.Actions {
         @Override
         public void send(String request, String upstream, long untilUs) {
             requests.send(request, upstream, untilUs);
@@ -456,12 +456,12 @@
         public void probe(String upstream) {
             upstreams.start(new UpstreamCall(
                     upstream,
-                    clock.now() + PROBE_US,
+                    clock.nowUs() + PROBE_TIMEOUT_US,
                     true,
                     left -> probe(),
                     null,
                     (call, outcome, report, body) -> decisions.call(
-                            m -> m.onProbe(clock.now(), upstream, outcome, upstreams.tookUs(call), report), () -> {})));
+                            m -> m.onProbe(clock.nowUs(), upstream, outcome, upstreams.tookUs(call), report), () -> {})));
         }
 
         private static HttpRequest probe() {
@@ -486,20 +486,20 @@
         @Override
         public void timer(String mark, long delayUs) {
             loop.schedule(
-                    () -> decisions.call(m -> m.onTimer(clock.now(), mark), requests::failHeld),
+                    () -> decisions.call(m -> m.onTimer(clock.nowUs(), mark), requests::failHeld),
                     delayUs,
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void log(String text) {
-            Log.line(text);
+            Log.info(text);
         }
 
         @Override
         public void evidence(String upstream, Balancer.Evidence kind, double factor) {
-            if (fleet != null) {
-                fleet.evidence(upstream, kind, factor);
+            if (fleetPlane != null) {
+                fleetPlane.evidence(upstream, kind, factor);
             }
         }
     }
--- a/src/main/java/rushproxy/sidecar/SocketErrors.java
+++ b/src/main/java/rushproxy/sidecar/SocketErrors.java
@@ -13,7 +13,7 @@
  */
 final class SocketErrors {
     /** What Linux says for ECONNRESET (the runtime says it shorter), EPIPE, ETIMEDOUT, EHOSTUNREACH and ENOTCONN. */
-    private static final Set<String> ENDS = Set.of(
+    private static final Set<String> CONNECTION_LOST_MESSAGES = Set.of(
             "Connection reset",
             "Connection reset by peer",
             "Broken pipe",
@@ -24,15 +24,15 @@
     private SocketErrors() {}
 
     /** Whether a connection could not be opened by the peer's doing or the network's, and not this machine's. */
-    static boolean isOfPeer(Throwable failedDial) {
+    static boolean isRemoteConnectFailure(Throwable failedDial) {
         return failedDial instanceof ConnectException
                 || failedDial instanceof NoRouteToHostException
                 || failedDial instanceof ClosedChannelException
-                || endsConnection(failedDial);
+                || isConnectionLost(failedDial);
     }
 
     /** Whether the call has failed since there is no connection any more, by the peer's doing or the network's. */
-    static boolean endsConnection(Throwable error) {
+    static boolean isConnectionLost(Throwable error) {
         if (error instanceof ClosedChannelException) {
             return true;
         }
@@ -40,6 +40,6 @@
             return false;
         }
         // Netty adds the address to the words of a failed dial, and has the system's error as its cause.
-        return error.getMessage() != null && ENDS.contains(error.getMessage()) || endsConnection(error.getCause());
+        return error.getMessage() != null && CONNECTION_LOST_MESSAGES.contains(error.getMessage()) || isConnectionLost(error.getCause());
     }
 }
--- a/src/main/java/rushproxy/sidecar/SocketOptions.java
+++ b/src/main/java/rushproxy/sidecar/SocketOptions.java
@@ -13,9 +13,9 @@
  * never the connection.
  */
 final class SocketOptions {
-    private static final long AGAIN_MS = 3;
+    private static final long RETRY_DELAY_MS = 3;
     /** A second of tries. */
-    private static final int MOST_TRIES = 330;
+    private static final int MAX_ATTEMPTS = 330;
 
     private final NetworkChannel socket;
     /** Those that are not set yet. */
@@ -23,10 +23,10 @@
     /** Null until the socket belongs to one. */
     private EventLoop loop;
 
-    private int tries;
-    private boolean scheduled;
+    private int attempts;
+    private boolean retryScheduled;
     /** Runs once nothing is pending, or no more is tried; null where nobody waits. */
-    private Runnable whenSet;
+    private Runnable whenApplied;
 
     SocketOptions(NetworkChannel socket) {
         this.socket = socket;
@@ -35,56 +35,56 @@
     /** A value that is still pending for this option is forgotten. */
     <T> void set(SocketOption<T> option, T value) {
         pending.put(option, value);
-        tries = 0;
-        apply();
+        attempts = 0;
+        applyPending();
     }
 
     /** What could not be set yet is tried again on this loop. */
-    void tryAgainOn(EventLoop of) {
+    void retryOn(EventLoop of) {
         loop = of;
-        scheduleIfPending();
+        scheduleRetryIfPending();
     }
 
     /** {@code then} runs at once where nothing is pending, and no later than a second from now. */
-    void whenSet(Runnable then) {
-        whenSet = then;
-        tellIfSet();
+    void whenApplied(Runnable then) {
+        whenApplied = then;
+        notifyIfDone();
     }
 
-    private void apply() {
-        pending.entrySet().removeIf(e -> isSet(e.getKey(), e.getValue()));
-        tellIfSet();
-        scheduleIfPending();
+    private void applyPending() {
+        pending.entrySet().removeIf(e -> trySet(e.getKey(), e.getValue()));
+        notifyIfDone();
+        scheduleRetryIfPending();
     }
 
-    private void scheduleIfPending() {
-        if (!pending.isEmpty() && loop != null && !scheduled && tries < MOST_TRIES) {
-            scheduled = true;
-            loop.schedule(this::again, AGAIN_MS, TimeUnit.MILLISECONDS);
+    private void scheduleRetryIfPending() {
+        if (!pending.isEmpty() && loop != null && !retryScheduled && attempts < MAX_ATTEMPTS) {
+            retryScheduled = true;
+            loop.schedule(this::retry, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void again() {
-        scheduled = false;
-        tries++;
+    private void retry() {
+        retryScheduled = false;
+        attempts++;
         if (socket.isOpen()) {
-            apply();
+            applyPending();
         } else {
             pending.clear();
-            tellIfSet();
+            notifyIfDone();
         }
     }
 
-    private void tellIfSet() {
-        if (whenSet != null && (pending.isEmpty() || tries >= MOST_TRIES)) {
-            Runnable then = whenSet;
-            whenSet = null;
+    private void notifyIfDone() {
+        if (whenApplied != null && (pending.isEmpty() || attempts >= MAX_ATTEMPTS)) {
+            Runnable then = whenApplied;
+            whenApplied = null;
             then.run();
         }
     }
 
     @SuppressWarnings("unchecked")
-    private <T> boolean isSet(SocketOption<T> option, Object value) {
+    private <T> boolean trySet(SocketOption<T> option, Object value) {
         try {
             socket.setOption(option, (T) value);
             return true;
--- a/src/main/java/rushproxy/sidecar/RunningTime.java
+++ b/src/main/java/rushproxy/sidecar/StallAwareClock.java
@@ -4,14 +4,14 @@
  * Measures spans of time, and tells how much of each this process's own event loop was held up. What others are judged by (a latency,
  * a missing answer) must not contain that part: they may have done their work, and nobody was there to see it.
  */
-final class RunningTime {
+final class StallAwareClock {
     /** A moment, and for how long the loop had been held up in all by then. */
-    record Mark(long atUs, long heldUpUs) {}
+    record Timestamp(long atUs, long totalStallUs) {}
 
     private final Clock clock;
-    private final LoopDelay loopDelay;
+    private final EventLoopDelay loopDelay;
 
-    RunningTime(Clock clock, LoopDelay loopDelay) {
+    StallAwareClock(Clock clock, EventLoopDelay loopDelay) {
         this.clock = clock;
         this.loopDelay = loopDelay;
     }
@@ -21,27 +21,27 @@
     }
 
     /** Every socket of the loop has been looked at since then. */
-    long lookedAtUs() {
-        return loopDelay.lookedAtUs();
+    long lastPollStartUs() {
+        return loopDelay.lastPollStartUs();
     }
 
-    Mark mark() {
-        long now = clock.now();
-        return new Mark(now, loopDelay.heldUpUs(now));
+    Timestamp timestamp() {
+        long now = clock.nowUs();
+        return new Timestamp(now, loopDelay.totalStallUs(now));
     }
 
-    long passedUs(Mark since) {
-        return clock.now() - since.atUs;
+    long elapsedUs(Timestamp since) {
+        return clock.nowUs() - since.atUs;
     }
 
     /** The part of the time since then in which the loop ran. */
-    long runningUs(Mark since) {
-        long now = clock.now();
-        return Math.max(0, now - since.atUs - (loopDelay.heldUpUs(now) - since.heldUpUs));
+    long elapsedUnstalledUs(Timestamp since) {
+        long now = clock.nowUs();
+        return Math.max(0, now - since.atUs - (loopDelay.totalStallUs(now) - since.totalStallUs));
     }
 
     /** Whether the loop was held up for more than half of the time since then. */
-    boolean mostlyHeldUp(Mark since) {
-        return 2 * runningUs(since) < passedUs(since);
+    boolean wasMostlyStalled(Timestamp since) {
+        return 2 * elapsedUnstalledUs(since) < elapsedUs(since);
     }
 }
--- a/src/main/java/rushproxy/sidecar/StartTimes.java
+++ b/src/main/java/rushproxy/sidecar/StartTimes.java
@@ -73,7 +73,7 @@
         if (toldUs <= 0) {
             return toldUs;
         }
-        long now = clock.now();
+        long now = clock.nowUs();
         long ageUs = first ? Math.max(0, wallMs.getAsLong() * 1000 - toldUs) : 0;
         return Math.max(1, now - ageUs);
     }
--- a/src/main/java/rushproxy/sidecar/TcpConnection.java
+++ b/src/main/java/rushproxy/sidecar/TcpConnection.java
@@ -21,26 +21,26 @@
  */
 final class TcpConnection extends NioSocketChannel implements RegistrationRetry.Registered {
     /** Told to the handlers where it could not be read for so long that its peer may have gone unseen. */
-    enum ReadsFail {
+    enum ReadFailure {
         FOR_LONG
     }
 
-    private static final int END = -1;
+    private static final int END_OF_STREAM = -1;
 
     private final ConnectionHistory history = new ConnectionHistory();
     private final SocketOptions options = new SocketOptions(javaChannel());
     private final RegistrationRetry registration = new RegistrationRetry(this);
-    private final FailureSpell reads = new FailureSpell(System::nanoTime);
-    private BooleanSupplier ageWanted = () -> false;
-    private long lastReceivedAgoUs = TcpInfo.UNKNOWN;
+    private final FailureSpell readFailures = new FailureSpell(System::nanoTime);
+    private BooleanSupplier dataAgeWanted = () -> false;
+    private long sinceLastReceiveUs = TcpInfo.UNKNOWN;
     /** Not asked for readiness to read until the next try. */
     private boolean readPaused;
 
-    private boolean toldUnwatched;
-    private final FailureSpell writes = new FailureSpell(System::nanoTime);
+    private boolean readFailureReported;
+    private final FailureSpell writeFailures = new FailureSpell(System::nanoTime);
     private boolean writePaused;
     /** Asked before each write, as long as no byte of what it writes has left; null where nobody asks. */
-    private BooleanSupplier mayBegin;
+    private BooleanSupplier mayStartWrite;
 
     /** One that is to be opened. */
     TcpConnection() {
@@ -65,7 +65,7 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        options.tryAgainOn(eventLoop());
+        options.retryOn(eventLoop());
         if (readPaused) {
             setReadPending(true);
         } else {
@@ -73,37 +73,37 @@
         }
     }
 
-    /** From now on {@code wanted} is asked before each read whether {@link #lastReceivedAgoUs} is needed after it. */
-    void tellsAgeIf(BooleanSupplier wanted) {
-        ageWanted = wanted;
+    /** From now on {@code wanted} is asked before each read whether {@link #sinceLastReceiveUs} is needed after it. */
+    void measureDataAgeIf(BooleanSupplier wanted) {
+        dataAgeWanted = wanted;
     }
 
     /** By the kernel, before the last read: how long ago data came last. {@link TcpInfo#UNKNOWN} where it was not wanted or does not tell. */
-    long lastReceivedAgoUs() {
-        return lastReceivedAgoUs;
+    long sinceLastReceiveUs() {
+        return sinceLastReceiveUs;
     }
 
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
         // Before it: what comes between the two is taken for older than it is, never for younger.
-        lastReceivedAgoUs = ageWanted.getAsBoolean() ? TcpInfo.lastReceivedAgoUs(javaChannel()) : TcpInfo.UNKNOWN;
+        sinceLastReceiveUs = dataAgeWanted.getAsBoolean() ? TcpInfo.sinceLastReceiveUs(javaChannel()) : TcpInfo.UNKNOWN;
         int n;
         try {
-            n = readInterruptible(to);
+            n = readRetryingInterrupt(to);
         } catch (IOException e) {
-            history.failed(ConnectionHistory.Call.READ, e);
-            if (!reads.mayTryAgain(e)) {
+            history.recordFailure(ConnectionHistory.SocketOperation.READ, e);
+            if (!readFailures.mayTryAgain(e)) {
                 throw e;
             }
-            readAgainLater();
+            scheduleReadRetry();
             return 0;
         }
-        reads.over();
-        toldUnwatched = false;
-        if (n == END) {
-            history.peerEnded();
+        readFailures.over();
+        readFailureReported = false;
+        if (n == END_OF_STREAM) {
+            history.recordPeerClosed();
         } else if (n > 0) {
-            history.read(n);
+            history.recordRead(n);
             if (interestOps() == SelectionKey.OP_READ) {
                 registration.proven();
             }
@@ -112,41 +112,41 @@
     }
 
     /** A read that a signal interrupts is made once more at once; one that is interrupted again has failed for a moment. */
-    private int readInterruptible(ByteBuf to) throws Exception {
+    private int readRetryingInterrupt(ByteBuf to) throws Exception {
         int n = super.doReadBytes(to);
-        if (n < END) {
+        if (n < END_OF_STREAM) {
             n = super.doReadBytes(to);
         }
-        if (n < END) {
+        if (n < END_OF_STREAM) {
             throw new InterruptedIOException("interrupted");
         }
         return n;
     }
 
     /** Whether what comes is read as soon as it comes. */
-    boolean reads() {
+    boolean isReading() {
         return isActive() && isRegistered() && config().isAutoRead() && !readPaused;
     }
 
     /** Reads what lies in the socket by now, without waiting to be told of it; nothing where reading waits. */
     void readNow() {
-        if (reads()) {
+        if (isReading()) {
             unsafe().read();
         }
     }
 
     /** The socket may stay readable all the while: until the next try it is not asked for. */
-    private void readAgainLater() {
+    private void scheduleReadRetry() {
         readPaused = true;
         removeAndSubmit(NioIoOps.READ);
-        eventLoop().schedule(this::readAgain, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
-        if (reads.lastsMs() >= ClientInput.UNWATCHED_MS && !toldUnwatched) {
-            toldUnwatched = true;
-            pipeline().fireUserEventTriggered(ReadsFail.FOR_LONG);
+        eventLoop().schedule(this::retryRead, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
+        if (readFailures.lastsMs() >= ClientInput.UNWATCHED_MS && !readFailureReported) {
+            readFailureReported = true;
+            pipeline().fireUserEventTriggered(ReadFailure.FOR_LONG);
         }
     }
 
-    private void readAgain() {
+    private void retryRead() {
         readPaused = false;
         if (isActive() && wantsRead()) {
             read();
@@ -163,52 +163,52 @@
      * {@code now} is asked right before each try of a write of which no byte has left: false, and it is not tried. It is forgotten with
      * the first byte.
      */
-    void beginsIf(BooleanSupplier now) {
-        mayBegin = now;
+    void startWriteIf(BooleanSupplier now) {
+        mayStartWrite = now;
     }
 
     /** Whether such a write has not begun to leave. */
-    boolean waitsToBegin() {
-        return mayBegin != null;
+    boolean isWriteNotStarted() {
+        return mayStartWrite != null;
     }
 
     /** Whether the last write failed for a moment. */
-    boolean writesFail() {
-        return writes.failing();
+    boolean isWriteFailing() {
+        return writeFailures.failing();
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-        if (mayBegin != null && !mayBegin.getAsBoolean()) {
+        if (mayStartWrite != null && !mayStartWrite.getAsBoolean()) {
             return;
         }
         long pendingBefore = out.totalPendingWriteBytes();
         try {
             super.doWrite(out);
-            writes.over();
+            writeFailures.over();
         } catch (IOException e) {
-            history.failed(ConnectionHistory.Call.WRITE, e);
-            if (!writes.mayTryAgain(e)) {
+            history.recordFailure(ConnectionHistory.SocketOperation.WRITE, e);
+            if (!writeFailures.mayTryAgain(e)) {
                 throw e;
             }
-            writeAgainLater();
+            scheduleWriteRetry();
         } finally {
             if (out.isEmpty() || out.currentProgress() > 0 || out.totalPendingWriteBytes() < pendingBefore) {
-                mayBegin = null;
+                mayStartWrite = null;
             }
         }
     }
 
     /** The socket may stay writable all the while: until the next try it is not asked for. */
-    private void writeAgainLater() {
+    private void scheduleWriteRetry() {
         clearOpWrite();
         if (!writePaused) {
             writePaused = true;
-            eventLoop().schedule(this::writeAgain, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::retryWrite, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void writeAgain() {
+    private void retryWrite() {
         writePaused = false;
         if (isOpen()) {
             unsafe().forceFlush();
@@ -216,15 +216,15 @@
     }
 
     /** Ends the output where the transport could not for a moment; it counts as ended there. Nothing may wait to be written. */
-    void endOutput() {
+    void shutdownOutputWithRetry() {
         if (!isOpen()) {
             return;
         }
         try {
             javaChannel().shutdownOutput();
         } catch (IOException e) {
-            if (!SocketErrors.endsConnection(e)) {
-                eventLoop().schedule(this::endOutput, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
+            if (!SocketErrors.isConnectionLost(e)) {
+                eventLoop().schedule(this::shutdownOutputWithRetry, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/src/main/java/rushproxy/sidecar/TcpInfo.java
+++ b/src/main/java/rushproxy/sidecar/TcpInfo.java
@@ -18,36 +18,36 @@
     static final long UNKNOWN = -1;
 
     /** Null where a part is missing. */
-    private static final TcpInfo KERNEL;
+    private static final TcpInfo INSTANCE;
     /** Why nothing is known; null where it is. */
-    private static final String MISSING;
+    private static final String UNAVAILABLE_REASON;
 
     static {
         TcpInfo found = null;
         String missing = null;
         try {
-            found = find();
+            found = lookUp();
         } catch (ReflectiveOperationException | RuntimeException | LinkageError e) {
-            missing = rootOf(e).toString();
+            missing = rootCause(e).toString();
         }
-        KERNEL = found;
-        MISSING = missing;
+        INSTANCE = found;
+        UNAVAILABLE_REASON = missing;
     }
 
-    private static final long US_A_MS = 1_000;
+    private static final long US_PER_MS = 1_000;
 
-    private final Field descriptor;
-    private final Constructor<?> socket;
-    private final Method read;
+    private final Field descriptorField;
+    private final Constructor<?> socketConstructor;
+    private final Method getTcpInfo;
     private final EpollTcpInfo info = new EpollTcpInfo();
 
     private TcpInfo(Field descriptor, Constructor<?> socket, Method read) {
-        this.descriptor = descriptor;
-        this.socket = socket;
-        this.read = read;
+        this.descriptorField = descriptor;
+        this.socketConstructor = socket;
+        this.getTcpInfo = read;
     }
 
-    private static TcpInfo find() throws ReflectiveOperationException {
+    private static TcpInfo lookUp() throws ReflectiveOperationException {
         Epoll.ensureAvailability();
         Class<?> linuxSocket = Class.forName("io.netty.channel.epoll.LinuxSocket");
         Field descriptor = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
@@ -59,7 +59,7 @@
         return new TcpInfo(descriptor, socket, read);
     }
 
-    private static Throwable rootOf(Throwable e) {
+    private static Throwable rootCause(Throwable e) {
         Throwable root = e;
         while (root.getCause() != null) {
             root = root.getCause();
@@ -68,27 +68,27 @@
     }
 
     /** Loads all that the call takes, which reads files and may unpack one: not for the event loop. What is missing is told once. */
-    static void load() {
-        if (MISSING != null) {
-            Log.warn("the kernel's figures for connections are unknown: " + MISSING);
+    static void loadEagerly() {
+        if (UNAVAILABLE_REASON != null) {
+            Log.warn("the kernel's figures for connections are unknown: " + UNAVAILABLE_REASON);
         }
     }
 
     /** How long ago the connection last received data, or was established, where it has received none; {@link #UNKNOWN} else. */
-    static synchronized long lastReceivedAgoUs(SocketChannel connection) {
-        if (KERNEL == null || !connection.isOpen()) {
+    static synchronized long sinceLastReceiveUs(SocketChannel connection) {
+        if (INSTANCE == null || !connection.isOpen()) {
             return UNKNOWN;
         }
         try {
-            return KERNEL.readLastReceivedAgoUs(connection);
+            return INSTANCE.readSinceLastReceiveUs(connection);
         } catch (ReflectiveOperationException | RuntimeException e) {
             return UNKNOWN;
         }
     }
 
-    private long readLastReceivedAgoUs(SocketChannel connection) throws ReflectiveOperationException {
-        read.invoke(socket.newInstance(descriptor.getInt(connection)), info);
+    private long readSinceLastReceiveUs(SocketChannel connection) throws ReflectiveOperationException {
+        getTcpInfo.invoke(socketConstructor.newInstance(descriptorField.getInt(connection)), info);
         // A kernel has a segment size for each connection; what stands in for one may fill in nothing.
-        return info.rcvMss() == 0 ? UNKNOWN : info.lastDataRecv() * US_A_MS;
+        return info.rcvMss() == 0 ? UNKNOWN : info.lastDataRecv() * US_PER_MS;
     }
 }
--- a/src/main/java/rushproxy/sidecar/TimeOuts.java
+++ b/src/main/java/rushproxy/sidecar/TimeOuts.java
@@ -11,9 +11,9 @@
  */
 final class TimeOuts {
     private final EventLoop loop;
-    private final RunningTime time;
+    private final StallAwareClock time;
 
-    TimeOuts(EventLoop loop, RunningTime time) {
+    TimeOuts(EventLoop loop, StallAwareClock time) {
         this.loop = loop;
         this.time = time;
     }
@@ -25,14 +25,14 @@
     Future<?> at(long dueUs, BooleanSupplier readsNow, Runnable work) {
         return loop.schedule(
                 () -> {
-                    if (time.lookedAtUs() >= dueUs && readsNow.getAsBoolean()) {
+                    if (time.lastPollStartUs() >= dueUs && readsNow.getAsBoolean()) {
                         // Behind the tasks by which the look tells of ends.
                         loop.execute(work);
                     } else {
-                        SocketLook.before(loop, work);
+                        SocketPolling.runAfterNextPoll(loop, work);
                     }
                 },
-                dueUs - time.clock().now(),
+                dueUs - time.clock().nowUs(),
                 TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/rushproxy/sidecar/TimedIoHandler.java
+++ b/src/main/java/rushproxy/sidecar/TimedIoHandler.java
@@ -8,62 +8,62 @@
 
 /** An event loop's I/O handler that measures each turn of the loop: a turn begins as the handler has looked at the sockets. */
 final class TimedIoHandler implements IoHandler {
-    private static final long NANOS_A_US = 1_000;
+    private static final long NANOS_PER_US = 1_000;
 
-    private final IoHandler handler;
+    private final IoHandler delegate;
     private final Clock clock;
-    private final LoopDelay loopDelay;
+    private final EventLoopDelay loopDelay;
 
-    private TimedIoHandler(IoHandler handler, Clock clock, LoopDelay loopDelay) {
-        this.handler = handler;
+    private TimedIoHandler(IoHandler handler, Clock clock, EventLoopDelay loopDelay) {
+        this.delegate = handler;
         this.clock = clock;
         this.loopDelay = loopDelay;
     }
 
     /** For one loop alone: {@code loopDelay} is told of its turns on its thread. */
-    static IoHandlerFactory factory(IoHandlerFactory handlers, Clock clock, LoopDelay loopDelay) {
+    static IoHandlerFactory wrap(IoHandlerFactory handlers, Clock clock, EventLoopDelay loopDelay) {
         return executor -> new TimedIoHandler(handlers.newHandler(executor), clock, loopDelay);
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        long beganUs = clock.now();
-        long idleUs = context.canBlock() ? context.delayNanos(System.nanoTime()) / NANOS_A_US : 0;
+        long beganUs = clock.nowUs();
+        long idleUs = context.canBlock() ? context.delayNanos(System.nanoTime()) / NANOS_PER_US : 0;
         try {
-            return handler.run(context);
+            return delegate.run(context);
         } finally {
-            loopDelay.looked(beganUs, beganUs + idleUs, clock.now());
+            loopDelay.recordPoll(beganUs, beganUs + idleUs, clock.nowUs());
         }
     }
 
     @Override
     public void initialize() {
-        loopDelay.begins(clock.now());
-        handler.initialize();
+        loopDelay.recordLoopStart(clock.nowUs());
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        handler.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        handler.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return handler.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        handler.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> type) {
-        return handler.isCompatible(type);
+        return delegate.isCompatible(type);
     }
 }
--- a/src/main/java/rushproxy/sidecar/UnansweredConnections.java
+++ b/src/main/java/rushproxy/sidecar/UnansweredConnections.java
@@ -22,10 +22,10 @@
 
     private void ended(TcpConnection connection) {
         ConnectionHistory history = connection.history();
-        if (!history.endsUnanswered()) {
+        if (!history.isClosedLocallyUnanswered()) {
             return;
         }
-        String end = history.end();
+        String end = history.describeEnd();
         counts.merge(counts.size() < MOST_KINDS || counts.containsKey(end) ? end : OTHERS, 1, Integer::sum);
         RequestLog.endsUnanswered(connection.remoteAddress(), history);
     }
--- a/src/main/java/rushproxy/sidecar/UpstreamCall.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamCall.java
@@ -22,9 +22,9 @@
 
     final CallResult result;
     private final boolean reportInBody;
-    RunningTime.Mark sent;
+    StallAwareClock.Timestamp sent;
     /** When its upstream was given something to act on: a connection to accept, or a message on an old one; null before. */
-    RunningTime.Mark offered;
+    StallAwareClock.Timestamp offered;
 
     UpstreamTarget target;
     Channel channel;
@@ -83,7 +83,7 @@
         return sent.atUs();
     }
 
-    void sentAt(RunningTime.Mark mark) {
+    void sentAt(StallAwareClock.Timestamp mark) {
         sent = mark;
     }
 
@@ -98,7 +98,7 @@
 
     /** Whether a byte of it has left: the write of the first one may be failing for a moment. */
     private boolean hasLeft() {
-        return started && !((TcpConnection) channel).waitsToBegin();
+        return started && !((TcpConnection) channel).isWriteNotStarted();
     }
 
     /** Whether its upstream may work on it, or has. */
--- a/src/main/java/rushproxy/sidecar/UpstreamConnection.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamConnection.java
@@ -115,7 +115,7 @@
         if (outcome != Outcome.OK) {
             return;
         }
-        progress = new AnswerProgress(length, clock.now());
+        progress = new AnswerProgress(length, clock.nowUs());
         if (call.reportInBody()) {
             kept = Unpooled.buffer(length < 0 ? FIRST_BYTES : most);
             return;
@@ -137,7 +137,7 @@
             return;
         }
         if (progress != null) {
-            progress.moved(piece.readableBytes(), clock.now());
+            progress.moved(piece.readableBytes(), clock.nowUs());
         }
         if (passing) {
             give(ctx, piece);
@@ -169,7 +169,7 @@
         if (call == null || head == null || whole || passing || kept == null) {
             return;
         }
-        if (progress.flows(clock.now())) {
+        if (progress.flows(clock.nowUs())) {
             pass(ctx);
         } else {
             timer = ctx.executor().schedule(() -> passIfItFlows(ctx), LOOK_US, TimeUnit.MICROSECONDS);
@@ -218,7 +218,7 @@
 
     /** The deadline of an answer that is being passed on is watched here, up to its last byte. */
     private void watch(ChannelHandlerContext ctx) {
-        long untilDueUs = call.untilUs() - clock.now();
+        long untilDueUs = call.untilUs() - clock.nowUs();
         long nextUs = untilDueUs > 0 ? Math.min(LOOK_US, untilDueUs) : LOOK_US;
         timer = ctx.executor().schedule(() -> lookIfStopped(ctx), nextUs, TimeUnit.MICROSECONDS);
     }
@@ -233,7 +233,7 @@
         }
         AnswerProgress of = progress;
         // After a hold-up of the loop more of it may lie in the socket.
-        SocketLook.before((EventLoop) ctx.executor(), () -> {
+        SocketPolling.runAfterNextPoll((EventLoop) ctx.executor(), () -> {
             if (progress != of || !ctx.channel().isActive()) {
                 return;
             }
@@ -246,7 +246,7 @@
     }
 
     private boolean stopped(ChannelHandlerContext ctx) {
-        long now = clock.now();
+        long now = clock.nowUs();
         progress.heldBack(!ctx.channel().config().isAutoRead(), now);
         return progress.hasStopped(now, call.untilUs(), call.endUs());
     }
--- a/src/main/java/rushproxy/sidecar/Upstreams.java
+++ b/src/main/java/rushproxy/sidecar/Upstreams.java
@@ -47,7 +47,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final RunningTime time;
+    private final StallAwareClock time;
     private final TimeOuts timeOuts;
     private final long idleUs;
     private final long restUs;
@@ -64,7 +64,7 @@
     /** {@code restUs}: connections are used again no earlier than this after an answer. */
     Upstreams(
             EventLoop loop,
-            RunningTime time,
+            StallAwareClock time,
             long connIdleUs,
             long restUs,
             long dialTimeoutUs,
@@ -79,7 +79,7 @@
         this.maxConnections = maxConnections;
         idleUs = Math.max(connIdleUs / 2, connIdleUs - IDLE_MARGIN_US);
         bootstrap = Dialling.http(loop, () -> new UpstreamConnection(budget, clock));
-        sweep = Recurring.every(loop, SWEEP_MS, this::dropIdle);
+        sweep = PeriodicTask.scheduleEvery(loop, SWEEP_MS, this::dropIdle);
     }
 
     /** Connections to what drained, went or is now another process are of no more use. */
@@ -177,7 +177,7 @@
     }
 
     void start(UpstreamCall call) {
-        long now = clock.now();
+        long now = clock.nowUs();
         sentNow(call);
         call.target = targets.get(call.upstream);
         if (call.target == null || !mayBegin(call)) {
@@ -237,7 +237,7 @@
         if (call.ended) {
             return true;
         }
-        if (!call.started || !((TcpConnection) call.channel).reads()) {
+        if (!call.started || !((TcpConnection) call.channel).isReading()) {
             return false;
         }
         ((TcpConnection) call.channel).readNow();
@@ -245,7 +245,7 @@
     }
 
     private void timedOut(UpstreamCall call) {
-        if (call.ended || call.begun || clock.now() < call.untilUs) {
+        if (call.ended || call.begun || clock.nowUs() < call.untilUs) {
             return;
         }
         if (call.awaitsRest) {
@@ -263,18 +263,18 @@
         if (call.offered == null || upAndUnused) {
             return false;
         }
-        long offeredUs = time.runningUs(call.offered);
-        return 2 * offeredUs >= time.passedUs(call.sent) && (call.written || offeredUs >= LEAST_DIAL_US);
+        long offeredUs = time.elapsedUnstalledUs(call.offered);
+        return 2 * offeredUs >= time.elapsedUs(call.sent) && (call.written || offeredUs >= LEAST_DIAL_US);
     }
 
     /** The call counts as sent from now on. */
     void sentNow(UpstreamCall call) {
-        call.sentAt(time.mark());
+        call.sentAt(time.timestamp());
     }
 
     /** For how long the call has been out, without this process's own hold-ups. */
     long tookUs(UpstreamCall call) {
-        return time.runningUs(call.sent);
+        return time.elapsedUnstalledUs(call.sent);
     }
 
     private static UpstreamConnection connection(Channel c) {
@@ -287,7 +287,7 @@
             return;
         }
         connections++;
-        call.offered = time.mark();
+        call.offered = time.timestamp();
         call.channel = Dialling.connect(
                 bootstrap, loop, call.target.address, dialTimeoutUs, failure -> dialled(call, failure));
     }
@@ -305,15 +305,15 @@
             notConnected(call, failure);
         } else if (!call.ended) {
             // What came while the connection did is looked at first: the client's end, or news of the list.
-            SocketLook.before(loop, () -> connected(call));
+            SocketPolling.runAfterNextPoll(loop, () -> connected(call));
         }
     }
 
     /** What this machine fails, as for want of descriptors or ports, is tried again; it is no fault of the upstream's. */
     private void notConnected(UpstreamCall call, Throwable failure) {
-        if (failure instanceof ConnectTimeoutException && time.mostlyHeldUp(call.offered)) {
+        if (failure instanceof ConnectTimeoutException && time.wasMostlyStalled(call.offered)) {
             call.end(Outcome.NOT_SENT, null, null);
-        } else if (SocketErrors.isOfPeer(failure)) {
+        } else if (SocketErrors.isRemoteConnectFailure(failure)) {
             call.broke();
         } else if (++call.dials < MOST_DIALS) {
             loop.schedule(() -> connectAgain(call), FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
@@ -334,7 +334,7 @@
         } else if (!call.channel.isActive()) {
             // Closed as soon as it was up.
             call.broke();
-        } else if (clock.now() >= call.untilUs) {
+        } else if (clock.nowUs() >= call.untilUs) {
             // It is up: what took too long was not its upstream.
             call.endUnjudged();
         } else {
@@ -363,12 +363,12 @@
             return;
         }
         call.startsNow();
-        call.startedUs = clock.now();
+        call.startedUs = clock.nowUs();
         if (call.offered == null) {
-            call.offered = time.mark();
+            call.offered = time.timestamp();
         }
-        ((TcpConnection) call.channel).beginsIf(() -> stillBegins(call));
-        HttpRequest head = call.message.apply(call.untilUs - clock.now());
+        ((TcpConnection) call.channel).startWriteIf(() -> stillBegins(call));
+        HttpRequest head = call.message.apply(call.untilUs - clock.nowUs());
         head.headers().set(HttpHeaderNames.HOST, "api.internal");
         connection(call.channel).begin(call, this::release);
         if (call.body != null && !call.body.complete()) {
@@ -416,11 +416,11 @@
         if (call.ended) {
             return false;
         }
-        long waitedUs = clock.now() - call.startedUs;
+        long waitedUs = clock.nowUs() - call.startedUs;
         if (waitedUs < BEGINS_AT_ONCE_US) {
             return true;
         }
-        boolean tooOld = waitedUs >= MOST_FIRST_BYTE_US && ((TcpConnection) call.channel).writesFail();
+        boolean tooOld = waitedUs >= MOST_FIRST_BYTE_US && ((TcpConnection) call.channel).isWriteFailing();
         if (!tooOld && mayBegin(call) && call.result.mayBegin(call)) {
             return true;
         }
@@ -430,14 +430,14 @@
 
     private void release(UpstreamCall call, Channel channel) {
         if (mayBegin(call) && call.written) {
-            call.target.idle.add(channel, clock.now());
+            call.target.idle.add(channel, clock.nowUs());
         } else {
             close(channel, CloseReason.UPSTREAM_LEAVES);
         }
     }
 
     private void dropIdle() {
-        long now = clock.now();
+        long now = clock.nowUs();
         targets.values().forEach(t -> t.idle.closeUnusable(now));
     }
 }
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -32,17 +32,17 @@
  */
 final class WarmUp {
     /** The compiler takes a method up after some hundred calls; a request makes several of most. */
-    static final int REQUESTS = 400;
+    static final int REQUEST_COUNT = 400;
 
-    private static final int AT_ONCE = 4;
+    private static final int CONCURRENCY = 4;
     /** However little of a core there is, a start is not held up for longer. */
-    private static final long MOST_US = 5_000_000;
+    private static final long MAX_DURATION_US = 5_000_000;
 
-    private static final long REMAINING_US = 1_000_000;
+    private static final long REQUEST_TIMEOUT_US = 1_000_000;
     /** As many as a choice of two needs, and one more. */
-    private static final List<String> UPSTREAMS = List.of("self-0", "self-1", "self-2");
+    private static final List<String> UPSTREAM_IDS = List.of("self-0", "self-1", "self-2");
 
-    private static final String CLIENTS = "clients";
+    private static final String CLIENT_SIDE_ID = "clients";
     private static final Path KERNEL_RANDOM = Path.of("/dev/urandom");
     private static final int TOKEN_BYTES = 16;
     private static final int SEED = 1;
@@ -52,7 +52,7 @@
     private final Settings settings;
     private final List<RequestClass> classes;
     /** Nobody else can guess it. */
-    private final String uri = "/api/warm-up?" + token();
+    private final String uri = "/api/warm-up?" + randomToken();
 
     private final Decisions decisions = new Decisions();
     private final Upstreams upstreams;
@@ -60,21 +60,21 @@
     /** The clients' side: connections on which requests come. */
     private final Upstreams clients;
 
-    private Runnable done;
-    private long untilUs;
-    private int begun;
-    private int out;
-    private int served;
-    private boolean over;
+    private Runnable onDone;
+    private long deadlineUs;
+    private int startedCount;
+    private int inFlight;
+    private int successCount;
+    private boolean finished;
 
     WarmUp(EventLoop loop, Clock clock, Settings settings) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         classes = settings.classes();
-        RunningTime time = new RunningTime(clock, new LoopDelay());
-        upstreams = connections(time);
-        clients = connections(time);
+        StallAwareClock time = new StallAwareClock(clock, new EventLoopDelay());
+        upstreams = connectionPool(time);
+        clients = connectionPool(time);
         requests = new Requests(
                 loop,
                 time,
@@ -84,12 +84,12 @@
                 settings.limits().maxAttempts());
     }
 
-    private Upstreams connections(RunningTime time) {
-        return new Upstreams(loop, time, MOST_US, 0, MOST_US, () -> AT_ONCE, new Budget(AT_ONCE * Body.KEPT));
+    private Upstreams connectionPool(StallAwareClock time) {
+        return new Upstreams(loop, time, MAX_DURATION_US, 0, MAX_DURATION_US, () -> CONCURRENCY, new Budget(CONCURRENCY * Body.KEPT));
     }
 
     /** The runtime's own generator loads the security providers, of which a sidecar needs nothing else. */
-    private static String token() {
+    private static String randomToken() {
         try (InputStream random = Files.newInputStream(KERNEL_RANDOM)) {
             return HexFormat.of().formatHex(random.readNBytes(TOKEN_BYTES));
         } catch (IOException e) {
@@ -105,13 +105,13 @@
     }
 
     /** Whether the message is one of the warm-up's own requests or attempts. */
-    boolean owns(HttpRequest message) {
+    boolean isOwnMessage(HttpRequest message) {
         return message.uri().equals(uri);
     }
 
     /** Whether it is an attempt, which has come to its upstream and is answered. */
     boolean isAttempt(HttpRequest message) {
-        return owns(message) && !message.headers().contains(Headers.CLASS);
+        return isOwnMessage(message) && !message.headers().contains(Headers.CLASS);
     }
 
     /** Where the warm-up's requests are carried through their attempts. */
@@ -120,81 +120,81 @@
     }
 
     /** {@code self}: where the sidecar listens. {@code whenDone} runs once, on the loop, also if no request is served. */
-    void begin(InetSocketAddress self, Runnable whenDone) {
-        done = whenDone;
-        untilUs = clock.now() + MOST_US;
+    void start(InetSocketAddress self, Runnable whenDone) {
+        onDone = whenDone;
+        deadlineUs = clock.nowUs() + MAX_DURATION_US;
         if (classes.isEmpty()) {
-            end();
+            finish();
             return;
         }
-        List<Upstream> list = UPSTREAMS.stream().map(this::upstream).toList();
+        List<Upstream> list = UPSTREAM_IDS.stream().map(this::upstream).toList();
         upstreams.update(new UpstreamList(
                 0, true, list.stream().map(u -> new UpstreamList.Entry(u, self)).toList()));
-        clients.update(new UpstreamList(0, true, List.of(new UpstreamList.Entry(upstream(CLIENTS), self))));
+        clients.update(new UpstreamList(0, true, List.of(new UpstreamList.Entry(upstream(CLIENT_SIDE_ID), self))));
         decisions.start(
                 actions -> {
-                    Balancer module = new Policy(settings, SEED, clock.now(), actions);
-                    module.onList(clock.now(), ListKind.FULL, list);
+                    Balancer module = new Policy(settings, SEED, clock.nowUs(), actions);
+                    module.onList(clock.nowUs(), ListKind.FULL, list);
                     return module;
                 },
-                new Hands());
-        for (int i = 0; i < AT_ONCE; i++) {
-            request();
+                new ModuleActions());
+        for (int i = 0; i < CONCURRENCY; i++) {
+            sendRequest();
         }
     }
 
     /** Requests that were answered with success so far. */
-    int served() {
-        return served;
+    int successCount() {
+        return successCount;
     }
 
-    private void request() {
-        out++;
-        int number = begun++;
+    private void sendRequest() {
+        inFlight++;
+        int number = startedCount++;
         clients.start(new UpstreamCall(
-                CLIENTS,
-                untilUs + REMAINING_US,
+                CLIENT_SIDE_ID,
+                deadlineUs + REQUEST_TIMEOUT_US,
                 false,
-                left -> message(number),
+                left -> createRequest(number),
                 null,
                 (call, outcome, report, body) -> {
-                    out--;
-                    served += outcome == Outcome.OK ? 1 : 0;
+                    inFlight--;
+                    successCount += outcome == Outcome.OK ? 1 : 0;
                     // Not from within: requests that end at once must not pile up on the stack.
-                    loop.execute(this::next);
+                    loop.execute(this::continueOrFinish);
                 }));
     }
 
-    private HttpRequest message(int number) {
+    private HttpRequest createRequest(int number) {
         HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         message.headers()
                 .set(Headers.TXN, "warm-up-" + number)
                 .set(Headers.CLASS, classes.get(number % classes.size()).name())
-                .set(Headers.REMAINING, REMAINING_US / 1_000)
+                .set(Headers.REMAINING, REQUEST_TIMEOUT_US / 1_000)
                 .set(HttpHeaderNames.COOKIE, Headers.KEY_COOKIE + "=" + number);
         return message;
     }
 
-    private void next() {
-        if (over) {
+    private void continueOrFinish() {
+        if (finished) {
             return;
         }
-        if (begun < REQUESTS && clock.now() < untilUs) {
-            request();
-        } else if (out == 0) {
-            end();
+        if (startedCount < REQUEST_COUNT && clock.nowUs() < deadlineUs) {
+            sendRequest();
+        } else if (inFlight == 0) {
+            finish();
         }
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         upstreams.end();
         clients.end();
-        done.run();
+        onDone.run();
     }
 
     /** Carries out what the module decides here; peers, discovery and the fleet hear nothing of it. */
-    private final class Hands implements Balancer.Actions {
+    private final class ModuleActions implements Balancer.Actions {
         @Override
         public void send(String request, String upstream, long attemptUntilUs) {
             requests.send(request, upstream, attemptUntilUs);
@@ -217,7 +217,7 @@
 
         @Override
         public void probe(String upstream) {
-            decisions.call(m -> m.onProbe(clock.now(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
+            decisions.call(m -> m.onProbe(clock.nowUs(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
         }
 
         @Override
@@ -235,8 +235,8 @@
         public void timer(String mark, long delayUs) {
             loop.schedule(
                     () -> {
-                        if (!over) {
-                            decisions.call(m -> m.onTimer(clock.now(), mark), requests::failHeld);
+                        if (!finished) {
+                            decisions.call(m -> m.onTimer(clock.nowUs(), mark), requests::failHeld);
                         }
                     },
                     delayUs,
--- a/src/test/java/rushproxy/sidecar/AdminServerTest.java
+++ b/src/test/java/rushproxy/sidecar/AdminServerTest.java
@@ -13,18 +13,18 @@
 class AdminServerTest {
     @Test
     void healthIsYesOnceClientsAreTaken() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            assertEquals("ACK\n", rig.call("health"));
-            assertEquals("ACK\n", rig.call("health\r"));
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            assertEquals("ACK\n", rig.callAdmin("health"));
+            assertEquals("ACK\n", rig.callAdmin("health\r"));
         }
     }
 
     @Test
     void whatIsNoCallIsRefused() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
             for (String line : List.of(
                     "", "reboot", "HEALTH", "health now", "cordon", "cordon ", "cordon a b", "x".repeat(9_000))) {
-                String answer = rig.call(line);
+                String answer = rig.callAdmin(line);
                 assertTrue(answer.startsWith("NAK"), line + ": " + answer);
             }
         }
@@ -32,8 +32,8 @@
 
     @Test
     void oneLineToAConnection() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start();
-                Peer.Client c = rig.operator()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start();
+                Peer.Client c = rig.adminClient()) {
             assertEquals("ACK\n", c.send("health\nquiesce\n").rest());
             try (Peer.Client client = rig.client()) {
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -44,10 +44,10 @@
 
     @Test
     void halfACallGetsItsNoAndSoDoesSilence() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            try (Peer.Client ended = rig.operator();
-                    Peer.Client half = rig.operator();
-                    Peer.Client silent = rig.operator()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            try (Peer.Client ended = rig.adminClient();
+                    Peer.Client half = rig.adminClient();
+                    Peer.Client silent = rig.adminClient()) {
                 ended.send("quies");
                 ended.socket.shutdownOutput();
                 assertTrue(ended.rest().startsWith("NAK"));
@@ -55,7 +55,7 @@
                 assertTrue(half.rest().startsWith("NAK"));
                 assertTrue(silent.rest().startsWith("NAK"));
             }
-            try (Peer.Client ended = rig.operator()) {
+            try (Peer.Client ended = rig.adminClient()) {
                 ended.send("health\n");
                 ended.socket.shutdownOutput();
                 assertEquals("ACK\n", ended.rest());
@@ -65,11 +65,11 @@
 
     @Test
     void callersThatStayKeepNobodyOut() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
             List<Peer.Client> silent = new ArrayList<>();
             for (int i = 0; i < 3 * AdminServer.MOST_CALLERS; i++) {
-                silent.add(rig.operator());
-                assertEquals("ACK\n", rig.call("health"));
+                silent.add(rig.adminClient());
+                assertEquals("ACK\n", rig.callAdmin("health"));
             }
             for (Peer.Client c : silent) {
                 c.close();
@@ -79,8 +79,8 @@
 
     @Test
     void withoutAnAddressNothingListens() throws Exception {
-        try (Rig rig = new Rig().start()) {
-            assertEquals(null, rig.sidecar.administered());
+        try (SidecarRig rig = new SidecarRig().start()) {
+            assertEquals(null, rig.sidecar.adminAddress());
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/BadInputTest.java
+++ b/src/test/java/rushproxy/sidecar/BadInputTest.java
@@ -14,7 +14,7 @@
 class BadInputTest {
     @Test
     void whatIsNoRequestOfTheProtocolIsSaidSo() throws Exception {
-        String good = Rig.get("a1", 9000);
+        String good = SidecarRig.get("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
@@ -36,7 +36,7 @@
                 "POST /api HTTP/1.1\r\nX-Txn: a1\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\nContent-Length: 65536\r\n\r\n"
                         + "x".repeat(65_536),
                 200);
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             for (Map.Entry<String, Integer> c : cases.entrySet()) {
@@ -54,7 +54,7 @@
     /** Not ready while there is nobody to send to: the application would begin to lose requests at once. */
     @Test
     void readyOnlyOnceThereIsAnUpstream() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.start();
             try (Peer.Client client = rig.client()) {
                 client.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -66,7 +66,7 @@
     /** What has never run is slow: the application is told to come once the program has called itself for a while. */
     @Test
     void readyOnlyOnceItHasWarmedUp() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
             Thread warmUp = new Thread(() -> {
@@ -88,7 +88,7 @@
             }
             warmUp.join();
             assertTrue(
-                    rig.told.stream().noneMatch(t -> t.startsWith("request")),
+                    rig.events.stream().noneMatch(t -> t.startsWith("request")),
                     "a request of the warm-up reached the module");
         }
     }
@@ -96,14 +96,14 @@
     /** A silent peer, half a request and one byte after the other end in a close; a client between requests stays. */
     @Test
     void peersThatNeverFinishARequestAreClosed() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             try (Peer.Client good = rig.client();
                     Peer.Client silent = rig.client();
                     Peer.Client half = rig.client();
                     Peer.Client slow = rig.client()) {
-                good.send(Rig.get("a1", 9_000));
+                good.send(SidecarRig.get("a1", 9_000));
                 assertEquals(200, good.status());
                 half.send("POST /api HTTP/1.1\r\nX-Txn: a2\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\n"
                         + "Content-Length: 9\r\n\r\nhalf");
@@ -123,15 +123,15 @@
                 assertFalse(open, "one that sends byte by byte is still open");
                 assertEquals(-1, silent.status());
                 assertEquals(-1, half.status());
-                good.send(Rig.get("a3", 9_000));
+                good.send(SidecarRig.get("a3", 9_000));
                 assertEquals(200, good.status());
-                assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request a2")));
+                assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request a2")));
             }
         }
     }
 
     private static void broken(String json, String... named) {
-        Config.Broken e = assertThrows(Config.Broken.class, () -> Rig.config(json));
+        Config.InvalidConfigException e = assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json));
         for (String name : named) {
             assertTrue(e.getMessage().contains(name), e.getMessage());
         }
@@ -143,10 +143,10 @@
         String good =
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
-                        + Rig.list(1, true, Rig.entry("u", "127.0.0.1:8", "Ready", 7))
-                        + ",\"settings\":" + Rig.SETTINGS + ",\"new\":{\"x\":[1]}}";
-        assertEquals(7000, Rig.config(good).known().entries().get(0).upstream().startedUs());
-        assertEquals(0x8c1f30d27a5be964L, Rig.config(good).seed());
+                        + SidecarRig.list(1, true, SidecarRig.entry("u", "127.0.0.1:8", "Ready", 7))
+                        + ",\"settings\":" + SidecarRig.SETTINGS + ",\"new\":{\"x\":[1]}}";
+        assertEquals(7000, SidecarRig.config(good).knownUpstreams().entries().get(0).upstream().startedUs());
+        assertEquals(0x8c1f30d27a5be964L, SidecarRig.config(good).seed());
         broken("", "JSON");
         broken("[]", "JSON");
         broken("{\n\n", "JSON");
@@ -159,7 +159,7 @@
         broken(good.replace("\"Ready\"", "\"Odd\""), "known", "lifecycle");
         broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
         broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
-        assertThrows(Config.Broken.class, () -> Config.read(Map.of()));
-        assertThrows(Config.Broken.class, () -> Config.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of()));
+        assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
     }
 }
--- a/src/test/java/rushproxy/sidecar/UnreadLogIT.java
+++ b/src/test/java/rushproxy/sidecar/BlockedLogReaderIT.java
@@ -10,7 +10,7 @@
 
 /** Guards against a reader of the log that stops reading: its full pipe held up the event loop, and with it every request. */
 @Timeout(60)
-class UnreadLogIT {
+class BlockedLogReaderIT {
     /** Each writes several lines at the debug level: together more than a pipe holds. */
     private static final int REQUESTS = 600;
 
@@ -21,8 +21,8 @@
 
     @Test
     void requestsAreAnsweredWhileNobodyReadsTheLog() throws Exception {
-        try (StandIns standIns = new StandIns()) {
-            standIns.servers(1, (m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+        try (FakeServices standIns = new FakeServices()) {
+            standIns.addServers(1, (m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             SidecarProcess sidecar = standIns.start(folder, Map.of("BALANCER_LOG_LEVEL", "debug"));
             sidecar.stopReadingLog();
             try (Peer.Client client = sidecar.client()) {
--- a/src/test/java/rushproxy/sidecar/BulkTest.java
+++ b/src/test/java/rushproxy/sidecar/BulkTest.java
@@ -84,7 +84,7 @@
     }
 
     /** An upstream that answers a body with what it was; requests come whole or in chunks. */
-    private static void echo(Rig rig, List<byte[]> got) throws Exception {
+    private static void echo(SidecarRig rig, List<byte[]> got) throws Exception {
         rig.upstream((m, line) -> {
             try {
                 InputStream in = line.socket().getInputStream();
@@ -108,7 +108,7 @@
 
     @Test
     void bodiesOfAllFormsArriveAsTheyWereSent() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             List<byte[]> got = new ArrayList<>();
             echo(rig, got);
             rig.start();
@@ -139,7 +139,7 @@
                                 body, answer(c.socket.getInputStream()), name);
                         sender.join();
                         // The connection goes on.
-                        c.send(Rig.get(name + "x", 20_000));
+                        c.send(SidecarRig.get(name + "x", 20_000));
                         assertEquals(200, c.status());
                     }
                 }
@@ -162,15 +162,15 @@
                 (m, line) -> line.raw("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + text));
         for (Peer.Script form : forms) {
-            try (Rig rig = new Rig()) {
+            try (SidecarRig rig = new SidecarRig()) {
                 rig.upstream(form);
                 rig.start();
                 try (Peer.Client c = rig.client()) {
                     for (int i = 0; i < 2; i++) {
-                        c.send(Rig.get("a" + i, 20_000));
+                        c.send(SidecarRig.get("a" + i, 20_000));
                         org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
-                        assertEquals("begins a" + i + " 0", rig.await("begins"));
-                        assertEquals("outcome a" + i + " 0 OK true -", rig.await("outcome"));
+                        assertEquals("begins a" + i + " 0", rig.awaitEvent("begins"));
+                        assertEquals("outcome a" + i + " 0 OK true -", rig.awaitEvent("outcome"));
                     }
                 }
             }
@@ -184,16 +184,16 @@
             "Content-Length: 900000\r\n\r\n" + "x".repeat(400_000),
             "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + "x".repeat(200_000) + "\r\n30d40\r\nhalf"
         }) {
-            try (Rig rig = new Rig()) {
+            try (SidecarRig rig = new SidecarRig()) {
                 rig.upstream((m, line) -> {
                     line.raw("HTTP/1.1 200 OK\r\n" + head);
                     line.socket().close();
                 });
                 rig.start();
                 try (Peer.Client c = rig.client()) {
-                    c.send(Rig.get("a1", 20_000));
+                    c.send(SidecarRig.get("a1", 20_000));
                     assertEquals(null, answer(c.socket.getInputStream()));
-                    assertEquals("outcome a1 0 RESET true -", rig.await("outcome"));
+                    assertEquals("outcome a1 0 RESET true -", rig.awaitEvent("outcome"));
                 }
             }
         }
@@ -215,7 +215,7 @@
     /** A slow answer of unknown length is neither held back until 64 KiB of it are there, nor cut while it moves. */
     @Test
     void whatAnUpstreamGivesSlowlyIsPassedOnAsItComes() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 40, 1_000, 30);
@@ -223,8 +223,8 @@
             });
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 500));
-                rig.await("begins a1");
+                c.send(SidecarRig.get("a1", 500));
+                rig.awaitEvent("begins a1");
                 assertEquals(40_004, answer(c.socket.getInputStream()).length);
             }
         }
@@ -233,7 +233,7 @@
     /** Of a long answer the first bytes are due: it may rest after its request's deadline, and goes on. */
     @Test
     void aLongAnswerMayRestPastItsDeadline() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 1, 70_000, 900);
@@ -241,7 +241,7 @@
             });
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 500));
+                c.send(SidecarRig.get("a1", 500));
                 assertEquals(70_004, answer(c.socket.getInputStream()).length);
             }
         }
@@ -250,7 +250,7 @@
     /** Nothing of it was passed on yet: its client is told, in its time, and the connection goes on. */
     @Test
     void aShortAnswerThatStopsIsAnsweredAsFailed() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Semaphore stopped = new Semaphore(0);
             rig.upstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
@@ -259,17 +259,17 @@
             // The requests' time passes once their answers have stopped, however late that is. The kernel's ages still
             // run: the time is
             // longer than any of them.
-            rig.time.stop();
+            rig.clock.freeze();
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 20_000));
+                c.send(SidecarRig.get("a1", 20_000));
                 stopped.acquire();
-                rig.time.move(20_000);
+                rig.clock.advance(20_000);
                 assertEquals(502, c.status());
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome a1"));
-                c.send(Rig.get("a2", 20_000));
+                assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome a1"));
+                c.send(SidecarRig.get("a2", 20_000));
                 stopped.acquire();
-                rig.time.move(20_000);
+                rig.clock.advance(20_000);
                 assertEquals(502, c.status());
             }
         }
@@ -278,7 +278,7 @@
     /** It was passed on since it moved, and stops: its client sees that it is not whole, at its deadline. */
     @Test
     void aShortAnswerThatWasPassedOnAndStopsIsBrokenOff() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 10, 1_000, 10);
@@ -286,12 +286,12 @@
             rig.start();
             try (Peer.Client c = rig.client()) {
                 long sent = System.nanoTime();
-                c.send(Rig.get("a1", 800));
-                rig.await("begins a1");
+                c.send(SidecarRig.get("a1", 800));
+                rig.awaitEvent("begins a1");
                 assertEquals(null, answer(c.socket.getInputStream()));
                 long tookMs = (System.nanoTime() - sent) / 1_000_000;
                 assertTrue(tookMs < 5_000, "broken off after " + tookMs + " ms");
-                assertEquals("outcome a1 0 RESET true -", rig.await("outcome a1"));
+                assertEquals("outcome a1 0 RESET true -", rig.awaitEvent("outcome a1"));
             }
         }
     }
@@ -299,7 +299,7 @@
     /** The upstream is read no faster than the client reads: what lies between is a window, not the answer. */
     @Test
     void aClientThatDoesNotReadHoldsTheUpstreamBack() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             long[] written = new long[1];
             CountDownLatch ended = new CountDownLatch(1);
             rig.upstream((m, line) -> {
@@ -319,8 +319,8 @@
             rig.start();
             try (Peer.Client c = rig.client()) {
                 c.socket.setReceiveBufferSize(64 << 10);
-                c.send(Rig.get("a1", 20_000));
-                rig.await("begins");
+                c.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("begins");
                 long before = -1;
                 for (long now = 0; now != before || now == 0; ) {
                     before = now;
@@ -339,22 +339,22 @@
     /** The answer flowed to it: the attempt ends with it, and its outcome is told. */
     @Test
     void aClientThatLeavesWithinItsAnswerEndsTheAttempt() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream(
                     (m, line) -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000)));
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("a1", 20_000));
-                rig.await("begins a1");
+                c.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("begins a1");
             }
-            assertEquals("outcome a1 0 CANCELLED true -", rig.await("outcome"));
+            assertEquals("outcome a1 0 CANCELLED true -", rig.awaitEvent("outcome"));
         }
     }
 
     /** Half of a long body has gone: it can't be sent again, and the client hears so. */
     @Test
     void aBodyThatHasBegunToFlowIsNotSentAgain() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.reset());
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == rushproxy.Balancer.Outcome.NOT_SENT) {
@@ -367,20 +367,20 @@
             rig.start();
             try (Peer.Client c = rig.client()) {
                 c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
-                rig.await("request a1");
+                rig.awaitEvent("request a1");
                 // Its head is there, and its body flows behind it.
                 up.next();
                 up.accepted.take().close();
                 assertEquals(503, c.status());
-                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome a1 0"));
-                assertEquals("outcome a1 1 NOT_SENT false -", rig.await("outcome a1 1"));
+                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.awaitEvent("outcome a1 0"));
+                assertEquals("outcome a1 1 NOT_SENT false -", rig.awaitEvent("outcome a1 1"));
             }
         }
     }
 
     @Test
     void aClientIsToldToGoOn() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             echo(rig, new ArrayList<>());
             rig.start();
             try (Peer.Client c = rig.client()) {
@@ -399,7 +399,7 @@
     /** Where two readers could find two ends, nothing goes on to an upstream. */
     @Test
     void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
             for (String framing : new String[] {
@@ -435,14 +435,14 @@
                 }
             }
             assertEquals(0, up.messages.size());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request")), rig.told.toString());
+            assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request")), rig.events.toString());
         }
     }
 
     /** A client that leaves within its body takes the attempt with it: the upstream must not run a part. */
     @Test
     void aClientThatLeavesWithinItsBodyEndsTheAttempt() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             BlockingQueue<Integer> ends = new LinkedBlockingQueue<>();
             rig.upstream((m, line) -> {
                 InputStream in = line.socket().getInputStream();
@@ -455,21 +455,21 @@
             rig.start();
             try (Peer.Client c = rig.client()) {
                 c.send(post("a1", "Transfer-Encoding: chunked\r\n") + "18000\r\n" + "x".repeat(0x18000) + "\r\n");
-                rig.peers.get(0).next();
+                rig.upstreams.get(0).next();
             }
             assertEquals(-1, ends.take());
-            assertEquals("expired a1", rig.await("expired"));
+            assertEquals("expired a1", rig.awaitEvent("expired"));
         }
     }
 
     /** Its connection lingers for its client's sake, but the attempt is over with the request. */
     @Test
     void aBodyThatRestsTooLongEndsItsAttemptAtOnce() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("a0", 20_000));
+                c.send(SidecarRig.get("a0", 20_000));
                 assertEquals(200, c.status());
                 BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
                 up.script = (m, line) -> {
@@ -491,7 +491,7 @@
     /** What the retry needs is kept up to 64 KiB, and no longer than the budget allows. */
     @Test
     void aShortBodyIsSentAgainWhole() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             List<byte[]> got = new ArrayList<>();
             rig.upstream((m, line) -> line.reset());
             echo(rig, got);
--- a/src/test/java/rushproxy/sidecar/ClientRoomTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientRoomTest.java
@@ -30,11 +30,11 @@
         }
     }
 
-    private static Rig rig() throws Exception {
-        Rig rig = new Rig();
-        rig.sockets = 48 + 2 * PLACES;
+    private static SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig();
+        rig.maxSockets = 48 + 2 * PLACES;
         // Nothing ends by itself while a test lasts.
-        rig.settings = Rig.SETTINGS
+        rig.settings = SidecarRig.SETTINGS
                 .replace("\"give_up_us\":800000", "\"give_up_us\":50000000")
                 .replace("\"conn_idle_us\":15000000", "\"conn_idle_us\":900000000");
         return rig;
@@ -56,7 +56,7 @@
     void roomIsMadeWhereTheCapFallsWhileNobodyIsAccepted() throws Exception {
         // One more than the upstreams' half; whether it is sent or finds no place is the sidecar's choice.
         CountDownLatch attempts = new CountDownLatch(PLACES + 1);
-        try (Rig rig = rig()) {
+        try (SidecarRig rig = rig()) {
             rig.upstream((m, line) -> {
                 attempts.countDown();
                 awaitUnchecked(attempts);
@@ -80,9 +80,9 @@
             }
             List<Peer.Client> asking = clients.subList(0, PLACES / 2);
             for (int i = 0; i < asking.size(); i++) {
-                asking.get(i).send(Rig.get("a" + i, 40_000));
+                asking.get(i).send(SidecarRig.get("a" + i, 40_000));
             }
-            Peer.Client last = clients.get(PLACES / 2).send(Rig.get("last", 40_000));
+            Peer.Client last = clients.get(PLACES / 2).send(SidecarRig.get("last", 40_000));
             for (Peer.Client c : asking) {
                 assertEquals(200, c.status());
             }
@@ -97,17 +97,17 @@
     @Test
     void roomIsMadeForAsManyAsWereAcceptedInOneTurn() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
-        try (Rig rig = rig()) {
+        try (SidecarRig rig = rig()) {
             rig.upstream((m, line) -> {
                 awaitUnchecked(answers);
                 line.answer("200 OK", "", "fine");
             });
             rig.start();
             for (int i = 0; i < PLACES - 1; i++) {
-                comes(rig.address()).send(Rig.get("busy" + i, 40_000));
-                rig.await("request busy" + i);
+                comes(rig.address()).send(SidecarRig.get("busy" + i, 40_000));
+                rig.awaitEvent("request busy" + i);
             }
-            rig.holdUp(20, () -> {
+            rig.stallLoop(20, () -> {
                 for (int i = 0; i < 3; i++) {
                     comes(rig.address()).send(READY);
                 }
@@ -129,7 +129,7 @@
     @Test
     void connectionsToUpstreamsThatRestGiveWayToClients() throws Exception {
         CountDownLatch asking = new CountDownLatch(PLACES - 1);
-        try (Rig rig = rig()) {
+        try (SidecarRig rig = rig()) {
             rig.upstream((m, line) -> {
                 asking.countDown();
                 awaitUnchecked(asking);
@@ -142,12 +142,12 @@
             rig.start();
             Peer.Client first = comes(rig.address());
             for (int i = 1; i < 2 * PLACES; i++) {
-                assertEquals(200, first.send(Rig.get("u" + i, 40_000)).status());
+                assertEquals(200, first.send(SidecarRig.get("u" + i, 40_000)).status());
             }
             List<Peer.Client> all = new ArrayList<>();
             for (int i = 0; i < PLACES - 1; i++) {
-                all.add(comes(rig.address()).send(Rig.get("busy" + i, 40_000)));
-                rig.await("request busy" + i);
+                all.add(comes(rig.address()).send(SidecarRig.get("busy" + i, 40_000)));
+                rig.awaitEvent("request busy" + i);
             }
             for (Peer.Client c : all) {
                 assertEquals(200, c.status());
@@ -158,7 +158,7 @@
     /** Guards against a place that is lost for good, and looked at for ever, where taking a client in fails by an exception. */
     @Test
     void aClientThatCouldNotBeTakenInHoldsNoPlace() throws Exception {
-        try (Rig rig = rig().start()) {
+        try (SidecarRig rig = rig().start()) {
             AtomicInteger places = new AtomicInteger();
             ClientServer server = new ClientServer(
                     rig.sidecar.loop(),
@@ -176,8 +176,8 @@
                             },
                             () -> false),
                     new Budget(1 << 20),
-                    new LoopDelay(),
-                    new AnswerDeadlines(List.of(), new LoopDelay()),
+                    new EventLoopDelay(),
+                    new AnswerDeadlines(List.of(), new EventLoopDelay()),
                     new RequestGuard(new Clock(), List.of(), new Invariants()));
             InetSocketAddress at = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             server.start();
--- a/src/test/java/rushproxy/sidecar/CordonTest.java
+++ b/src/test/java/rushproxy/sidecar/CordonTest.java
@@ -17,16 +17,16 @@
     @TempDir
     Path folder;
 
-    private Rig rig() throws Exception {
-        Rig rig = new Rig().withAdmin();
-        rig.kept = folder;
+    private SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
+        rig.stateDirectory = folder;
         rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
         return rig;
     }
 
-    private static int serve(Rig rig, String id) throws Exception {
+    private static int serve(SidecarRig rig, String id) throws Exception {
         try (Peer.Client c = rig.client()) {
-            return c.send(Rig.get(id, 20_000)).status();
+            return c.send(SidecarRig.get(id, 20_000)).status();
         }
     }
 
@@ -39,42 +39,42 @@
     /** The module of the test goes on sending: the sockets' side must not let it. */
     @Test
     void nothingIsSentToWhatWasCalledOut() throws Exception {
-        try (Rig rig = rig().start()) {
+        try (SidecarRig rig = rig().start()) {
             assertEquals(200, serve(rig, "a1"));
-            assertEquals("ACK\n", rig.call("cordon u0"));
-            rig.await("cordon u0 true");
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
+            rig.awaitEvent("cordon u0 true");
             assertEquals(502, serve(rig, "a2"));
-            assertEquals("outcome a2 0 NOT_SENT false -", rig.await("outcome a2"));
-            assertEquals("ACK\n", rig.call("cordon u0"));
-            assertEquals("ACK\n", rig.call("uncordon u0"));
-            rig.await("cordon u0 false");
+            assertEquals("outcome a2 0 NOT_SENT false -", rig.awaitEvent("outcome a2"));
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
+            assertEquals("ACK\n", rig.callAdmin("uncordon u0"));
+            rig.awaitEvent("cordon u0 false");
             assertEquals(200, serve(rig, "a3"));
-            assertEquals("ACK\n", rig.call("uncordon u0"));
+            assertEquals("ACK\n", rig.callAdmin("uncordon u0"));
         }
     }
 
     @Test
     void idsThatNobodyHasGetANo() throws Exception {
-        try (Rig rig = rig().start()) {
-            assertTrue(rig.call("cordon u7").startsWith("NAK"));
-            assertTrue(rig.call("uncordon u7").startsWith("NAK"));
+        try (SidecarRig rig = rig().start()) {
+            assertTrue(rig.callAdmin("cordon u7").startsWith("NAK"));
+            assertTrue(rig.callAdmin("uncordon u7").startsWith("NAK"));
             assertEquals(List.of(), files());
         }
     }
 
     @Test
     void theNextProcessKnowsAndBothHearOfEachOthersCalls() throws Exception {
-        try (Rig first = rig().start()) {
-            assertEquals("ACK\n", first.call("cordon u0"));
-            try (Rig next = rig().start()) {
-                next.await("cordon u0 true");
+        try (SidecarRig first = rig().start()) {
+            assertEquals("ACK\n", first.callAdmin("cordon u0"));
+            try (SidecarRig next = rig().start()) {
+                next.awaitEvent("cordon u0 true");
                 assertEquals(502, serve(next, "a1"));
-                assertEquals("ACK\n", first.call("uncordon u0"));
-                next.await("cordon u0 false");
+                assertEquals("ACK\n", first.callAdmin("uncordon u0"));
+                next.awaitEvent("cordon u0 false");
                 assertEquals(200, serve(next, "a2"));
-                assertEquals("ACK\n", next.call("cordon u0"));
-                first.await("cordon u0 false");
-                first.await("cordon u0 true");
+                assertEquals("ACK\n", next.callAdmin("cordon u0"));
+                first.awaitEvent("cordon u0 false");
+                first.awaitEvent("cordon u0 true");
                 assertEquals(502, serve(first, "a3"));
             }
         }
@@ -82,17 +82,17 @@
 
     @Test
     void spoiltFilesAreAnOrdinaryStart() throws Exception {
-        try (Rig first = rig().start()) {
-            assertEquals("ACK\n", first.call("cordon u0"));
+        try (SidecarRig first = rig().start()) {
+            assertEquals("ACK\n", first.callAdmin("cordon u0"));
         }
         Path kept = files().get(0);
         Files.writeString(kept, Files.readString(kept).substring(0, 10));
         Files.writeString(
                 kept.resolveSibling("cordon-other.json"), "{\"version\":99,\"id\":\"u0\",\"out\":true,\"atMs\":1}");
         Files.write(kept.resolveSibling("cordon-foreign.json"), new byte[5_000]);
-        try (Rig next = rig().start()) {
+        try (SidecarRig next = rig().start()) {
             assertEquals(200, serve(next, "a1"));
-            assertEquals("ACK\n", next.call("cordon u0"));
+            assertEquals("ACK\n", next.callAdmin("cordon u0"));
             assertEquals(502, serve(next, "a2"));
         }
     }
@@ -121,8 +121,8 @@
     /** While the process lives it holds what it was told, and writes it anew for the next one. */
     @Test
     void aFileThatVanishesIsNoCallBack() throws Exception {
-        try (Rig rig = rig().start()) {
-            assertEquals("ACK\n", rig.call("cordon u0"));
+        try (SidecarRig rig = rig().start()) {
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
             Files.delete(files().get(0));
             while (files().isEmpty()) {
                 Thread.sleep(5);
@@ -136,23 +136,23 @@
     void theListDoesNotBringItBack() throws Exception {
         String[] address = new String[1];
         CountDownLatch calledOut = new CountDownLatch(1);
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
                     if (m.path().contains("index=41")) {
                         try {
                             calledOut.await();
                         } catch (InterruptedException e) {
                             throw new java.io.InterruptedIOException();
                         }
-                        line.answer("200 OK", "", Rig.list(42, true, Rig.entry("u0", address[0], "Ready", 5_000)));
+                        line.answer("200 OK", "", SidecarRig.list(42, true, SidecarRig.entry("u0", address[0], "Ready", 5_000)));
                     }
                 })
                 .withAdmin()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            address[0] = rig.peers.get(0).address();
+            address[0] = rig.upstreams.get(0).address();
             rig.start();
-            assertEquals("ACK\n", rig.call("cordon u0"));
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
             calledOut.countDown();
-            rig.await("list FULL");
+            rig.awaitEvent("list FULL");
             assertEquals(502, serve(rig, "a1"));
         }
     }
--- a/src/test/java/rushproxy/sidecar/CrowdTest.java
+++ b/src/test/java/rushproxy/sidecar/CrowdTest.java
@@ -18,17 +18,17 @@
 /** Those who only come to stay, or stop half way, take nobody's place for long; who is slow has no less time. */
 @Timeout(60)
 class CrowdTest {
-    private static Rig rig() throws Exception {
-        Rig rig = new Rig().withAdmin();
+    private static SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
         rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
         // Sixteen connections for clients.
-        rig.sockets = 48 + 2 * 16;
+        rig.maxSockets = 48 + 2 * 16;
         return rig;
     }
 
     @Test
     void whoStopsHalfWayKeepsNobodyOut() throws Exception {
-        try (Rig rig = rig().start()) {
+        try (SidecarRig rig = rig().start()) {
             List<Peer.Client> half = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 half.add(
@@ -39,35 +39,35 @@
                                                 : "POST /api HTTP/1.1\r\nX-Txn: h" + i
                                                         + "\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\nContent-Length: 9\r\n\r\nhalf"));
                 // An answer here says that what was sent before it has been read.
-                assertEquals("ACK\n", rig.call("health"), "the operators wait for no client");
+                assertEquals("ACK\n", rig.callAdmin("health"), "the operators wait for no client");
             }
             try (Peer.Client real = rig.client()) {
-                real.send(Rig.get("real", 20_000));
+                real.send(SidecarRig.get("real", 20_000));
                 assertEquals("real", real.answer().body());
             }
             for (Peer.Client c : half) {
                 c.close();
             }
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request h")));
+            assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request h")));
         }
     }
 
     /** All others are busy, and two come at once: the first must not make room for the second with its request unread. */
     @Test
     void whoHasJustComeMakesNoRoom() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
-            rig.sockets = 48 + 2 * 16;
+            rig.maxSockets = 48 + 2 * 16;
             rig.start();
             List<Peer.Client> clients = new ArrayList<>();
             try {
                 for (int i = 0; i < 14; i++) {
-                    clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
-                    rig.await("request busy" + i);
+                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
+                    rig.awaitEvent("request busy" + i);
                 }
-                rig.holdUp(20, () -> {
-                    clients.add(rig.client().send(Rig.get("first", 20_000)));
-                    clients.add(rig.client().send(Rig.get("second", 20_000)));
+                rig.stallLoop(20, () -> {
+                    clients.add(rig.client().send(SidecarRig.get("first", 20_000)));
+                    clients.add(rig.client().send(SidecarRig.get("second", 20_000)));
                 });
                 // Neither has an answer yet, and neither is closed.
                 for (Peer.Client c : clients.subList(14, 16)) {
@@ -85,13 +85,13 @@
     /** It waited in the kernel's queue, with its client's end behind it: how long can't be known, so nothing is sent for it. */
     @Test
     void whoLeftBeforeItWasLetInIsSentNothingFor() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer upstream = rig.upstream((m, line) -> {
                 if (m.header("X-Txn").startsWith("warm")) {
                     line.answer("200 OK", "", "fine");
                 }
             });
-            rig.sockets = 48 + 2 * 16;
+            rig.maxSockets = 48 + 2 * 16;
             rig.start();
             // As under load: the loop looks at its sockets all the time.
             rig.sidecar.loop().scheduleAtFixedRate(() -> {}, 1, 1, TimeUnit.MILLISECONDS);
@@ -102,26 +102,26 @@
                 }
                 // Connections to the upstream that rest: a call on one of them begins at once.
                 for (int i = 0; i < 12; i++) {
-                    clients.get(i).send(Rig.get("warm" + i, 20_000));
+                    clients.get(i).send(SidecarRig.get("warm" + i, 20_000));
                 }
                 for (Peer.Client c : clients) {
                     assertEquals(200, c.status());
                 }
                 for (int i = 0; i < 4; i++) {
-                    clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
-                    rig.await("request busy" + i);
+                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
+                    rig.awaitEvent("request busy" + i);
                 }
                 for (int i = 0; i < 12; i++) {
                     clients.get(i).send("GET /api HT");
                 }
                 for (int i = 0; i < 10; i++) {
                     try (Peer.Client leaves = rig.client()) {
-                        leaves.send(Rig.get("left" + i, 20_000));
+                        leaves.send(SidecarRig.get("left" + i, 20_000));
                     }
                 }
                 Thread.sleep(150);
                 clients.get(12).close();
-                rig.await("request left9");
+                rig.awaitEvent("request left9");
                 Thread.sleep(300);
                 assertEquals(
                         List.of(),
@@ -140,21 +140,21 @@
     /** Its time runs from the last byte: counted from the first it would be over before it has begun. */
     @Test
     void aHeadThatIsWrittenSlowlyHasItsWholeTime() throws Exception {
-        try (Rig rig = rig().start();
+        try (SidecarRig rig = rig().start();
                 Peer.Client slow = rig.client()) {
-            String text = Rig.get("a1", 500);
+            String text = SidecarRig.get("a1", 500);
             slow.send(text.substring(0, 40));
             Thread.sleep(800);
             slow.send(text.substring(40));
             assertEquals(200, slow.status());
-            assertFalse(rig.await("request a1").endsWith(" 1"), "no time was left to it");
+            assertFalse(rig.awaitEvent("request a1").endsWith(" 1"), "no time was left to it");
         }
     }
 
     /** Its body lies in the kernel, so its time runs: a refusal is due before its end, not after a second. */
     @Test
     void whatFindsNoRoomIsRefusedWithinItsTime() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
             List<Peer.Client> filling = new ArrayList<>();
@@ -181,7 +181,7 @@
     /** It waited for room unread: its client has counted that time. */
     @Test
     void whatWaitedForRoomHasLessTimeLeft() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             List<Peer.Client> filling = new ArrayList<>();
@@ -194,7 +194,7 @@
                     client.send(upload("a1", 2_000, 60_000) + "x".repeat(60_000));
                     Thread.sleep(300);
                     filling.get(0).close();
-                    long givenUs = Long.parseLong(rig.await("request a1 ").split(" ")[2]);
+                    long givenUs = Long.parseLong(rig.awaitEvent("request a1 ").split(" ")[2]);
                     assertTrue(givenUs < 1_700_000, givenUs + " us");
                     assertEquals(503, client.status());
                 }
@@ -207,7 +207,7 @@
     }
 
     /** Until so many clients have brought a head, and hold the room that they asked for. */
-    private static void awaitBusy(Rig rig, int clients) throws Exception {
+    private static void awaitBusy(SidecarRig rig, int clients) throws Exception {
         long busy;
         do {
             Thread.sleep(5);
@@ -221,7 +221,7 @@
     }
 
     /** Sends a whole body and tells, on a thread of its own, how it was answered. */
-    private static Peer.Client refused(Rig rig, String id, long remainingMs, BlockingQueue<String> answered)
+    private static Peer.Client refused(SidecarRig rig, String id, long remainingMs, BlockingQueue<String> answered)
             throws Exception {
         Peer.Client client = rig.client().send(upload(id, remainingMs, 60_000) + "x".repeat(60_000));
         Thread reader = new Thread(() -> {
--- a/src/test/java/rushproxy/sidecar/LateLoopTest.java
+++ b/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class LateLoopTest {
+class DelayedEventLoopTest {
     private static final long BUSY_MS = 100;
     private static final long FREE_MS = 20;
     private static final long PATIENCE_MS = 500;
@@ -23,7 +23,7 @@
     private static final long PAUSE_MS = 17;
 
     /** One request by the clock in microseconds: when it was sent, taken, due, and its time-out ran. */
-    private static final class Course {
+    private static final class RequestTimeline {
         long sentUs;
         long takenUs;
         long dueUs;
@@ -45,14 +45,14 @@
         }
     }
 
-    private final Map<String, Course> courses = new ConcurrentHashMap<>();
+    private final Map<String, RequestTimeline> courses = new ConcurrentHashMap<>();
     private volatile long busyUs;
 
     private static long nowUs() {
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    private void beBusy(Rig rig) {
+    private void beBusy(SidecarRig rig) {
         long beganUs = nowUs();
         try {
             TimeUnit.MILLISECONDS.sleep(BUSY_MS);
@@ -63,10 +63,10 @@
         rig.sidecar.loop().schedule(() -> beBusy(rig), FREE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private Thread ask(Rig rig, String id, long patienceMs) {
+    private Thread ask(SidecarRig rig, String id, long patienceMs) {
         Thread client = new Thread(() -> {
             try (Peer.Client connection = rig.client()) {
-                connection.send(Rig.get(id, patienceMs));
+                connection.send(SidecarRig.get(id, patienceMs));
                 long sentUs = nowUs();
                 assertEquals(502, connection.status());
                 courses.get(id).sentUs = sentUs;
@@ -81,11 +81,11 @@
     /** The loop's delay was counted from a heartbeat that was late itself: answers were due 80 ms before their end on a loop 100 ms late. */
     @Test
     void anAnswerIsDueAsMuchEarlierAsTheLoopIsLate() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.settings = Rig.SETTINGS.replace("\"objective_us\":300000", "\"objective_us\":800000");
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.settings = SidecarRig.SETTINGS.replace("\"objective_us\":300000", "\"objective_us\":800000");
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
-                Course course = new Course();
+                RequestTimeline course = new RequestTimeline();
                 course.takenUs = nowUs();
                 course.dueUs = course.takenUs + r.remainingUs();
                 course.busyBeforeUs = busyUs;
@@ -93,13 +93,13 @@
                 out.send(r.id(), "u0", 0);
             };
             rig.onOutcome = (id, outcome, done, out) -> {
-                Course course = courses.get(id);
+                RequestTimeline course = courses.get(id);
                 course.ranUs = nowUs();
                 // As it stands in the end: it may have been moved since the request was taken.
                 rig.sidecar
                         .requests()
                         .dueUs(id)
-                        .ifPresent(due -> course.dueUs = course.ranUs + due - new Clock().now());
+                        .ifPresent(due -> course.dueUs = course.ranUs + due - new Clock().nowUs());
                 out.fail(id);
             };
             rig.start();
@@ -116,24 +116,24 @@
             for (Thread client : clients) {
                 client.join();
             }
-            List<Course> all = IntStream.range(0, REQUESTS)
+            List<RequestTimeline> all = IntStream.range(0, REQUESTS)
                     .mapToObj(i -> courses.get("a" + i))
                     .toList();
-            assertEquals(List.of(), all.stream().filter(Course::isFault).toList());
+            assertEquals(List.of(), all.stream().filter(RequestTimeline::isFault).toList());
         }
     }
 
     /** An answer that lies in its socket as its time-out comes late is read first. */
     @Test
     void anAnswerThatCameInAHoldUpIsNotTimedOut() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             BlockingQueue<Peer.Line> lines = new LinkedBlockingQueue<>();
             rig.upstream((m, line) -> lines.add(line));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 800));
+                client.send(SidecarRig.get("a1", 800));
                 Peer.Line line = lines.take();
-                rig.holdUp(900, () -> line.answer("200 OK", "", "in time"));
+                rig.stallLoop(900, () -> line.answer("200 OK", "", "in time"));
                 assertEquals(200, client.status());
             }
         }
--- a/src/test/java/rushproxy/sidecar/DepartureTest.java
+++ b/src/test/java/rushproxy/sidecar/DepartureTest.java
@@ -68,23 +68,23 @@
     /** In whichever way it ends its side: the request it waits for is over at once. */
     @Test
     void aResetAndAHalfCloseAreDeparturesToo() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client resets = rig.client()) {
-                resets.send(Rig.get("a1", 3_000));
-                rig.await("request a1");
+                resets.send(SidecarRig.get("a1", 3_000));
+                rig.awaitEvent("request a1");
                 resets.socket.setSoLinger(true, 0);
             }
-            assertEquals("expired a1", rig.await("expired"));
+            assertEquals("expired a1", rig.awaitEvent("expired"));
             try (Peer.Client halfCloses = rig.client()) {
-                halfCloses.send(Rig.get("a2", 3_000));
-                rig.await("request a2");
+                halfCloses.send(SidecarRig.get("a2", 3_000));
+                rig.awaitEvent("request a2");
                 halfCloses.socket.shutdownOutput();
                 // Its end, not an answer: the time of the request is not over by far.
                 assertEquals(null, halfCloses.answer());
-                assertEquals("expired a2", rig.await("expired"));
+                assertEquals("expired a2", rig.awaitEvent("expired"));
             }
         }
     }
@@ -93,17 +93,17 @@
     @Test
     void nothingIsSentWhenTheConnectionComesUpAfterTheClientHasGone() throws Exception {
         try (SlowDoor door = new SlowDoor();
-                Rig rig = new Rig((m, line) -> {})) {
+                SidecarRig rig = new SidecarRig((m, line) -> {})) {
             rig.discovery.script = (m, line) ->
-                    line.answer("200 OK", "", Rig.list(50, true, Rig.entry("u0", door.address(), "Ready", 0)));
+                    line.answer("200 OK", "", SidecarRig.list(50, true, SidecarRig.entry("u0", door.address(), "Ready", 0)));
             rig.upstream((m, line) -> {});
             rig.start();
-            rig.await("list FULL u0=READY");
+            rig.awaitEvent("list FULL u0=READY");
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                rig.await("request a1");
+                client.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("request a1");
             }
-            assertEquals("expired a1", rig.await("expired"));
+            assertEquals("expired a1", rig.awaitEvent("expired"));
             assertEquals("", door.firstSent());
         }
     }
@@ -111,13 +111,13 @@
     /** The module is asked again once the connection is up: the window of a repeat may have closed meanwhile. */
     @Test
     void theModuleHasTheLastWordOnceTheConnectionIsUp() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
-            rig.mayBegin = false;
+            rig.mayStartWrite = false;
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 NOT_SENT false -", rig.await("outcome"));
+                client.send(SidecarRig.get("a1", 20_000));
+                assertEquals("outcome a1 0 NOT_SENT false -", rig.awaitEvent("outcome"));
                 assertEquals(502, client.status());
                 assertEquals(-1, up.accepted.take().getInputStream().read());
                 assertEquals(0, up.messages.size());
@@ -128,18 +128,18 @@
     /** Its request and its departure lie there together, and the request is read first. */
     @Test
     void nothingIsSentForAClientThatLeftWhileTheLoopWasHeldUp() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a0", 20_000));
+                client.send(SidecarRig.get("a0", 20_000));
                 assertEquals(200, client.status());
-                rig.holdUp(200, () -> {
-                    client.send(Rig.get("a1", 20_000));
+                rig.stallLoop(200, () -> {
+                    client.send(SidecarRig.get("a1", 20_000));
                     client.close();
                 });
-                rig.await("request a1");
-                rig.await("expired a1");
+                rig.awaitEvent("request a1");
+                rig.awaitEvent("expired a1");
                 assertEquals(1, up.messages.size());
             }
         }
@@ -150,9 +150,9 @@
     void nothingIsSentToAnUpstreamWhoseDrainLiesUnreadWhileTheLoopWasHeldUp() throws Exception {
         for (int i = 0; i < 3; i++) {
             BlockingQueue<Peer.Line> watches = new LinkedBlockingQueue<>();
-            try (Rig rig = new Rig((m, line) -> {
+            try (SidecarRig rig = new SidecarRig((m, line) -> {
                 if (m.path().contains("wait=0")) {
-                    line.answer("200 OK", "", Rig.list(41, false));
+                    line.answer("200 OK", "", SidecarRig.list(41, false));
                 } else {
                     watches.add(line);
                 }
@@ -161,15 +161,15 @@
                 rig.start();
                 Peer.Line watch = watches.take();
                 try (Peer.Client client = rig.client()) {
-                    client.send(Rig.get("a0", 20_000));
+                    client.send(SidecarRig.get("a0", 20_000));
                     assertEquals(200, client.status());
-                    rig.holdUp(200, () -> {
-                        client.send(Rig.get("a1", 20_000));
+                    rig.stallLoop(200, () -> {
+                        client.send(SidecarRig.get("a1", 20_000));
                         watch.answer(
-                                "200 OK", "", Rig.list(42, false, Rig.entry("u0", up.address(), "Terminating", 0)));
+                                "200 OK", "", SidecarRig.list(42, false, SidecarRig.entry("u0", up.address(), "Terminating", 0)));
                     });
-                    rig.await("outcome a0");
-                    assertEquals("outcome a1 0 NOT_SENT false -", rig.await("outcome"));
+                    rig.awaitEvent("outcome a0");
+                    assertEquals("outcome a1 0 NOT_SENT false -", rig.awaitEvent("outcome"));
                     assertEquals(1, up.messages.size());
                 }
             }
@@ -180,24 +180,24 @@
     @Test
     void aCopyWhoseConnectionStillComesUpIsNotSentOnceAnotherHasServed() throws Exception {
         try (SlowDoor door = new SlowDoor();
-                Rig rig = new Rig((m, line) -> {})) {
+                SidecarRig rig = new SidecarRig((m, line) -> {})) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.discovery.script = (m, line) -> line.answer(
                     "200 OK",
                     "",
-                    Rig.list(
+                    SidecarRig.list(
                             50,
                             true,
-                            Rig.entry("u0", door.address(), "Ready", 0),
-                            Rig.entry("u1", up.address(), "Ready", 0)));
+                            SidecarRig.entry("u0", door.address(), "Ready", 0),
+                            SidecarRig.entry("u1", up.address(), "Ready", 0)));
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
                 out.send(r.id(), "u1", 0);
             };
             rig.start();
-            rig.await("list FULL u0=READY,u1=READY");
+            rig.awaitEvent("list FULL u0=READY,u1=READY");
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals("served", client.answer().body());
             }
             assertEquals("", door.firstSent());
@@ -207,49 +207,49 @@
     /** Its end lies behind all that it has sent ahead. */
     @Test
     void aClientThatSendsManyRequestsAndGoesIsSeenToHaveGone() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 400; i++) {
-                    all.append(Rig.get("a" + i, 20_000));
+                    all.append(SidecarRig.get("a" + i, 20_000));
                 }
                 client.send(all.toString());
             }
-            assertEquals("expired a0", rig.await("expired"));
+            assertEquals("expired a0", rig.awaitEvent("expired"));
             assertEquals(
-                    0, rig.told.stream().filter(t -> t.startsWith("request")).count());
+                    0, rig.events.stream().filter(t -> t.startsWith("request")).count());
         }
     }
 
     /** No attempt has taken of its body yet, and what is kept of it is full. */
     @Test
     void aClientThatGoesWithinALongBodyThatWaitsIsSeenToHaveGone() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 client.send(upload("a1", 1_000_000) + "x".repeat(100_000));
-                rig.await("request a1");
+                rig.awaitEvent("request a1");
             }
-            assertEquals("expired a1", rig.await("expired"));
+            assertEquals("expired a1", rig.awaitEvent("expired"));
         }
     }
 
     /** Behind so much that it can't be read: nothing may be begun for a client that nobody can see. */
     @Test
     void whatWaitsForAClientThatCannotBeWatchedIsRefusedAndNeverBegun() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 client.send(upload("a1", 1_000_000) + "x".repeat(400_000));
                 assertEquals(503, client.status());
-                assertEquals("expired a1", rig.await("expired"));
+                assertEquals("expired a1", rig.awaitEvent("expired"));
                 assertEquals(0, up.messages.size());
             }
         }
@@ -257,14 +257,14 @@
 
     @Test
     void aClientThatSendsMoreAheadThanIsKeptGetsAnAnswerToAllThatWasRead() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 2_000; i++) {
-                    all.append(Rig.get("a" + i, 20_000));
+                    all.append(SidecarRig.get("a" + i, 20_000));
                 }
                 client.send(all.toString());
                 int refused = 0;
@@ -281,7 +281,7 @@
     /** It waited for room in memory, and nothing was read until there was some. */
     @Test
     void aClientThatLeftWhileItsBodyWaitedForRoomIsSentNothingFor() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             java.util.List<Peer.Client> filling = new ArrayList<>();
@@ -296,8 +296,8 @@
                 }
                 Thread.sleep(150);
                 filling.get(0).close();
-                rig.await("request a1");
-                rig.await("expired a1");
+                rig.awaitEvent("request a1");
+                rig.awaitEvent("expired a1");
                 assertEquals(0, up.messages.size());
             } finally {
                 for (Peer.Client c : filling) {
