--- a/src/test/java/rushproxy/sidecar/DiscoveryTest.java
+++ b/src/test/java/rushproxy/sidecar/DiscoveryTest.java
@@ -9,28 +9,28 @@
 
 @Timeout(60)
 class DiscoveryTest {
-    private static final String UP = Rig.entry("u0", "127.0.0.1:9", "Ready", 0);
+    private static final String UP = SidecarRig.entry("u0", "127.0.0.1:9", "Ready", 0);
     /** The call after a bad answer is made by then, and the one after that is not given up. */
     private static final long NEXT_CALL_MS = 300;
 
     @Test
     void theWatchGoesOnFromEachVersion() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
-                case 2 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
-                case 3 -> line.answer("200 OK", "Connection: close\r\n", Rig.list(44, true, UP));
+                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
+                case 2 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
+                case 3 -> line.answer("200 OK", "Connection: close\r\n", SidecarRig.list(44, true, UP));
                 default -> {}
             }
         })) {
             rig.upstream((m, line) -> {});
             rig.start();
-            assertEquals("list CACHED u0=READY", rig.await("list"));
+            assertEquals("list CACHED u0=READY", rig.awaitEvent("list"));
             // The first answer tells the module that it is subscribed, even without a change.
-            assertEquals("list DELTA ", rig.await("list"));
-            assertEquals("list DELTA u0=DRAINING", rig.await("list"));
-            assertEquals("list FULL u0=READY", rig.await("list"));
+            assertEquals("list DELTA ", rig.awaitEvent("list"));
+            assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"));
+            assertEquals("list FULL u0=READY", rig.awaitEvent("list"));
             for (int index : new int[] {41, 41, 42, 44}) {
                 String path = rig.discovery.next().path();
                 assertTrue(path.startsWith("/registry/instances?index=" + index + "&wait="), path);
@@ -42,21 +42,21 @@
     @Test
     void theWatchGoesOnWhereAListCouldNotBeTakenOver() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
             if (calls.incrementAndGet() <= 2) {
-                line.answer("200 OK", "", Rig.list(41 + calls.get(), true, UP));
+                line.answer("200 OK", "", SidecarRig.list(41 + calls.get(), true, UP));
             }
         })) {
             AtomicInteger lists = new AtomicInteger();
-            rig.onWholeList = () -> {
+            rig.onFullList = () -> {
                 if (lists.incrementAndGet() == 1) {
                     throw new OutOfMemoryError("as the test wants");
                 }
             };
             rig.upstream((m, line) -> {});
             rig.start();
-            assertEquals("list FULL u0=READY", rig.await("list FULL"));
-            assertEquals("list FULL u0=READY", rig.await("list FULL"));
+            assertEquals("list FULL u0=READY", rig.awaitEvent("list FULL"));
+            assertEquals("list FULL u0=READY", rig.awaitEvent("list FULL"));
             rig.discovery.next();
             assertEquals("/registry/instances", rig.discovery.next().path());
         }
@@ -73,29 +73,29 @@
             "null",
             "{\"generation\":50,\"reset\":true,\"instances\":[]}",
             "{\"generation\":50,\"reset\":true}",
-            Rig.list(40, false, UP),
-            Rig.list(50, false, UP.replace("Ready", "?")),
-            Rig.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
+            SidecarRig.list(40, false, UP),
+            SidecarRig.list(50, false, UP.replace("Ready", "?")),
+            SidecarRig.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
         for (String answer : bad) {
             AtomicInteger calls = new AtomicInteger();
-            try (Rig rig = new Rig((m, line) -> {
+            try (SidecarRig rig = new SidecarRig((m, line) -> {
                 switch (calls.incrementAndGet()) {
                     case 1 -> line.answer("200 OK", "", answer);
-                    case 2 -> line.answer("200 OK", "", Rig.list(60, true, UP));
+                    case 2 -> line.answer("200 OK", "", SidecarRig.list(60, true, UP));
                     default -> {}
                 }
             })) {
                 rig.upstream((m, line) -> {});
                 // However late the answer comes here, the call that it answers is not given up.
-                rig.time.stop();
+                rig.clock.freeze();
                 rig.start();
-                rig.await("list CACHED");
-                assertEquals("list FAILED ", rig.await("list"), answer);
-                rig.pass(NEXT_CALL_MS);
-                assertEquals("list FULL u0=READY", rig.await("list"));
-                rig.pass(NEXT_CALL_MS);
+                rig.awaitEvent("list CACHED");
+                assertEquals("list FAILED ", rig.awaitEvent("list"), answer);
+                rig.advanceTime(NEXT_CALL_MS);
+                assertEquals("list FULL u0=READY", rig.awaitEvent("list"));
+                rig.advanceTime(NEXT_CALL_MS);
                 rig.discovery.next();
                 assertEquals("/registry/instances", rig.discovery.next().path(), answer);
                 assertTrue(rig.discovery.next().path().contains("?index=60&wait="));
@@ -106,23 +106,23 @@
     @Test
     void callsThatFailAreToldAndTheVersionIsKept() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
                 case 1 -> line.answer("503 Down", "", "");
                 case 2 -> line.reset();
                 case 3 -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
-                case 4 -> line.answer("200 OK", "", Rig.list(43, false, UP));
+                case 4 -> line.answer("200 OK", "", SidecarRig.list(43, false, UP));
                 default -> {}
             }
         })) {
             rig.upstream((m, line) -> {});
             rig.start();
-            rig.await("list CACHED");
+            rig.awaitEvent("list CACHED");
             for (int i = 0; i < 3; i++) {
-                assertEquals("list FAILED ", rig.await("list"));
+                assertEquals("list FAILED ", rig.awaitEvent("list"));
                 assertTrue(rig.discovery.next().path().contains("?index=41&wait="));
             }
-            assertEquals("list DELTA u0=READY", rig.await("list"));
+            assertEquals("list DELTA u0=READY", rig.awaitEvent("list"));
         }
     }
 
@@ -130,20 +130,20 @@
     @Test
     void pushedListsAreWatchedWithoutBeingAskedFor() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
+                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
                 case 2 -> line.answer("503 Down", "", "");
-                case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP));
+                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP));
                 default -> {}
             }
         })) {
             rig.settings = rig.settings.replace("on_request", "pushed");
-            rig.asks = false;
+            rig.subscribes = false;
             rig.upstream((m, line) -> {});
             rig.start();
-            rig.await("list CACHED");
-            assertEquals("list DELTA u0=READY", rig.await("list"), "told of a call it has not made, or of no change");
+            rig.awaitEvent("list CACHED");
+            assertEquals("list DELTA u0=READY", rig.awaitEvent("list"), "told of a call it has not made, or of no change");
         }
     }
 
@@ -151,13 +151,13 @@
         return Long.parseLong(path.substring(path.indexOf("wait=") + 5));
     }
 
-    private static Rig pushed(Peer.Script discovery) throws Exception {
-        Rig rig = new Rig(discovery);
+    private static SidecarRig pushed(Peer.Script discovery) throws Exception {
+        SidecarRig rig = new SidecarRig(discovery);
         rig.settings = rig.settings.replace("on_request", "pushed");
-        rig.asks = false;
+        rig.subscribes = false;
         rig.upstream((m, line) -> {});
         rig.start();
-        rig.await("list CACHED");
+        rig.awaitEvent("list CACHED");
         return rig;
     }
 
@@ -168,14 +168,14 @@
     @Test
     void aWatchThatFallsSilentIsOpenedAnewBeforeItsNewsCounts() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = pushed((m, line) -> {
+        try (SidecarRig rig = pushed((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
-                case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
+                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
+                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
                 default -> {}
             }
         })) {
-            assertEquals("list DELTA u0=DRAINING", rig.await("list"));
+            assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"));
             assertEquals(0, waits(rig.discovery.next().path()), "of a new process all counts at once");
             assertTrue(waits(rig.discovery.next().path()) <= 2_000);
             assertEquals(0, waits(rig.discovery.next().path()), "after silence nothing is waited for");
@@ -198,15 +198,15 @@
                 "refused", (m, line) -> line.answer("503 Down", "", ""));
         for (java.util.Map.Entry<String, Peer.Script> broken : breaks.entrySet()) {
             AtomicInteger calls = new AtomicInteger();
-            try (Rig rig = pushed((m, line) -> {
+            try (SidecarRig rig = pushed((m, line) -> {
                 switch (calls.incrementAndGet()) {
-                    case 1 -> line.answer("200 OK", "", Rig.list(41, false));
+                    case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
                     case 2 -> broken.getValue().handle(m, line);
-                    case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
+                    case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
                     default -> {}
                 }
             })) {
-                assertEquals("list DELTA u0=DRAINING", rig.await("list"), broken.getKey());
+                assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"), broken.getKey());
                 rig.discovery.next();
                 rig.discovery.next();
                 String path = rig.discovery.next().path();
@@ -219,15 +219,15 @@
     @Test
     void whileDiscoveryIsSilentItIsCalledAgainAndAgain() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = pushed((m, line) -> {
+        try (SidecarRig rig = pushed((m, line) -> {
             int call = calls.incrementAndGet();
             if (call == 1 || call == 6) {
-                line.answer("200 OK", "", Rig.list(call + 40, false));
+                line.answer("200 OK", "", SidecarRig.list(call + 40, false));
             } else if (call == 5) {
-                line.answer("200 OK", "", Rig.list(45, false, UP.replace("Ready", "Terminating")));
+                line.answer("200 OK", "", SidecarRig.list(45, false, UP.replace("Ready", "Terminating")));
             }
         })) {
-            assertEquals("list DELTA u0=DRAINING", rig.await("list"));
+            assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"));
             rig.discovery.next();
             assertTrue(waits(rig.discovery.next().path()) > 0);
             for (int i = 3; i <= 5; i++) {
@@ -242,27 +242,27 @@
     @Test
     void aWatchThatTheModuleAskedForGoesOnWithoutIt() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = new Rig((m, line) -> {
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", Rig.list(41, false));
+                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
                 case 2 -> line.reset();
-                case 3 -> line.answer("200 OK", "", Rig.list(42, false, UP.replace("Ready", "Terminating")));
+                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
                 default -> {}
             }
         })) {
             rig.upstream((m, line) -> {});
-            rig.asksOnce = true;
+            rig.subscribesOnce = true;
             rig.start();
-            rig.await("list CACHED");
-            assertEquals("list DELTA ", rig.await("list"));
-            assertEquals("list FAILED ", rig.await("list"));
-            assertEquals("list DELTA u0=DRAINING", rig.await("list"));
+            rig.awaitEvent("list CACHED");
+            assertEquals("list DELTA ", rig.awaitEvent("list"));
+            assertEquals("list FAILED ", rig.awaitEvent("list"));
+            assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"));
         }
     }
 
     private static String many(int from, int to, String state) {
         return java.util.stream.IntStream.range(from, to)
-                .mapToObj(i -> Rig.entry("s" + i, "127.0.0.1:" + (1_000 + i), state, 0))
+                .mapToObj(i -> SidecarRig.entry("s" + i, "127.0.0.1:" + (1_000 + i), state, 0))
                 .collect(java.util.stream.Collectors.joining(","));
     }
 
@@ -278,25 +278,25 @@
     void thousandsOfServersAreTakenAndWhatIsTooLongLeavesThemInForce() throws Exception {
         int servers = 10_000;
         AtomicInteger calls = new AtomicInteger();
-        try (Rig rig = pushed((m, line) -> {
+        try (SidecarRig rig = pushed((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", indented(Rig.list(42, true, many(0, servers, "Ready"))));
-                case 2 -> line.answer("200 OK", "", Rig.list(43, false, many(0, 1_024, "Terminating")));
-                case 3 -> line.answer("200 OK", "", Rig.list(44, true, many(0, 40_000, "Ready")));
+                case 1 -> line.answer("200 OK", "", indented(SidecarRig.list(42, true, many(0, servers, "Ready"))));
+                case 2 -> line.answer("200 OK", "", SidecarRig.list(43, false, many(0, 1_024, "Terminating")));
+                case 3 -> line.answer("200 OK", "", SidecarRig.list(44, true, many(0, 40_000, "Ready")));
                 case 4 ->
                     line.answer(
                             "200 OK",
                             "",
                             "{\"generation\":45,\"reset\":true,\"instances\":[" + many(0, 1_024, "Ready"));
-                case 5 -> line.answer("200 OK", "", Rig.list(46, true, many(5, 6, "Ready")));
+                case 5 -> line.answer("200 OK", "", SidecarRig.list(46, true, many(5, 6, "Ready")));
                 default -> {}
             }
         })) {
-            assertEquals(servers, rig.await("list FULL").split("=READY", -1).length - 1);
-            String changes = rig.await("list");
+            assertEquals(servers, rig.awaitEvent("list FULL").split("=READY", -1).length - 1);
+            String changes = rig.awaitEvent("list");
             assertEquals(1_024, changes.split("=DRAINING", -1).length - 1, changes.substring(0, 20));
             // The two answers that are no lists told the module nothing.
-            assertEquals("list FULL s5=READY", rig.await("list"));
+            assertEquals("list FULL s5=READY", rig.awaitEvent("list"));
             String[] paths = new String[5];
             for (int i = 0; i < paths.length; i++) {
                 paths[i] = rig.discovery.next().path();
--- a/src/test/java/rushproxy/sidecar/DrainTest.java
+++ b/src/test/java/rushproxy/sidecar/DrainTest.java
@@ -11,7 +11,7 @@
 class DrainTest {
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
-    private static int ready(Rig rig) throws Exception {
+    private static int ready(SidecarRig rig) throws Exception {
         try (Peer.Client c = rig.client()) {
             return c.send(READY).status();
         }
@@ -19,17 +19,17 @@
 
     @Test
     void readySaysNoAtOnceAndYesAgainAfterTheCallBack() throws Exception {
-        try (Rig rig = new Rig().withAdmin()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin()) {
             rig.upstream((m, line) -> {});
             rig.start();
             assertEquals(200, ready(rig));
             for (int i = 0; i < 2; i++) {
-                assertEquals("ACK\n", rig.call("quiesce"));
+                assertEquals("ACK\n", rig.callAdmin("quiesce"));
                 assertEquals(503, ready(rig));
             }
-            assertEquals("ACK\n", rig.call("health"), "the process runs on");
+            assertEquals("ACK\n", rig.callAdmin("health"), "the process runs on");
             for (int i = 0; i < 2; i++) {
-                assertEquals("ACK\n", rig.call("resume"));
+                assertEquals("ACK\n", rig.callAdmin("resume"));
                 assertEquals(200, ready(rig));
             }
         }
@@ -37,7 +37,7 @@
 
     @Test
     void openConnectionsEndAfterTheirAnswersAndIdleOnesInTime() throws Exception {
-        try (Rig rig = new Rig().withAdmin()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
             rig.upstream((m, line) -> {
                 if (m.header("X-Txn").equals("held")) {
@@ -54,13 +54,13 @@
                     Peer.Client used = rig.client();
                     Peer.Client idle = rig.client()) {
                 for (Peer.Client c : new Peer.Client[] {used, idle}) {
-                    c.send(Rig.get("w" + c.socket.getLocalPort(), 30_000));
+                    c.send(SidecarRig.get("w" + c.socket.getLocalPort(), 30_000));
                     assertEquals(200, c.status());
                 }
-                held.send(Rig.get("held", 30_000));
-                rig.await("request held");
-                assertEquals("ACK\n", rig.call("quiesce"));
-                used.send(Rig.get("after", 30_000));
+                held.send(SidecarRig.get("held", 30_000));
+                rig.awaitEvent("request held");
+                assertEquals("ACK\n", rig.callAdmin("quiesce"));
+                used.send(SidecarRig.get("after", 30_000));
                 Peer.Message m = used.answer();
                 assertEquals("after", m.body());
                 assertEquals("close", m.header("Connection"));
@@ -76,16 +76,16 @@
 
     @Test
     void afterTheCallBackConnectionsStayOpen() throws Exception {
-        try (Rig rig = new Rig().withAdmin()) {
+        try (SidecarRig rig = new SidecarRig().withAdmin()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             try (Peer.Client c = rig.client()) {
-                rig.call("quiesce");
-                rig.call("resume");
-                rig.call("quiesce");
-                rig.call("resume");
+                rig.callAdmin("quiesce");
+                rig.callAdmin("resume");
+                rig.callAdmin("quiesce");
+                rig.callAdmin("resume");
                 for (int i = 0; i < 3; i++) {
-                    c.send(Rig.get("r" + i, 30_000));
+                    c.send(SidecarRig.get("r" + i, 30_000));
                     assertEquals(null, c.answer().header("Connection"));
                 }
             }
--- a/src/test/java/rushproxy/sidecar/LoopWatchTest.java
+++ b/src/test/java/rushproxy/sidecar/EventLoopWatchdogTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class LoopWatchTest {
+class EventLoopWatchdogTest {
     /** Guards against a process that lives on, deaf to signals, after an error has ended its event loop and even that loop's cleaning up. */
     @Test
     void theEndOfTheThreadIsToldWhereTheLoopTellsNone() throws Exception {
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, SocketLook.handlers()).next();
+        EventLoop loop = new MultiThreadIoEventLoopGroup(1, SocketPolling.ioHandlerFactory()).next();
         CountDownLatch ended = new CountDownLatch(1);
-        LoopWatch.begin(loop, ended::countDown);
+        EventLoopWatchdog.start(loop, ended::countDown);
         FastThreadLocal<Object> fails = new FastThreadLocal<>() {
             @Override
             protected void onRemoval(Object value) {
--- a/src/test/java/rushproxy/sidecar/StandIns.java
+++ b/src/test/java/rushproxy/sidecar/FakeServices.java
@@ -8,15 +8,15 @@
 import rushproxy.lab.node.SharedSocket;
 
 /** What a real sidecar meets in a test: discovery that says nothing, and servers; closed together with the sidecar. */
-final class StandIns implements AutoCloseable {
+final class FakeServices implements AutoCloseable {
     final List<Peer> servers = new ArrayList<>();
     final Peer discovery = new Peer((message, line) -> {});
     private SidecarProcess sidecar;
 
-    StandIns() throws IOException {}
+    FakeServices() throws IOException {}
 
     /** So many more servers that answer so. */
-    void servers(int count, Peer.Script script) throws IOException {
+    void addServers(int count, Peer.Script script) throws IOException {
         for (int i = 0; i < count; i++) {
             servers.add(new Peer(script));
         }
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -45,12 +45,12 @@
     @TempDir
     Path folder;
 
-    private StandIns standIns;
+    private FakeServices standIns;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void silentDiscovery() throws Exception {
-        standIns = new StandIns();
+        standIns = new FakeServices();
     }
 
     @AfterEach
@@ -59,7 +59,7 @@
     }
 
     private void start(int count, Peer.Script script, Map<String, String> environment) throws Exception {
-        standIns.servers(count, script);
+        standIns.addServers(count, script);
         sidecar = standIns.start(folder, environment);
     }
 
@@ -157,7 +157,7 @@
             t.join();
         }
         assertEquals(List.of(), wrong);
-        assertEquals(0, sidecar.violations());
+        assertEquals(0, sidecar.invariantViolations());
     }
 
     /** A restart that is told while the process runs is one of now, whatever the wall clocks say by then. */
@@ -175,10 +175,10 @@
             standIns.servers.add(restarted);
             long generation = 41 + standIns.servers.size();
             tell(
-                    Rig.list(
+                    SidecarRig.list(
                             generation,
                             false,
-                            Rig.entry("u0", restarted.address(), "Ready", System.currentTimeMillis() + stepMs)),
+                            SidecarRig.entry("u0", restarted.address(), "Ready", System.currentTimeMillis() + stepMs)),
                     generation);
             double first = share(restarted, 500);
             assertTrue(first < 0.15, "share of its first half second, clock stepped by " + stepMs + " ms: " + first);
@@ -188,7 +188,7 @@
                     warm > 0.1,
                     "share when it is warm, clock stepped by " + stepMs + " ms: " + warm + "; " + sidecar.log);
         }
-        assertEquals(0, sidecar.violations());
+        assertEquals(0, sidecar.invariantViolations());
     }
 
     /**
@@ -248,7 +248,7 @@
         Semaphore arrived = new Semaphore(0);
         for (int i = 0; i < MOST_TRIES && !inTime; i++) {
             start(i == 0 ? 4 : 0, (m, line) -> arrived.release(), Map.of());
-            try (Lateness lateness = new Lateness()) {
+            try (SchedulingDelayMonitor lateness = new SchedulingDelayMonitor()) {
                 List<String> wrong = holdUpBeforeTheEnd(arrived, lateness);
                 inTime = lateness.mostMs() <= LATE_MS;
                 if (inTime) {
@@ -261,7 +261,7 @@
     }
 
     /** What went wrong, by the clients' records. */
-    private List<String> holdUpBeforeTheEnd(Semaphore arrived, Lateness lateness) throws Exception {
+    private List<String> holdUpBeforeTheEnd(Semaphore arrived, SchedulingDelayMonitor lateness) throws Exception {
         List<String> wrong = new ArrayList<>();
         try (Peer.Client safe = sidecar.client();
                 Peer.Client unsafe = sidecar.client()) {
@@ -288,20 +288,20 @@
         return wrong;
     }
 
-    private void signalAt(String name, long sinceNanos, long ms, Lateness lateness) throws Exception {
+    private void signalAt(String name, long sinceNanos, long ms, SchedulingDelayMonitor lateness) throws Exception {
         sleepUntil(sinceNanos, ms);
         sidecar.signal(name);
         lateness.atLeast(passedMs(sinceNanos) - ms);
     }
 
     /** How late this machine runs a thread that sleeps for a moment again and again. */
-    private static final class Lateness implements AutoCloseable {
+    private static final class SchedulingDelayMonitor implements AutoCloseable {
         private static final long NAP_MS = 5;
         private volatile boolean over;
         private volatile long mostMs;
         private final Thread thread = new Thread(this::look);
 
-        Lateness() {
+        SchedulingDelayMonitor() {
             thread.setDaemon(true);
             thread.start();
         }
@@ -379,7 +379,7 @@
                 runs.entrySet().stream()
                         .filter(e -> e.getKey().startsWith("unsafe") && e.getValue() > 1)
                         .toList());
-        assertEquals(0, sidecar.violations());
+        assertEquals(0, sidecar.invariantViolations());
     }
 
     private void requests(int client, ConcurrentLinkedQueue<String> wrong) {
--- a/src/test/java/rushproxy/sidecar/DescriptorsTest.java
+++ b/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
@@ -19,7 +19,7 @@
 
 /** The program with as many descriptors as the platform gives it, or with fewer than it was told, and clients that take them all. */
 @Timeout(120)
-class DescriptorsTest {
+class FileDescriptorLimitTest {
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
     /** A second address would have a class loader look for more files; it is not what is tried here. */
     private static final String CONFIG = """
@@ -32,7 +32,7 @@
     private final List<Peer.Client> idle = new ArrayList<>();
 
     private Process start(int port, Peer discovery, Peer upstream, int told, int allowed) throws Exception {
-        String known = Rig.list(41, true, Rig.entry("u0", upstream.address(), "Ready", 0));
+        String known = SidecarRig.list(41, true, SidecarRig.entry("u0", upstream.address(), "Ready", 0));
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -41,7 +41,7 @@
                         discovery.address(),
                         told,
                         known,
-                        Rig.SETTINGS
+                        SidecarRig.SETTINGS
                                 .replace("on_request", "pushed")
                                 .replace("\"probing\":true", "\"probing\":false")
                                 .replace("\"give_up_us\":800000", "\"give_up_us\":3000000")));
@@ -115,7 +115,7 @@
 
     private static String served(InetSocketAddress at, String id) throws IOException {
         try (Peer.Client c = new Peer.Client(at)) {
-            Peer.Message m = c.send(Rig.get(id, 2_500)).answer();
+            Peer.Message m = c.send(SidecarRig.get(id, 2_500)).answer();
             return m == null
                     ? "nothing"
                     : m.head().startsWith("HTTP/1.1 200")
@@ -152,7 +152,7 @@
                 assertEquals("before", served(at, "a1"), this::log);
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
-                        line.answer("200 OK", "", Rig.list(43, true, Rig.entry("u1", after.address(), "Ready", 0)));
+                        line.answer("200 OK", "", SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
                 awaitServed(at, "after");
@@ -176,11 +176,11 @@
                 assertEquals("before", served(at, "a1"), this::log);
                 rest(at, 200);
                 // No descriptor is left: the answer comes all the same, and in time.
-                known.send(Rig.get("a2", 2_500));
+                known.send(SidecarRig.get("a2", 2_500));
                 assertTrue(List.of(502, 503).contains(known.status()), log());
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
-                        line.answer("200 OK", "", Rig.list(43, true, Rig.entry("u1", after.address(), "Ready", 0)));
+                        line.answer("200 OK", "", SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
                 leave();
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -29,12 +29,12 @@
         return s;
     }
 
-    private static Rig rig(DatagramSocket peer) throws Exception {
+    private static SidecarRig rig(DatagramSocket peer) throws Exception {
         return rig("{\"members\":true}", peer);
     }
 
-    private static Rig rig(String fleet, DatagramSocket... peers) throws Exception {
-        Rig rig = new Rig().withAdmin();
+    private static SidecarRig rig(String fleet, DatagramSocket... peers) throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
         StringBuilder list = new StringBuilder("\"127.0.0.1:9\"");
         for (DatagramSocket p : peers) {
             list.append(",\"127.0.0.1:").append(p.getLocalPort()).append('"');
@@ -63,7 +63,7 @@
     @Test
     void lettersAreItsOwnAndWordsTheModules() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig(peer).start()) {
+                SidecarRig rig = rig(peer).start()) {
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
             Envelope.Letter first = next(peer, got);
             assertEquals(Envelope.id("n0"), first.sender());
@@ -78,9 +78,9 @@
             } while (answer.sections().get(0).type() != 2);
             assertEquals(77, ByteBuffer.wrap(answer.sections().get(0).bytes()).getShort());
             peer.send(new DatagramPacket(new byte[WORD], WORD, sidecar));
-            assertEquals("peer 1 " + WORD, rig.await("peer"), "the letter came to the module");
-            assertEquals("fleet 2 MAJORITY", rig.await("fleet 2"));
-            String members = rig.call("members");
+            assertEquals("peer 1 " + WORD, rig.awaitEvent("peer"), "the letter came to the module");
+            assertEquals("fleet 2 MAJORITY", rig.awaitEvent("fleet 2"));
+            String members = rig.callAdmin("members");
             assertTrue(
                     members.startsWith("ACK {\"self\":\"n0\",\"here\":2,\"expected\":2,\"standing\":\"majority\""),
                     members);
@@ -101,7 +101,7 @@
     void whatTwoSayOfAServerComesToTheModuleAndToOperators() throws Exception {
         try (DatagramSocket one = socket();
                 DatagramSocket two = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
             rig.upstream((m, line) -> {});
             rig.start();
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
@@ -111,8 +111,8 @@
                 byte[] word = said(s == one ? 1 : 2, "u0", 1);
                 s.send(new DatagramPacket(word, word.length, sidecar));
             }
-            assertEquals("verdict u0 SILENT true", rig.await("verdict u0 SILENT true"));
-            String verdicts = rig.call("verdicts");
+            assertEquals("verdict u0 SILENT true", rig.awaitEvent("verdict u0 SILENT true"));
+            String verdicts = rig.callAdmin("verdicts");
             assertTrue(
                     verdicts.startsWith(
                                     "ACK {\"self\":\"n0\",\"servers\":1,\"verdicts\":[{\"server\":\"u0\",\"kind\":\"silent\"")
@@ -124,56 +124,56 @@
     @Test
     void limitsAreTheConfigurationsAndTheOperators() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig(
+                SidecarRig rig = rig(
                                 "{\"members\":true,\"shared\":true,\"limits\":[{\"name\":\"some\","
                                         + "\"class\":\"c\",\"per_second\":40}]}",
                                 peer)
                         .start()) {
             assertEquals(
                     "share some 20.0",
-                    rig.await("share some 20.0"),
+                    rig.awaitEvent("share some 20.0"),
                     "its part, once the time of the process before is over");
-            assertEquals("ACK\n", rig.call("limit some class:c 10 in_flight"));
-            assertEquals("share some 5.0", rig.await("share some 5.0"));
-            assertTrue(rig.call("limits")
+            assertEquals("ACK\n", rig.callAdmin("limit some class:c 10 in_flight"));
+            assertEquals("share some 5.0", rig.awaitEvent("share some 5.0"));
+            assertTrue(rig.callAdmin("limits")
                     .contains("\"name\":\"some\",\"of\":\"class:c\",\"per\":\"in_flight\",\"most\":10.0"));
-            assertEquals("ACK\n", rig.call("unlimit some"));
-            assertEquals("share some 20.0", rig.await("share some 20.0"));
-            assertEquals("NAK no limit of this name was set by a call\n", rig.call("unlimit other"));
-            assertEquals("NAK no class 'x'\n", rig.call("limit some class:x 10 in_flight"));
-            assertEquals("NAK 'ten' is no number\n", rig.call("limit some all ten in_flight"));
+            assertEquals("ACK\n", rig.callAdmin("unlimit some"));
+            assertEquals("share some 20.0", rig.awaitEvent("share some 20.0"));
+            assertEquals("NAK no limit of this name was set by a call\n", rig.callAdmin("unlimit other"));
+            assertEquals("NAK no class 'x'\n", rig.callAdmin("limit some class:x 10 in_flight"));
+            assertEquals("NAK 'ten' is no number\n", rig.callAdmin("limit some all ten in_flight"));
             assertEquals(
-                    "NAK 'most' is not all, class:NAME or tenant:NAME\n", rig.call("limit some most 10 in_flight"));
-            assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.call("limit some all 10 a_day"));
-            assertEquals("NAK -1.0 is no limit\n", rig.call("limit some all -1 in_flight"));
-            assertEquals("NAK no such call\n", rig.call("limit some all 10"));
+                    "NAK 'most' is not all, class:NAME or tenant:NAME\n", rig.callAdmin("limit some most 10 in_flight"));
+            assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.callAdmin("limit some all 10 a_day"));
+            assertEquals("NAK -1.0 is no limit\n", rig.callAdmin("limit some all -1 in_flight"));
+            assertEquals("NAK no such call\n", rig.callAdmin("limit some all 10"));
         }
     }
 
     @Test
     void whatAReleaseOrdersComesToTheModuleAndAnOlderControllerIsRefused() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
             rig.upstream((m, line) -> {});
             rig.upstream((m, line) -> {});
             rig.start();
-            assertEquals("ACK\n", rig.call("order r1 2 0 on 0.25 0.05 ids=u1"));
-            assertEquals("weights {u1=0.25}", rig.await("weights"));
-            assertEquals("NAK epoch 2, step 0 is known\n", rig.call("order r1 1 9 on 1 0.05 ids=u1"));
+            assertEquals("ACK\n", rig.callAdmin("order r1 2 0 on 0.25 0.05 ids=u1"));
+            assertEquals("weights {u1=0.25}", rig.awaitEvent("weights"));
+            assertEquals("NAK epoch 2, step 0 is known\n", rig.callAdmin("order r1 1 9 on 1 0.05 ids=u1"));
             assertTrue(
-                    rig.call("orders")
+                    rig.callAdmin("orders")
                             .startsWith(
                                     "ACK {\"self\":\"n0\",\"orders\":[{\"release\":\"r1\",\"epoch\":2,\"step\":0,"
                                             + "\"state\":\"on\",\"weight\":0.25,\"safe\":0.05,\"whom\":\"ids=u1\",\"servers\":1}],\"weights\":{\"u1\":0.25}}"));
-            assertEquals("ACK\n", rig.call("order r1 2 1 done 1 0.05 ids=u1"));
+            assertEquals("ACK\n", rig.callAdmin("order r1 2 1 done 1 0.05 ids=u1"));
             String last;
             do {
-                last = rig.await("weights");
+                last = rig.awaitEvent("weights");
             } while (last.contains("u1"));
             assertEquals("weights {}", last);
-            assertTrue(rig.call("order r1 x 1 on 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 open 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 on 1 1 color=red").startsWith("NAK no order: 'color' is not"));
+            assertTrue(rig.callAdmin("order r1 x 1 on 1 1 ids=u1").startsWith("NAK no order: "));
+            assertTrue(rig.callAdmin("order r1 3 1 open 1 1 ids=u1").startsWith("NAK no order: "));
+            assertTrue(rig.callAdmin("order r1 3 1 on 1 1 color=red").startsWith("NAK no order: 'color' is not"));
         }
     }
 
@@ -182,10 +182,10 @@
         Path own = Files.createDirectories(kept.resolve("rushproxy-n0"));
         Files.write(own.resolve("known.bin"), Snapshot.bytes(new byte[] {4, 5}, System.currentTimeMillis() - 1_000));
         try (DatagramSocket peer = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
-            rig.kept = kept;
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
+            rig.stateDirectory = kept;
             rig.start();
-            assertEquals("know [4, 5]", rig.await("know"));
+            assertEquals("know [4, 5]", rig.awaitEvent("know"));
             // And leaves what it knows itself.
             byte[] before = Files.readAllBytes(own.resolve("known.bin"));
             while (java.util.Arrays.equals(before, Files.readAllBytes(own.resolve("known.bin")))) {
@@ -198,10 +198,10 @@
 
     @Test
     void withoutItNothingIsSentAndNoViewIsKept() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            assertEquals("NAK keeps no view of members\n", rig.call("members"));
-            assertEquals("NAK shares nothing\n", rig.call("verdicts"));
-            assertEquals("NAK shares nothing\n", rig.call("limit some all 10 in_flight"));
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            assertEquals("NAK keeps no view of members\n", rig.callAdmin("members"));
+            assertEquals("NAK shares nothing\n", rig.callAdmin("verdicts"));
+            assertEquals("NAK shares nothing\n", rig.callAdmin("limit some all 10 in_flight"));
         }
     }
 
@@ -209,11 +209,11 @@
     void aMistakeInItsTableNamesThePlace() {
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
-                        + "\"instances\":[]},\"settings\":" + Rig.SETTINGS + "}";
-        assertTrue(assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{\"memberz\":true}," + rest))
+                        + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
+        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{\"memberz\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.memberz' is unknown"));
-        assertTrue(assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{\"members\":true}," + rest))
+        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{\"members\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.members' needs 'peer_listen'"));
         for (String[] bad : new String[][] {
@@ -221,7 +221,7 @@
             {"\"limits\":[]", "'fleet.limits' needs 'fleet.shared'"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{" + bad[0] + "}," + rest))
+                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{" + bad[0] + "}," + rest))
                             .getMessage()
                             .contains(bad[1]),
                     bad[1]);
@@ -238,7 +238,7 @@
             {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is no name"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config(on.formatted(bad[0])))
+                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(on.formatted(bad[0])))
                             .getMessage()
                             .contains(bad[1]),
                     bad[1]);
--- a/src/test/java/rushproxy/sidecar/MovableTime.java
+++ b/src/test/java/rushproxy/sidecar/FreezableClock.java
@@ -13,46 +13,46 @@
  * The time of a clock and of the timers of loops. It runs until a test stops it; then it stands, however late the machine runs, and is
  * moved by the test.
  */
-final class MovableTime extends Clock implements Ticker {
-    private final long beganNanos = System.nanoTime();
-    private final long beganUs = System.currentTimeMillis() * 1_000;
+final class FreezableClock extends Clock implements Ticker {
+    private final long startNanos = System.nanoTime();
+    private final long startUnixUs = System.currentTimeMillis() * 1_000;
     /** By which it is behind the system's time while it runs. */
-    private long behindNanos;
+    private long lagNanos;
     /** When it was stopped, or where it was moved to since. */
-    private long standsAtNanos;
+    private long frozenAtNanos;
 
-    private boolean stands;
+    private boolean frozen;
 
     /** From now on it stands. */
-    synchronized void stop() {
-        standsAtNanos = nanoTime();
-        stands = true;
+    synchronized void freeze() {
+        frozenAtNanos = nanoTime();
+        frozen = true;
     }
 
     /** Timers that are due by then run. */
-    synchronized void move(long ms) {
-        standsAtNanos += TimeUnit.MILLISECONDS.toNanos(ms);
+    synchronized void advance(long ms) {
+        frozenAtNanos += TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
     /** It runs again, from where it stands. */
-    synchronized void goOn() {
-        behindNanos = System.nanoTime() - beganNanos - standsAtNanos;
-        stands = false;
+    synchronized void resume() {
+        lagNanos = System.nanoTime() - startNanos - frozenAtNanos;
+        frozen = false;
     }
 
     @Override
-    long now() {
-        return beganUs + nanoTime() / 1_000;
+    long nowUs() {
+        return startUnixUs + nanoTime() / 1_000;
     }
 
     @Override
     public synchronized long nanoTime() {
-        return stands ? standsAtNanos : System.nanoTime() - beganNanos - behindNanos;
+        return frozen ? frozenAtNanos : System.nanoTime() - startNanos - lagNanos;
     }
 
     @Override
     public long initialNanoTime() {
-        return beganNanos;
+        return startNanos;
     }
 
     @Override
@@ -61,7 +61,7 @@
     }
 
     /** One loop whose timers go by this time. */
-    EventLoopGroup loops(IoHandlerFactory handlers) {
+    EventLoopGroup eventLoopGroup(IoHandlerFactory handlers) {
         return new MultiThreadIoEventLoopGroup(1, handlers) {
             @Override
             protected IoEventLoop newChild(Executor executor, IoHandlerFactory factory, Object... none) {
@@ -77,13 +77,13 @@
 
         @Override
         public Ticker ticker() {
-            return MovableTime.this;
+            return FreezableClock.this;
         }
 
         /** Netty's selector asks by the system's time. */
         @Override
         protected long delayNanos(long systemNanos) {
-            return super.delayNanos(beganNanos + nanoTime());
+            return super.delayNanos(startNanos + nanoTime());
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/GuardedCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/GuardedCloseTest.java
@@ -14,11 +14,11 @@
 /** Whatever asks for a client's connection to be closed, what it carries gets an answer first. */
 @Timeout(60)
 class GuardedCloseTest {
-    private static ClientConnection only(Rig rig) {
+    private static ClientConnection only(SidecarRig rig) {
         return rig.sidecar.clients().connections().iterator().next();
     }
 
-    private static void awaitOpen(Rig rig) throws Exception {
+    private static void awaitOpen(SidecarRig rig) throws Exception {
         while (rig.sidecar.loop().submit(() -> rig.sidecar.clients().open()).get(20, TimeUnit.SECONDS) == 0) {
             Thread.onSpinWait();
         }
@@ -28,7 +28,7 @@
         void on(ClientConnection connection);
     }
 
-    private static void onLoop(Rig rig, Work work) throws Exception {
+    private static void onLoop(SidecarRig rig, Work work) throws Exception {
         rig.sidecar.loop().submit(() -> work.on(only(rig))).get(20, TimeUnit.SECONDS);
     }
 
@@ -36,11 +36,11 @@
     void aRequestInHandIsAnsweredBeforeItsConnectionCloses() throws Exception {
         for (CloseReason reason :
                 new CloseReason[] {CloseReason.ROOM_NEEDED, CloseReason.STOPPING, CloseReason.DRAINING}) {
-            try (Rig rig = new Rig()) {
+            try (SidecarRig rig = new SidecarRig()) {
                 rig.upstream((m, line) -> {});
                 rig.start();
-                try (Peer.Client client = rig.client().send(Rig.get("a1", 20_000))) {
-                    rig.await("request a1");
+                try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
+                    rig.awaitEvent("request a1");
                     onLoop(rig, connection -> connection.close(reason));
                     assertEquals(502, client.status(), reason.words());
                     assertEquals(
@@ -54,17 +54,17 @@
     /** The same where the connection, which has had an answer before, is to end in order. */
     @Test
     void aRequestInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {
                 if (m.header("X-Txn").equals("a0")) {
                     line.answer("200 OK", "", "fine");
                 }
             });
             rig.start();
-            try (Peer.Client client = rig.client().send(Rig.get("a0", 20_000))) {
+            try (Peer.Client client = rig.client().send(SidecarRig.get("a0", 20_000))) {
                 assertEquals(200, client.status());
-                client.send(Rig.get("a1", 20_000));
-                rig.await("request a1");
+                client.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("request a1");
                 onLoop(rig, connection -> connection.end(CloseReason.STOPPING));
                 assertEquals(502, client.status());
             }
@@ -73,7 +73,7 @@
 
     @Test
     void aNewConnectionIsNotClosedForOthers() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
             rig.start();
             try (Peer.Client client = rig.client()) {
@@ -86,7 +86,7 @@
                                 rig.sidecar.invariants().counts());
                     }
                 });
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals(200, client.status());
             }
         }
@@ -95,7 +95,7 @@
     /** Guards against keeping, and counting as a breach, a new connection whose output has ended, where its place is wanted. */
     @Test
     void aNewConnectionWhoseOutputHasEndedMakesRoom() throws Exception {
-        try (Rig rig = new Rig();
+        try (SidecarRig rig = new SidecarRig();
                 Peer.Client client = rig.start().client()) {
             client.send("no request\r\n\r\n");
             assertEquals(400, client.status());
@@ -111,7 +111,7 @@
     /** Guards against keeping a client that stopped within its request for longer, by the time that it waited to be accepted. */
     @Test
     void aClientThatStoppedInTheQueueIsWaitedForFromItsFirstBytes() throws Exception {
-        try (Rig rig = new Rig();
+        try (SidecarRig rig = new SidecarRig();
                 Peer.Client client = queuedHalfWay(rig.start())) {
             awaitOpen(rig);
             long patienceUs = 700_000;
@@ -121,23 +121,23 @@
                 young = rig.sidecar.loop().submit(() -> only(rig).isYoung()).get(20, TimeUnit.SECONDS);
             }
             onLoop(rig, connection -> {
-                connection.closeIfUnfinished(new Clock().now(), patienceUs, patienceUs);
+                connection.closeIfUnfinished(new Clock().nowUs(), patienceUs, patienceUs);
                 assertEquals(0, rig.sidecar.clients().open());
             });
         }
     }
 
     /** Its first bytes have lain in the kernel for 0.6 s when it is accepted. */
-    private static Peer.Client queuedHalfWay(Rig rig) throws Exception {
+    private static Peer.Client queuedHalfWay(SidecarRig rig) throws Exception {
         Peer.Client[] client = new Peer.Client[1];
-        rig.holdUp(600, () -> client[0] = rig.client().send("GET /api/slots HTTP/1.1\r\nX-Txn: "));
+        rig.stallLoop(600, () -> client[0] = rig.client().send("GET /api/slots HTTP/1.1\r\nX-Txn: "));
         return client[0];
     }
 
     /** Until the end of a drain is due; from then on none may be idle. */
     @Test
     void aNewConnectionIsSparedUntilADrainIsDue() throws Exception {
-        try (Rig rig = new Rig();
+        try (SidecarRig rig = new SidecarRig();
                 Peer.Client client = rig.start().client()) {
             awaitOpen(rig);
             onLoop(rig, connection -> {
@@ -152,11 +152,11 @@
     /** A fault of this program, or want of memory, in a handler. */
     @Test
     void aHandlerThatThrowsLosesNoRequest() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
-            try (Peer.Client whole = rig.client().send(Rig.get("a1", 20_000))) {
-                rig.await("request a1");
+            try (Peer.Client whole = rig.client().send(SidecarRig.get("a1", 20_000))) {
+                rig.awaitEvent("request a1");
                 onLoop(
                         rig,
                         connection -> connection
@@ -166,7 +166,7 @@
                 assertEquals(502, whole.status(), "a request in hand");
             }
         }
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
             try (Peer.Client half = rig.client()
@@ -193,17 +193,17 @@
     /** Its client's end could not be seen: no attempt may begin any more, and without one it is refused. */
     @Test
     void whatCanNotBeReadForLongIsRefusedIfNothingWasSent() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> {};
             rig.start();
-            try (Peer.Client client = rig.client().send(Rig.get("a1", 20_000))) {
-                rig.await("request a1");
+            try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
+                rig.awaitEvent("request a1");
                 onLoop(
                         rig,
                         connection -> connection
                                 .channel()
                                 .pipeline()
-                                .fireUserEventTriggered(TcpConnection.ReadsFail.FOR_LONG));
+                                .fireUserEventTriggered(TcpConnection.ReadFailure.FOR_LONG));
                 assertEquals(503, client.status());
             }
         }
@@ -212,18 +212,18 @@
     /** It has been quiet for long, and its request lies in the socket: it is read before it could be closed. */
     @Test
     void whatLiesUnreadOnAQuietConnectionIsReadBeforeItCloses() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
             rig.start();
-            try (Peer.Client client = rig.client().send(Rig.get("a1", 20_000))) {
+            try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
                 assertEquals(200, client.status());
-                rig.holdUp(20, () -> {
+                rig.stallLoop(20, () -> {
                     // Runs before the loop's next look at its sockets.
                     rig.sidecar.loop().execute(() -> {
                         boolean closed = only(rig).closeUnlessItBrings(CloseReason.ROOM_NEEDED);
                         assertNotEquals(true, closed);
                     });
-                    client.send(Rig.get("a2", 20_000));
+                    client.send(SidecarRig.get("a2", 20_000));
                 });
                 assertEquals(200, client.status());
                 assertTrue(rig.sidecar.invariants().counts().isEmpty());
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -31,15 +31,15 @@
     private final List<Peer.Client> clients = new ArrayList<>();
 
     /** By the kernel: how long the thread has run, and how often it has waited. */
-    private record Figures(long ranMs, long waits) {
-        static Figures of(Path thread) throws Exception {
-            long ranMs = ThreadFigures.parse(Files.readString(thread.resolve("schedstat")))
-                    .ranMs();
+    private record ThreadStats(long ranMs, long waits) {
+        static ThreadStats of(Path thread) throws Exception {
+            long ranMs = ThreadSchedStats.parse(Files.readString(thread.resolve("schedstat")))
+                    .cpuMs();
             String waits = Files.readAllLines(thread.resolve("status")).stream()
                     .filter(line -> line.startsWith("voluntary_ctxt_switches"))
                     .findFirst()
                     .orElseThrow();
-            return new Figures(ranMs, Long.parseLong(waits.replaceAll("\\D", "")));
+            return new ThreadStats(ranMs, Long.parseLong(waits.replaceAll("\\D", "")));
         }
     }
 
@@ -88,22 +88,22 @@
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
         SystemFaults faults = SystemFaults.with(library.get(), folder.resolve("control"), 7);
-        try (StandIns standIns = new StandIns()) {
-            standIns.servers(2, (message, line) -> {});
+        try (FakeServices standIns = new FakeServices()) {
+            standIns.addServers(2, (message, line) -> {});
             SidecarProcess sidecar = standIns.start(folder, faults.environment());
             clientsThatDoNothingGood(sidecar);
             faults.set(call, 1);
             clientsThatDoNothingGood(sidecar);
             Thread.sleep(SETTLED_MS);
             Path loop = loopOf(sidecar);
-            Figures before = Figures.of(loop);
+            ThreadStats before = ThreadStats.of(loop);
             Thread.sleep(LOOKED_AT_MS);
-            Figures after = Figures.of(loop);
+            ThreadStats after = ThreadStats.of(loop);
             long ranMs = after.ranMs - before.ranMs;
             long waits = after.waits - before.waits;
             // Its heartbeat alone is a wait in each of these.
             assertTrue(
-                    ranMs * 1000 <= waits * LoopDelay.BEAT_US,
+                    ranMs * 1000 <= waits * EventLoopDelay.HEARTBEAT_INTERVAL_US,
                     () -> call + ": it ran for " + ranMs + " ms and waited " + waits + " times");
         } finally {
             for (Peer.Client client : clients) {
--- a/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
@@ -21,18 +21,18 @@
     private static final String LONG = "x".repeat(60_000);
 
     /** A client whose kernel takes little, and which has been answered at length without reading any of it. */
-    private static Peer.Client slow(Rig rig, String request) throws Exception {
+    private static Peer.Client slow(SidecarRig rig, String request) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2_048);
         socket.connect(rig.address());
         Peer.Client client = new Peer.Client(socket);
         client.send(request);
-        rig.await("outcome");
+        rig.awaitEvent("outcome");
         return client;
     }
 
-    private static Rig rig() throws Exception {
-        Rig rig = new Rig();
+    private static SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig();
         rig.upstream((m, line) -> line.answer("200 OK", "", LONG));
         return rig;
     }
@@ -44,25 +44,25 @@
     }
 
     private static String lastRequest(String id) {
-        return Rig.get(id, 20_000).replace("Host: a\r\n", "Host: a\r\nConnection: close\r\n");
+        return SidecarRig.get(id, 20_000).replace("Host: a\r\n", "Host: a\r\nConnection: close\r\n");
     }
 
     @Test
     void afterItsLastAnswerAClientThatSendsOnStillReadsAll() throws Exception {
-        try (Rig rig = rig().start();
+        try (SidecarRig rig = rig().start();
                 Peer.Client client = slow(rig, lastRequest("a1"))) {
-            client.send(Rig.get("a2", 20_000));
+            client.send(SidecarRig.get("a2", 20_000));
             Thread.sleep(200);
             assertWhole(client);
             assertNull(client.answer());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request a2")), "read after the end and taken");
+            assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request a2")), "read after the end and taken");
         }
     }
 
     /** The bytes may come after the socket's end as well, while the answer is still on its way. */
     @Test
     void bytesThatComeAfterTheEndDoNotCutTheAnswerOff() throws Exception {
-        try (Rig rig = rig().start();
+        try (SidecarRig rig = rig().start();
                 Peer.Client client = slow(rig, lastRequest("a1"))) {
             for (int i = 0; i < 5; i++) {
                 Thread.sleep(40);
@@ -75,8 +75,8 @@
 
     @Test
     void afterBadInputTheAnswerBeforeIsStillRead() throws Exception {
-        try (Rig rig = rig().start();
-                Peer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+        try (SidecarRig rig = rig().start();
+                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
             client.send("RUBBISH\r\n\r\n");
             Thread.sleep(100);
             client.send("RUBBISH\r\n\r\n");
@@ -89,12 +89,12 @@
 
     @Test
     void whoGivesUpItsPlaceStillReadsAll() throws Exception {
-        Rig rig = rig();
-        rig.sockets = 100;
+        SidecarRig rig = rig();
+        rig.maxSockets = 100;
         List<Peer.Client> crowd = new ArrayList<>();
         try (rig) {
             rig.start();
-            try (Peer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+            try (Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
                 for (int i = 0; i < 40; i++) {
                     crowd.add(rig.client());
                 }
@@ -110,8 +110,8 @@
 
     @Test
     void atTheStopWhatCrossesTheCloseDoesNotCutTheAnswerOff() throws Exception {
-        try (Rig rig = rig().start();
-                Peer.Client client = slow(rig, Rig.get("a1", 20_000))) {
+        try (SidecarRig rig = rig().start();
+                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
             // Quiet connections are closed from 0.8 s on, 0.7 s before the end that is not asked for.
@@ -127,9 +127,9 @@
 
     @Test
     void inADrainToo() throws Exception {
-        try (Rig rig = rig().withAdmin().start();
-                Peer.Client client = slow(rig, Rig.get("a1", 20_000))) {
-            assertEquals("ACK", rig.call("quiesce").substring(0, 3));
+        try (SidecarRig rig = rig().withAdmin().start();
+                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+            assertEquals("ACK", rig.callAdmin("quiesce").substring(0, 3));
             // What has been quiet for half a second is closed from 0.6 s on.
             Thread.sleep(800);
             client.send("GET /api");
@@ -143,7 +143,7 @@
     /** Its end is not waited for without a bound. */
     @Test
     void aClientThatNeverEndsItsSideIsClosed() throws Exception {
-        try (Rig rig = rig().start();
+        try (SidecarRig rig = rig().start();
                 Peer.Client client = rig.client()) {
             client.send(lastRequest("a1"));
             assertWhole(client);
@@ -160,14 +160,14 @@
     /** Half of it is in the sidecar when its upstream breaks off: the client sees all that came, and then its end. */
     @Test
     void whatCameOfABrokenAnswerIsSeenAndThenItsEnd() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "y".repeat(100_000));
                 line.socket().close();
             });
             rig.start();
-            try (Peer.Client client = slow(rig, Rig.get("a1", 20_000))) {
-                client.send(Rig.get("a2", 20_000));
+            try (Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+                client.send(SidecarRig.get("a2", 20_000));
                 Thread.sleep(100);
                 String all = client.rest();
                 assertTrue(all.startsWith("HTTP/1.1 200 OK"), all.substring(0, 20));
--- a/src/test/java/rushproxy/sidecar/HandOverTest.java
+++ b/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
@@ -21,14 +21,14 @@
 
 /** A second process takes clients from the socket that both have, and the first leaves without losing one. */
 @Timeout(60)
-class HandOverTest {
+class ListenerHandoverTest {
     private static ServerSocketChannel socket() throws Exception {
         return ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
     }
 
-    private static Rig rig(ServerSocketChannel socket) throws Exception {
-        Rig rig = new Rig().withAdmin();
-        rig.inherited = socket;
+    private static SidecarRig rig(ServerSocketChannel socket) throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
+        rig.inheritedListener = socket;
         rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
         return rig;
     }
@@ -36,13 +36,13 @@
     @Test
     void theOldLeavesTheListenerOpenAndClosesWhatIsQuiet() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket);
-                Rig fresh = rig(socket)) {
+                SidecarRig old = rig(socket);
+                SidecarRig fresh = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
             old.start();
             old.sidecar.warmUp();
             Peer.Client idle = new Peer.Client(address);
-            idle.send(Rig.get("a1", 20_000));
+            idle.send(SidecarRig.get("a1", 20_000));
             assertEquals("a1", idle.answer().body());
             fresh.start();
             fresh.sidecar.warmUp();
@@ -53,28 +53,28 @@
             assertTrue(socket.isOpen());
             for (int i = 0; i < 20; i++) {
                 try (Peer.Client c = new Peer.Client(address)) {
-                    c.send(Rig.get("n" + i, 20_000));
+                    c.send(SidecarRig.get("n" + i, 20_000));
                     assertEquals("n" + i, c.answer().body());
                 }
             }
-            assertTrue(old.told.stream().noneMatch(t -> t.startsWith("request n")), "the old one still took clients");
+            assertTrue(old.events.stream().noneMatch(t -> t.startsWith("request n")), "the old one still took clients");
         }
     }
 
     private static String served(InetSocketAddress address, String id) throws Exception {
         try (Peer.Client c = new Peer.Client(address)) {
-            Peer.Message answer = c.send(Rig.get(id, 20_000)).answer();
+            Peer.Message answer = c.send(SidecarRig.get(id, 20_000)).answer();
             return answer == null ? "no answer" : answer.body();
         }
     }
 
     /** Plays a stop of the old process, which is ready and alone unless {@code meanwhile} starts another, under clients that come for 0.4 s. */
-    private static void everybodyIsServedWhoComes(Rig old, ServerSocketChannel socket, Rig.Meanwhile meanwhile)
+    private static void everybodyIsServedWhoComes(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action meanwhile)
             throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
         old.start();
         old.sidecar.warmUp();
-        meanwhile.happens();
+        meanwhile.run();
         CountDownLatch stopped = new CountDownLatch(1);
         old.sidecar.stop(stopped::countDown);
         for (int i = 0; i < 8; i++) {
@@ -89,7 +89,7 @@
     @Test
     void whoComesAfterTheStopIsServedWhereThereIsNoSuccessor() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket)) {
+                SidecarRig old = rig(socket)) {
             everybodyIsServedWhoComes(old, socket, () -> {});
         }
     }
@@ -98,8 +98,8 @@
     @Test
     void whoComesAfterTheStopIsServedWhileTheSuccessorStarts() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket);
-                Rig fresh = rig(socket)) {
+                SidecarRig old = rig(socket);
+                SidecarRig fresh = rig(socket)) {
             everybodyIsServedWhoComes(old, socket, fresh::start);
         }
     }
@@ -108,11 +108,11 @@
     @Test
     void whoComesAfterTheStopIsServedWhereTheSuccessorWasKilledWhileItStarted() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket);
-                Rig fresh = rig(socket)) {
+                SidecarRig old = rig(socket);
+                SidecarRig fresh = rig(socket)) {
             everybodyIsServedWhoComes(old, socket, () -> {
                 fresh.start();
-                fresh.sidecar.end();
+                fresh.sidecar.shutdownNow();
             });
         }
     }
@@ -121,8 +121,8 @@
     @Test
     void whoComesAfterTheStopIsServedByOneOfTheTwo() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket);
-                Rig fresh = rig(socket)) {
+                SidecarRig old = rig(socket);
+                SidecarRig fresh = rig(socket)) {
             everybodyIsServedWhoComes(old, socket, () -> {
                 fresh.start();
                 fresh.sidecar.warmUp();
@@ -134,7 +134,7 @@
     @Test
     void askedTwiceToLeaveItTakesClientsAllTheSame() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket)) {
+                SidecarRig old = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
             old.start();
             old.sidecar.warmUp();
@@ -153,11 +153,11 @@
     @Test
     void whoFoundNoPlaceIsTakenAfterTheStopOnceThereIsOne() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = new Rig().withAdmin()) {
+                SidecarRig old = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
-            old.inherited = socket;
-            old.sockets = 48 + 2 * 16;
-            old.settings = Rig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
+            old.inheritedListener = socket;
+            old.maxSockets = 48 + 2 * 16;
+            old.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
             old.upstream((m, line) -> {
                 try {
                     answer.await();
@@ -171,9 +171,9 @@
             old.sidecar.warmUp();
             List<Peer.Client> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                clients.add(new Peer.Client(address).send(Rig.get("c" + i, 20_000)));
+                clients.add(new Peer.Client(address).send(SidecarRig.get("c" + i, 20_000)));
             }
-            old.await("request c0");
+            old.awaitEvent("request c0");
             CountDownLatch stopped = new CountDownLatch(1);
             old.sidecar.stop(stopped::countDown);
             answer.countDown();
@@ -189,7 +189,7 @@
     @Test
     void aCrowdKeepsNobodyFromBeingServedAfterTheStop() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket)) {
+                SidecarRig old = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
             old.start();
             old.sidecar.warmUp();
@@ -213,7 +213,7 @@
     }
 
     /** Stops the old process and lets a client come, behind whose back the time passes at which the process would leave. */
-    private static void theLastIsServed(Rig old, ServerSocketChannel socket, Rig.Meanwhile before) throws Exception {
+    private static void theLastIsServed(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action before) throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
         old.start();
         old.sidecar.warmUp();
@@ -221,18 +221,18 @@
         while (old.sidecar.loop().submit(old.sidecar.clients()::open).get() > 0) {
             Thread.sleep(1);
         }
-        old.time.stop();
-        before.happens();
+        old.clock.freeze();
+        before.run();
         CountDownLatch stopped = new CountDownLatch(1);
         List<Peer.Client> last = new ArrayList<>();
-        old.holdUp(() -> {
+        old.stallLoop(() -> {
             // Behind the hold-up, and so before the next look at the sockets.
             old.sidecar.stop(stopped::countDown);
-            last.add(new Peer.Client(address).send(Rig.get("last", 20_000)));
-            old.time.move(700);
+            last.add(new Peer.Client(address).send(SidecarRig.get("last", 20_000)));
+            old.clock.advance(700);
         });
         assertEquals("last", last.get(0).answer().body());
-        old.time.goOn();
+        old.clock.resume();
         assertTrue(stopped.await(20, TimeUnit.SECONDS));
         last.get(0).close();
     }
@@ -241,7 +241,7 @@
     @Test
     void whoComesInTheLastMomentBeforeTheEndIsServed() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket)) {
+                SidecarRig old = rig(socket)) {
             theLastIsServed(old, socket, () -> {});
         }
     }
@@ -250,7 +250,7 @@
     @Test
     void whoLiesBehindAWithdrawnRegistrationAtTheEndIsServed() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket)) {
+                SidecarRig old = rig(socket)) {
             theLastIsServed(
                     old,
                     socket,
@@ -265,8 +265,8 @@
     @Test
     void whoComesAfterTheEndIsServedByTheNextProcess() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig old = rig(socket);
-                Rig next = rig(socket)) {
+                SidecarRig old = rig(socket);
+                SidecarRig next = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
             old.start();
             old.sidecar.warmUp();
@@ -274,7 +274,7 @@
             old.sidecar.stop(stopped::countDown);
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
             try (Peer.Client waits = new Peer.Client(address)) {
-                waits.send(Rig.get("waits", 20_000));
+                waits.send(SidecarRig.get("waits", 20_000));
                 next.start();
                 next.sidecar.warmUp();
                 assertEquals("waits", waits.answer().body());
@@ -286,7 +286,7 @@
     @Test
     void aWarmUpKeepsOffTheSharedSocket() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig rig = rig(socket)) {
+                SidecarRig rig = rig(socket)) {
             socket.configureBlocking(false);
             AtomicInteger came = new AtomicInteger();
             AtomicBoolean over = new AtomicBoolean();
@@ -315,7 +315,7 @@
     @Test
     void healthSaysNoUntilTheSharedSocketIsTaken() throws Exception {
         try (ServerSocketChannel socket = socket();
-                Rig rig = rig(socket)) {
+                SidecarRig rig = rig(socket)) {
             rig.start();
             Thread warmUp = new Thread(() -> {
                 try {
@@ -325,11 +325,11 @@
                 }
             });
             warmUp.start();
-            while (rig.call("health").startsWith("NAK")) {
+            while (rig.callAdmin("health").startsWith("NAK")) {
                 Thread.sleep(1);
             }
             try (Peer.Client c = new Peer.Client((InetSocketAddress) socket.getLocalAddress())) {
-                c.send(Rig.get("a1", 20_000));
+                c.send(SidecarRig.get("a1", 20_000));
                 assertEquals("a1", c.answer().body());
             }
             warmUp.join();
@@ -340,12 +340,12 @@
     void theAddressOfThePeersIsNoObstacle() throws Exception {
         try (DatagramSocket probe = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + probe.getLocalPort();
-            try (Rig held = rig(null)) {
+            try (SidecarRig held = rig(null)) {
                 // Held by one that does not share: the start does not wait for it.
                 held.peerFields = "\"peer_listen\":\"" + address + "\",\"peers\":[\"" + address + "\"],";
                 held.start();
                 try (Peer.Client c = held.client()) {
-                    c.send(Rig.get("a1", 20_000));
+                    c.send(SidecarRig.get("a1", 20_000));
                     assertEquals("a1", c.answer().body());
                 }
             }
@@ -355,7 +355,7 @@
     @Test
     void anotherDescriptorIsABrokenConfiguration() {
         assertThrows(
-                Config.Broken.class,
+                Config.InvalidConfigException.class,
                 () -> Config.read(
                         java.util.Map.of("BALANCER_CONFIG", "deploy/rehearsal.json", "BALANCER_ACCEPT_FD", "7")));
     }
--- a/src/test/java/rushproxy/sidecar/LogTest.java
+++ b/src/test/java/rushproxy/sidecar/LogTest.java
@@ -14,29 +14,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import rushproxy.sidecar.Log.Form;
+import rushproxy.sidecar.Log.Format;
 import rushproxy.sidecar.Log.Level;
 
 class LogTest {
-    private static String written(Form form, String text, Object... fields) {
-        return Log.format(new Log.Style(form, Level.INFO, "n\"3"), 1_700_000_000_123L, Level.WARN, text, fields);
+    private static String written(Format form, String text, Object... fields) {
+        return Log.format(new Log.Options(form, Level.INFO, "n\"3"), 1_700_000_000_123L, Level.WARN, text, fields);
     }
 
     @Test
     void thePlainFormIsTheWords() throws Exception {
-        assertEquals("rushproxy: it is late\n", written(Form.PLAIN, "it is late", "late_ms", 5));
+        assertEquals("rushproxy: it is late\n", written(Format.PLAIN, "it is late", "late_ms", 5));
     }
 
     @Test
     void theTextFormHasTimeLevelNodeAndFields() throws Exception {
         assertEquals(
                 "2023-11-14T22:13:20.123Z WARN n\"3 it is late late_ms=5 why=\"a \\\"pause\\\"\"\n",
-                written(Form.TEXT, "it is\nlate", "late_ms", 5, "why", "a \"pause\""));
+                written(Format.TEXT, "it is\nlate", "late_ms", 5, "why", "a \"pause\""));
     }
 
     @Test
     void theJsonFormIsOneObjectALine() throws Exception {
-        String line = written(Form.JSON, "a \\ and\n\u0001 \"b\"", "n", 5, "x", 0.5, "nan", Double.NaN, "s", "t\tu");
+        String line = written(Format.JSON, "a \\ and\n\u0001 \"b\"", "n", 5, "x", 0.5, "nan", Double.NaN, "s", "t\tu");
         assertEquals(1, line.lines().count());
         Map<String, Object> read = JSON.std.mapFrom(line);
         assertEquals("n\"3", read.get("node"));
@@ -53,15 +53,15 @@
     void theEnvironmentsLevelGoesFirst() throws Exception {
         String json =
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,"
-                        + "\"reset\":true,\"instances\":[]},\"log\":{\"level\":\"warn\"},\"settings\":" + Rig.SETTINGS
+                        + "\"reset\":true,\"instances\":[]},\"log\":{\"level\":\"warn\"},\"settings\":" + SidecarRig.SETTINGS
                         + "}";
         assertEquals(
                 Level.DEBUG,
-                Rig.config(json, Map.of("BALANCER_LOG_LEVEL", "debug")).log().least());
+                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "debug")).logOptions().minLevel());
         assertEquals(
                 Level.WARN,
-                Rig.config(json, Map.of("BALANCER_LOG_LEVEL", "")).log().least());
-        assertTrue(assertThrows(Config.Broken.class, () -> Rig.config(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
+                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "")).logOptions().minLevel());
+        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
                 .getMessage()
                 .contains("BALANCER_LOG_LEVEL"));
     }
@@ -70,15 +70,15 @@
     void itsTableIsReadStrictly() throws Exception {
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
-                        + "\"instances\":[]},\"settings\":" + Rig.SETTINGS + "}";
+                        + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
         assertEquals(
-                new Log.Style(Form.JSON, Level.WARN, "n7"),
-                Rig.config("{\"name\":\"n7\",\"log\":{\"form\":\"json\",\"level\":\"warn\"}," + rest)
-                        .log());
-        assertEquals(Form.PLAIN, Rig.config("{" + rest).log().form());
+                new Log.Options(Format.JSON, Level.WARN, "n7"),
+                SidecarRig.config("{\"name\":\"n7\",\"log\":{\"form\":\"json\",\"level\":\"warn\"}," + rest)
+                        .logOptions());
+        assertEquals(Format.PLAIN, SidecarRig.config("{" + rest).logOptions().format());
         for (String bad : new String[] {"{\"form\":\"xml\"}", "{\"level\":\"loud\"}", "{\"file\":\"x\"}"}) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config("{\"log\":" + bad + "," + rest))
+                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"log\":" + bad + "," + rest))
                             .getMessage()
                             .contains("'log."),
                     bad);
@@ -90,7 +90,7 @@
     void aLogThatLostALineGoesOn() throws Exception {
         AtomicInteger fails = new AtomicInteger(2);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        LogWriter writer = new LogWriter(new PrintStream(OutputStream.nullOutputStream()) {
+        AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(OutputStream.nullOutputStream()) {
             @Override
             public void write(byte[] bytes, int from, int length) {
                 if (fails.getAndDecrement() > 0) {
--- a/src/test/java/rushproxy/sidecar/NativePartIT.java
+++ b/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
@@ -10,7 +10,7 @@
 
 /** A real sidecar whose native library can't be had. */
 @Timeout(60)
-class NativePartIT {
+class MissingNativeLibraryIT {
     @TempDir
     Path folder;
 
@@ -20,8 +20,8 @@
         // These come after those of the command line. Below a file no folder can be made to unpack the library to.
         String options =
                 "-Djava.library.path=" + folder + " -Dio.netty.native.workdir=" + folder.resolve("config.json/none");
-        try (StandIns standIns = new StandIns()) {
-            standIns.servers(1, (message, line) -> line.answer("200 OK", "", "served"));
+        try (FakeServices standIns = new FakeServices()) {
+            standIns.addServers(1, (message, line) -> line.answer("200 OK", "", "served"));
             SidecarProcess sidecar = standIns.start(folder, Map.of("_JAVA_OPTIONS", options));
             try (Peer.Client client = sidecar.client()) {
                 client.send(SidecarProcess.get("a", "safe", 800));
--- a/src/test/java/rushproxy/sidecar/OutcomesTest.java
+++ b/src/test/java/rushproxy/sidecar/OutcomesTest.java
@@ -12,12 +12,12 @@
 @Timeout(60)
 class OutcomesTest {
     private static void outcome(String expected, int status, Peer.Script script) throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream(script);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 " + expected, rig.await("outcome"));
+                client.send(SidecarRig.get("a1", 20_000));
+                assertEquals("outcome a1 0 " + expected, rig.awaitEvent("outcome"));
                 assertEquals(status, client.status());
             }
         }
@@ -74,12 +74,12 @@
 
     @Test
     void aRefusedConnectionCouldNotConnect() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {}).close();
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome"));
+                client.send(SidecarRig.get("a1", 20_000));
+                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.awaitEvent("outcome"));
             }
         }
     }
@@ -87,18 +87,18 @@
     /** A late answer to a call given up must find nobody, so the connection may not be used again. */
     @Test
     void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
+                client.send(SidecarRig.get("a1", 20_000));
+                assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome"));
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
                 up.script = (m, line) -> line.answer("200 OK", "", "fresh");
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
-                client.send(Rig.get("a2", 20_000));
+                client.send(SidecarRig.get("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
                 assertNotNull(up.accepted.poll(20, TimeUnit.SECONDS));
             }
@@ -107,7 +107,7 @@
 
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
@@ -115,8 +115,8 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 CANCELLED false -", rig.await("outcome"));
+                client.send(SidecarRig.get("a1", 20_000));
+                assertEquals("outcome a1 0 CANCELLED false -", rig.awaitEvent("outcome"));
             }
         }
     }
@@ -124,18 +124,18 @@
     /** No library and no pool may send a request again by itself: the stale connection's end is an outcome. */
     @Test
     void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals(200, client.status());
-                rig.await("outcome a1");
+                rig.awaitEvent("outcome a1");
                 // Before it has rested another one is opened.
                 Thread.sleep(2 * Upstreams.REST_US / 1000);
                 up.script = (m, line) -> line.reset();
-                client.send(Rig.get("a2", 20_000));
-                assertEquals("outcome a2 0 RESET false -", rig.await("outcome"));
+                client.send(SidecarRig.get("a2", 20_000));
+                assertEquals("outcome a2 0 RESET false -", rig.awaitEvent("outcome"));
                 assertEquals(502, client.status());
                 assertEquals(2, up.messages.size());
                 assertEquals(1, up.accepted.size(), "the second call did not use the idle connection");
@@ -146,12 +146,12 @@
     /** Where an upstream says that it closes, a call written to that connection would end as a reset. */
     @Test
     void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 for (String id : new String[] {"a1", "a2"}) {
-                    client.send(Rig.get(id, 20_000));
+                    client.send(SidecarRig.get(id, 20_000));
                     assertEquals(200, client.status());
                 }
                 assertEquals(2, up.accepted.size());
@@ -161,7 +161,7 @@
 
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
             rig.start();
             try (Peer.Client client = rig.client()) {
@@ -248,7 +248,7 @@
     }
 
     private static void nextRequestGetsItsOwnAnswer(Peer.Script script) throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream(new Peer.Script() {
                 private java.net.Socket first;
 
@@ -275,9 +275,9 @@
             rig.start();
             try (Peer.Client one = rig.client();
                     Peer.Client two = rig.client()) {
-                one.send(Rig.get("a1", 20_000));
-                rig.await("request a1");
-                two.send(Rig.get("a2", 20_000));
+                one.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("request a1");
+                two.send(SidecarRig.get("a2", 20_000));
                 assertEquals("a1", one.answer().body());
                 assertEquals("a2", two.answer().body());
             }
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -27,7 +27,7 @@
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
-                Rig rig = new Rig()) {
+                SidecarRig rig = new SidecarRig()) {
             rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
             rig.onRequest = (now, r, out) -> {
@@ -40,7 +40,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals(502, client.status());
             }
             DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
@@ -58,8 +58,8 @@
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
-            assertEquals("peer 1 0", rig.await("peer"));
-            assertEquals("peer 1 256", rig.await("peer"));
+            assertEquals("peer 1 0", rig.awaitEvent("peer"));
+            assertEquals("peer 1 256", rig.awaitEvent("peer"));
         }
     }
 
--- a/src/test/java/rushproxy/sidecar/RecurringTest.java
+++ b/src/test/java/rushproxy/sidecar/PeriodicTaskTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class RecurringTest {
+class PeriodicTaskTest {
     /** The beat that ends tells of an ever later loop, by which every request is out of time. */
     @Test
     void oneTimeThatFailsIsFollowedByTheNext() throws Exception {
@@ -21,7 +21,7 @@
             EventLoop loop = group.next();
             AtomicInteger times = new AtomicInteger();
             CountDownLatch third = new CountDownLatch(3);
-            Recurring.every(loop, 1, () -> {
+            PeriodicTask.scheduleEvery(loop, 1, () -> {
                 third.countDown();
                 switch (times.incrementAndGet()) {
                     case 1 -> throw new NoClassDefFoundError("as the test wants");
--- a/src/test/java/rushproxy/sidecar/HoldUpIT.java
+++ b/src/test/java/rushproxy/sidecar/ProcessStallIT.java
@@ -22,7 +22,7 @@
  * NOT_SENT=14}} within 5 s, the servers had accepted every connection.
  */
 @Timeout(120)
-class HoldUpIT {
+class ProcessStallIT {
     private static final int SERVERS = 4;
     private static final int HOLD_UPS = 12;
     private static final long HOLD_UP_MS = 900;
@@ -36,13 +36,13 @@
 
     private final List<String> failed = new ArrayList<>();
     private final AtomicBoolean over = new AtomicBoolean();
-    private StandIns standIns;
+    private FakeServices standIns;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void start() throws Exception {
-        standIns = new StandIns();
-        standIns.servers(SERVERS, (m, line) -> {
+        standIns = new FakeServices();
+        standIns.addServers(SERVERS, (m, line) -> {
             line.answer("200 OK", "Connection: close\r\n", m.header("X-Txn"));
             line.socket().close();
         });
--- a/src/test/java/rushproxy/sidecar/RequestGuardTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestGuardTest.java
@@ -47,17 +47,17 @@
                 "/api",
                 null,
                 body,
-                clock.now(),
+                clock.nowUs(),
                 2 * SECOND_US,
-                clock.now() + SECOND_US,
+                clock.nowUs() + SECOND_US,
                 new NoAnswer(),
                 new RequestTimes(0, 0, 0, 0, 0));
     }
 
     private UpstreamCall attempt(Exchange x) {
         UpstreamCall call = new UpstreamCall(
-                "u", clock.now() + SECOND_US, false, left -> null, null, (c, outcome, report, body) -> {});
-        call.sentAt(new RunningTime.Mark(clock.now(), 0));
+                "u", clock.nowUs() + SECOND_US, false, left -> null, null, (c, outcome, report, body) -> {});
+        call.sentAt(new StallAwareClock.Timestamp(clock.nowUs(), 0));
         x.attempts.add(call);
         return call;
     }
@@ -119,7 +119,7 @@
         x.unwatched = true;
         assertEquals("the client can't be watched", guard.whyNotSend(x, call));
         x.unwatched = false;
-        UpstreamCall late = new UpstreamCall("u", clock.now() - 1, false, left -> null, null, (c, o, r, b) -> {});
+        UpstreamCall late = new UpstreamCall("u", clock.nowUs() - 1, false, left -> null, null, (c, o, r, b) -> {});
         assertEquals("no time left", guard.whyNotSend(x, late));
         assertEquals(0, invariants.total(), "these are ordinary");
     }
@@ -151,7 +151,7 @@
         Exchange x = exchange("keyed");
         UpstreamCall earlier = begun(x);
         assertNull(guard.whyNotSend(x, attempt(x)));
-        earlier.sentAt(new RunningTime.Mark(clock.now() - 11 * SECOND_US, 0));
+        earlier.sentAt(new StallAwareClock.Timestamp(clock.nowUs() - 11 * SECOND_US, 0));
         assertEquals("it may have run", guard.whyNotSend(x, attempt(x)));
     }
 
@@ -168,11 +168,11 @@
     @Test
     void anUpstreamIsNeverToldMoreThanTheClientHasLeft() {
         Exchange x = exchange("safe");
-        long untilUs = clock.now() + SECOND_US;
+        long untilUs = clock.nowUs() + SECOND_US;
         long toldUs = guard.tellUs(x, untilUs);
-        assertTrue(toldUs <= SECOND_US && toldUs >= untilUs - clock.now(), toldUs + " us");
+        assertTrue(toldUs <= SECOND_US && toldUs >= untilUs - clock.nowUs(), toldUs + " us");
         assertEquals(Map.of(), invariants.counts());
-        assertTrue(guard.tellUs(x, clock.now() + 3 * SECOND_US) <= 2 * SECOND_US);
+        assertTrue(guard.tellUs(x, clock.nowUs() + 3 * SECOND_US) <= 2 * SECOND_US);
         assertEquals(Map.of(Breach.TOLD_TOO_MUCH_TIME, 1), invariants.counts());
     }
 
--- a/src/test/java/rushproxy/sidecar/RequestLifeTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLifeTest.java
@@ -12,7 +12,7 @@
 class RequestLifeTest {
     @Test
     void aRefusalIsSaidAtOnceWithTheTimeToComeBack() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> {
                 out.refuse(r.id(), 165_000);
                 out.fail(r.id());
@@ -20,7 +20,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 Peer.Message answer = client.answer();
                 assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
                 assertEquals("0.165", answer.header("Retry-After"));
@@ -34,27 +34,27 @@
     /** The module may fail to answer; the client's time must not run out over it. */
     @Test
     void aRequestThatTheModuleHoldsIsAnsweredBeforeItsTimeIsUp() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 300));
+                client.send(SidecarRig.get("a1", 300));
                 assertEquals(502, client.status());
-                assertEquals("expired a1", rig.await("expired"));
+                assertEquals("expired a1", rig.awaitEvent("expired"));
             }
         }
     }
 
     @Test
     void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 60_000_000);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 300));
+                client.send(SidecarRig.get("a1", 300));
                 assertEquals(502, client.status());
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
+                assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome"));
             }
         }
     }
@@ -62,19 +62,19 @@
     /** Its client has waited meanwhile: answered only when its time has run from then, it would be far too late. */
     @Test
     void whatLayUnreadWhileTheLoopWasHeldUpHasLessTimeLeft() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a0", 20_000));
+                client.send(SidecarRig.get("a0", 20_000));
                 assertEquals(503, client.status());
                 Peer.Client[] fresh = new Peer.Client[1];
-                rig.holdUp(500, () -> {
-                    client.send(Rig.get("a1", 300));
-                    fresh[0] = rig.client().send(Rig.get("a2", 300));
+                rig.stallLoop(500, () -> {
+                    client.send(SidecarRig.get("a1", 300));
+                    fresh[0] = rig.client().send(SidecarRig.get("a2", 300));
                 });
-                assertEquals("request a1 1", rig.await("request a1"));
-                assertEquals("request a2 1", rig.await("request a2"));
+                assertEquals("request a1 1", rig.awaitEvent("request a1"));
+                assertEquals("request a2 1", rig.awaitEvent("request a2"));
                 assertEquals(503, client.status());
                 assertEquals(503, fresh[0].status());
                 fresh[0].close();
@@ -88,16 +88,16 @@
      */
     @Test
     void whatFollowsOnAConnectionThatWasOpenedInAHoldUpIsNew() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             Peer.Client[] fresh = new Peer.Client[1];
-            rig.holdUp(500, () -> fresh[0] = rig.client().send(Rig.get("a1", 300)));
+            rig.stallLoop(500, () -> fresh[0] = rig.client().send(SidecarRig.get("a1", 300)));
             try (Peer.Client client = fresh[0]) {
                 assertEquals(503, client.status());
                 assertEquals(1, remaining(rig, "a1"));
                 Thread.sleep(15);
-                client.send(Rig.get("a2", 300));
+                client.send(SidecarRig.get("a2", 300));
                 assertEquals(503, client.status());
                 long given = remaining(rig, "a2");
                 assertTrue(given > 100_000, given + " us");
@@ -108,31 +108,31 @@
     /** The way to the client runs through the core that was busy just now. */
     @Test
     void afterAHoldUpAnAnswerIsDueEarlierAndThenAsBefore() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a0", 2_000));
+                client.send(SidecarRig.get("a0", 2_000));
                 assertEquals(503, client.status());
                 long before = remaining(rig, "a0");
-                rig.holdUp(500, () -> {});
+                rig.stallLoop(500, () -> {});
                 // By now a beat has come: what is read does not count as old itself.
                 Thread.sleep(100);
-                client.send(Rig.get("a1", 2_000));
+                client.send(SidecarRig.get("a1", 2_000));
                 assertEquals(503, client.status());
                 long given = remaining(rig, "a1");
                 assertTrue(given < before - 300_000, given + " us");
                 for (int i = 0; given < before - 50_000; i++) {
                     assertTrue(i < 1_000, given + " us, and not as before");
                     Thread.sleep(20);
-                    client.send(Rig.get("b" + i, 2_000));
+                    client.send(SidecarRig.get("b" + i, 2_000));
                     assertEquals(503, client.status());
                     given = remaining(rig, "b" + i);
                 }
                 // No more than a quarter of a short time is taken away.
-                rig.holdUp(500, () -> {});
+                rig.stallLoop(500, () -> {});
                 Thread.sleep(100);
-                client.send(Rig.get("c1", 100));
+                client.send(SidecarRig.get("c1", 100));
                 assertEquals(503, client.status());
                 assertTrue(remaining(rig, "c1") > 60_000);
             }
@@ -142,14 +142,14 @@
     /** The next hold-up may be as long: what waits for an upstream that hangs is answered before it. */
     @Test
     void afterAHoldUpWhatIsHeldIsDueEarlierToo() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
             try (Peer.Client client = rig.client()) {
                 long sent = System.nanoTime();
-                client.send(Rig.get("a1", 4_000));
-                rig.peers.get(0).next();
-                rig.holdUp(900, () -> {});
+                client.send(SidecarRig.get("a1", 4_000));
+                rig.upstreams.get(0).next();
+                rig.stallLoop(900, () -> {});
                 assertEquals(502, client.status());
                 long tookMs = (System.nanoTime() - sent) / 1_000_000;
                 assertTrue(tookMs < 3_600, "answered after " + tookMs + " ms");
@@ -157,30 +157,30 @@
         }
     }
 
-    private static long remaining(Rig rig, String id) throws InterruptedException {
-        return Long.parseLong(rig.await("request " + id + " ").split(" ")[2]);
+    private static long remaining(SidecarRig rig, String id) throws InterruptedException {
+        return Long.parseLong(rig.awaitEvent("request " + id + " ").split(" ")[2]);
     }
 
     /** A fault in the module ends neither the program nor the request that met it. */
     @Test
     void anExceptionInTheModuleAnswersWhatItMet() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("500 No", "", ""));
             rig.onRequest = (now, r, out) -> {
                 throw new IllegalStateException("as the test wants");
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals(502, client.status());
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
                 rig.onOutcome = (id, outcome, done, out) -> {
                     throw new IllegalStateException("as the test wants");
                 };
-                client.send(Rig.get("a2", 20_000));
+                client.send(SidecarRig.get("a2", 20_000));
                 assertEquals(502, client.status());
                 rig.onRequest = (now, r, out) -> out.timer("break", 1);
-                client.send(Rig.get("a3", 20_000));
+                client.send(SidecarRig.get("a3", 20_000));
                 assertEquals(502, client.status());
             }
         }
@@ -188,17 +188,17 @@
 
     @Test
     void aClientThatLeavesEndsItsRequestAndNoOther() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                rig.await("request");
+                client.send(SidecarRig.get("a1", 20_000));
+                rig.awaitEvent("request");
             }
-            assertEquals("expired a1", rig.await("expired"));
+            assertEquals("expired a1", rig.awaitEvent("expired"));
             rig.onRequest = (now, r, out) -> out.fail(r.id());
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a2", 20_000));
+                client.send(SidecarRig.get("a2", 20_000));
                 assertEquals(502, client.status());
             }
         }
@@ -207,7 +207,7 @@
     /** A second copy's answer, or one after the final answer, must not reach the client. */
     @Test
     void theFirstAnswerCountsAndALaterOneIsOnlyTold() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Object[] held = new Object[1];
             rig.upstream((m, line) -> {
                 synchronized (held) {
@@ -219,22 +219,22 @@
             rig.onOutcome = (id, outcome, done, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                rig.peers.get(0).next();
+                client.send(SidecarRig.get("a1", 20_000));
+                rig.upstreams.get(0).next();
                 rig.onRequest = (now, r, out) -> {
                     out.send("a1", "u1", 0);
                     out.fail(r.id());
                 };
                 try (Peer.Client other = rig.client()) {
-                    other.send(Rig.get("a2", 20_000));
+                    other.send(SidecarRig.get("a2", 20_000));
                     assertEquals(502, other.status());
                 }
                 assertEquals("second", client.answer().body());
-                assertEquals("outcome a1 1 OK true -", rig.await("outcome"));
+                assertEquals("outcome a1 1 OK true -", rig.awaitEvent("outcome"));
                 synchronized (held) {
                     ((Peer.Line) held[0]).answer("200 OK", "", "first");
                 }
-                assertEquals("outcome a1 0 OK true -", rig.await("outcome"));
+                assertEquals("outcome a1 0 OK true -", rig.awaitEvent("outcome"));
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
                 assertEquals(404, client.status());
             }
@@ -243,7 +243,7 @@
 
     @Test
     void attemptsBeyondWhatIsAllowedAreNotSent() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == Outcome.NOT_SENT) {
@@ -254,7 +254,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+                client.send(SidecarRig.get("a1", 20_000));
                 assertEquals(502, client.status());
                 assertEquals(4, up.messages.size());
             }
@@ -263,13 +263,13 @@
 
     @Test
     void requestsSentAheadAreAnsweredInTheirTurn() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 40; i++) {
-                    all.append(Rig.get("p" + i, 20_000));
+                    all.append(SidecarRig.get("p" + i, 20_000));
                 }
                 client.send(all.toString());
                 for (int i = 0; i < 40; i++) {
--- a/src/test/java/rushproxy/sidecar/RequestLogTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLogTest.java
@@ -38,12 +38,12 @@
 
     @AfterEach
     void quiet() {
-        Log.style(Log.Style.DEFAULT);
+        Log.configure(Log.Options.DEFAULT);
         Logger.getLogger("rushproxy").removeHandler(handler);
     }
 
     private void play() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.reset());
             rig.upstream((m, line) -> line.answer("200 OK", "", ""));
             rig.onOutcome = (id, outcome, done, out) -> {
@@ -53,11 +53,11 @@
             };
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("followed", 20_000));
+                c.send(SidecarRig.get("followed", 20_000));
                 assertEquals(200, c.status());
-                rig.await("outcome followed 1 OK");
+                rig.awaitEvent("outcome followed 1 OK");
                 rig.onRequest = (now, r, out) -> out.refuse(r.id(), 1_000);
-                c.send(Rig.get("refused", 20_000));
+                c.send(SidecarRig.get("refused", 20_000));
                 assertEquals(503, c.status());
                 c.send("no HTTP\r\n\r\n");
                 assertEquals(400, c.status());
@@ -72,7 +72,7 @@
 
     @Test
     void theDebugLevelTellsEachStepOfARequestAndTheReasonOfEachClose() throws Exception {
-        Log.style(new Log.Style(Log.Form.PLAIN, Log.Level.DEBUG, "n0"));
+        Log.configure(new Log.Options(Log.Format.PLAIN, Log.Level.DEBUG, "n0"));
         play();
         for (String step : List.of(
                 "request followed taken, class c, .*",
@@ -91,14 +91,14 @@
     /** What became of those that were not served can be told from the counts alone, without a line for each. */
     @Test
     void theCountsTellReasonAndAgeOfEachThatWasNotServed() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.reset());
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(Rig.get("failed", 20_000));
+                c.send(SidecarRig.get("failed", 20_000));
                 assertEquals(502, c.status());
                 rig.onRequest = (now, r, out) -> out.refuse(r.id(), 1_000);
-                c.send(Rig.get("refused", 20_000));
+                c.send(SidecarRig.get("refused", 20_000));
                 assertEquals(503, c.status());
             }
             Peer.await(() -> any(".*not served.*"));
@@ -111,7 +111,7 @@
 
     @Test
     void otherLevelsTellNothingOfSingleRequests() throws Exception {
-        Log.style(Log.Style.DEFAULT);
+        Log.configure(Log.Options.DEFAULT);
         play();
         assertTrue(
                 lines.stream().noneMatch(l -> l.contains("request followed") || l.contains("connection ")),
--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -35,13 +35,13 @@
     /** The longest deadline of these settings and 0.7 s: SIGKILL may come so long after SIGTERM. */
     static final long KILL_AFTER_MS = 1_500;
 
-    private static final Pattern SERVES = Pattern.compile("serves on /([0-9.]+):([0-9]+)");
-    private static final Pattern VIOLATIONS = Pattern.compile("invariant_violations=([0-9]+)");
+    private static final Pattern READY_LINE = Pattern.compile("serves on /([0-9.]+):([0-9]+)");
+    private static final Pattern VIOLATION_COUNT = Pattern.compile("invariant_violations=([0-9]+)");
 
     final Process process;
     final InetSocketAddress address;
     final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
-    private volatile boolean readsLog = true;
+    private volatile boolean readingLog = true;
 
     private SidecarProcess(Process process) throws Exception {
         this.process = process;
@@ -72,14 +72,14 @@
             Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < upstreams.size(); i++) {
-            entries.add(Rig.entry("u" + i, upstreams.get(i).address(), "Ready", 0));
+            entries.add(SidecarRig.entry("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
         Path config = folder.resolve("config.json");
         Files.writeString(
                 config,
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"known\":"
-                        + Rig.list(41, true, entries.toArray(String[]::new))
+                        + SidecarRig.list(41, true, entries.toArray(String[]::new))
                         + ",\"limits\":{\"sockets\":512},\"settings\":" + SETTINGS + "}");
         Build build = Build.of(Path.of("").toAbsolutePath());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.command())
@@ -94,9 +94,9 @@
     private void read(CompletableFuture<InetSocketAddress> serves) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String line; readsLog && (line = in.readLine()) != null; ) {
+            for (String line; readingLog && (line = in.readLine()) != null; ) {
                 log.add(line);
-                Matcher m = SERVES.matcher(line);
+                Matcher m = READY_LINE.matcher(line);
                 if (m.find()) {
                     serves.complete(
                             new InetSocketAddress(InetAddress.getByName(m.group(1)), Integer.parseInt(m.group(2))));
@@ -112,7 +112,7 @@
 
     /** One more line is read at most: what comes then fills the pipe. */
     void stopReadingLog() {
-        readsLog = false;
+        readingLog = false;
     }
 
     Peer.Client client() throws IOException {
@@ -135,10 +135,10 @@
     }
 
     /** The sum of all that the process has told of broken invariants. */
-    long violations() {
+    long invariantViolations() {
         long sum = 0;
         for (String line : log) {
-            Matcher m = VIOLATIONS.matcher(line);
+            Matcher m = VIOLATION_COUNT.matcher(line);
             sum += m.find() ? Long.parseLong(m.group(1)) : 0;
         }
         return sum;
--- a/src/test/java/rushproxy/sidecar/Rig.java
+++ b/src/test/java/rushproxy/sidecar/SidecarRig.java
@@ -14,7 +14,7 @@
 import rushproxy.Balancer;
 
 /** A sidecar in this process, with a module that does what the test says and writes down what it is told. */
-final class Rig implements AutoCloseable {
+final class SidecarRig implements AutoCloseable {
     static final String SETTINGS = """
             {"me":0,"balancers":2,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request",
              "profiles":[{"name":"c","semantics":"safe","objective_us":300000,"give_up_us":800000}],
@@ -35,8 +35,8 @@
         void take(String request, Balancer.Outcome outcome, boolean done, Balancer.Actions out);
     }
 
-    final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    final List<Peer> peers = new ArrayList<>();
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    final List<Peer> upstreams = new ArrayList<>();
     final Peer discovery;
     volatile OnRequest onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
     volatile OnOutcome onOutcome = (id, outcome, done, out) -> {
@@ -45,42 +45,42 @@
         }
     };
     /** Runs when the module is told a whole list. */
-    volatile Runnable onWholeList = () -> {};
+    volatile Runnable onFullList = () -> {};
     /** What the module says when a connection is up at last. */
-    volatile boolean mayBegin = true;
+    volatile boolean mayStartWrite = true;
 
     Sidecar sidecar;
     String peerFields = "";
     String adminFields = "";
     String settings = SETTINGS;
     /** Whether the module asks for a watch. */
-    boolean asks = true;
+    boolean subscribes = true;
     /** Not again after a failure. */
-    boolean asksOnce;
+    boolean subscribesOnce;
 
-    int sockets = 1024;
+    int maxSockets = 1024;
     /** The folder for what outlives the process. */
-    Path kept;
+    Path stateDirectory;
     /** Listens for clients already; null where the sidecar is to. */
-    java.nio.channels.ServerSocketChannel inherited;
+    java.nio.channels.ServerSocketChannel inheritedListener;
 
     /** Running, until the test stops it. */
-    final MovableTime time = new MovableTime();
+    final FreezableClock clock = new FreezableClock();
 
     private volatile Balancer.Actions actions;
 
-    Rig(Peer.Script discovers) throws IOException {
+    SidecarRig(Peer.Script discovers) throws IOException {
         discovery = new Peer(discovers);
     }
 
     /** Discovery that keeps every watch waiting. */
-    Rig() throws IOException {
+    SidecarRig() throws IOException {
         this((m, line) -> {});
     }
 
     Peer upstream(Peer.Script script) throws IOException {
         Peer p = new Peer(script);
-        peers.add(p);
+        upstreams.add(p);
         return p;
     }
 
@@ -94,23 +94,23 @@
                 + "]}";
     }
 
-    String known() {
+    String knownList() {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < peers.size(); i++) {
-            entries.add(entry("u" + i, peers.get(i).address(), "Ready", 0));
+        for (int i = 0; i < upstreams.size(); i++) {
+            entries.add(entry("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
         return list(41, true, entries.toArray(String[]::new));
     }
 
-    static Config config(String json) throws IOException, Config.Broken {
+    static Config config(String json) throws IOException, Config.InvalidConfigException {
         return config(json, Map.of());
     }
 
-    static Config config(String json, Path kept) throws IOException, Config.Broken {
+    static Config config(String json, Path kept) throws IOException, Config.InvalidConfigException {
         return config(json, Map.of("TMPDIR", kept == null ? "" : kept.toString()));
     }
 
-    static Config config(String json, Map<String, String> environment) throws IOException, Config.Broken {
+    static Config config(String json, Map<String, String> environment) throws IOException, Config.InvalidConfigException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, json);
@@ -122,37 +122,37 @@
         }
     }
 
-    Rig start() throws Exception {
+    SidecarRig start() throws Exception {
         Config config = config(
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
-                        + "\",\"seed\":\"8c1f30d27a5be964\"," + adminFields + peerFields + "\"known\":" + known()
-                        + ",\"limits\":{\"sockets\":" + sockets + "},\"settings\":" + settings + "}",
-                kept);
-        Sidecar.Module recorder = (c, now, out) -> {
+                        + "\",\"seed\":\"8c1f30d27a5be964\"," + adminFields + peerFields + "\"known\":" + knownList()
+                        + ",\"limits\":{\"sockets\":" + maxSockets + "},\"settings\":" + settings + "}",
+                stateDirectory);
+        Sidecar.BalancerFactory recorder = (c, now, out) -> {
             actions = out;
-            return new Recorder();
+            return new RecordingBalancer();
         };
-        sidecar = new Sidecar(config, inherited, recorder, time, time::loops);
+        sidecar = new Sidecar(config, inheritedListener, recorder, clock, clock::eventLoopGroup);
         sidecar.start();
         return this;
     }
 
     InetSocketAddress address() {
-        return sidecar.listening();
+        return sidecar.listenAddress();
     }
 
     /** Opens a second address and says how the operators' call was answered. */
-    String call(String line) throws IOException {
-        try (Peer.Client c = operator()) {
+    String callAdmin(String line) throws IOException {
+        try (Peer.Client c = adminClient()) {
             return c.send(line + "\n").rest();
         }
     }
 
-    Peer.Client operator() throws IOException {
-        return new Peer.Client(sidecar.administered());
+    Peer.Client adminClient() throws IOException {
+        return new Peer.Client(sidecar.adminAddress());
     }
 
-    Rig withAdmin() {
+    SidecarRig withAdmin() {
         adminFields = "\"admin_addr\":\"127.0.0.1:0\",";
         return this;
     }
@@ -167,27 +167,27 @@
     }
 
     /** What comes to lie in the sockets while the event loop is held up. */
-    interface Meanwhile {
-        void happens() throws Exception;
+    interface Action {
+        void run() throws Exception;
     }
 
     /** Holds the event loop up: it goes on {@code ms} after {@code meanwhile} has happened, by when its beat is late. */
-    void holdUp(long ms, Meanwhile meanwhile) throws Exception {
+    void stallLoop(long ms, Action meanwhile) throws Exception {
         // Nothing is late before the first beat, and a connection counts as new until the next.
-        Thread.sleep(2 * LoopDelay.BEAT_US / 1000);
-        holdUp(() -> {
-            meanwhile.happens();
+        Thread.sleep(2 * EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000);
+        stallLoop(() -> {
+            meanwhile.run();
             Thread.sleep(ms);
         });
     }
 
     /** Moves the time, which stands, between two pieces of the loop's work: none sets a timer by the time before. */
-    void pass(long ms) throws InterruptedException {
-        sidecar.loop().submit(() -> time.move(ms)).sync();
+    void advanceTime(long ms) throws InterruptedException {
+        sidecar.loop().submit(() -> clock.advance(ms)).sync();
     }
 
     /** Holds the event loop up until {@code meanwhile} has happened. */
-    void holdUp(Meanwhile meanwhile) throws Exception {
+    void stallLoop(Action meanwhile) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         sidecar.loop().execute(() -> {
@@ -200,15 +200,15 @@
         });
         held.await();
         try {
-            meanwhile.happens();
+            meanwhile.run();
         } finally {
             goOn.countDown();
         }
     }
 
     /** Waits until the module was told something that starts so. */
-    String await(String start) throws InterruptedException {
-        for (String line; (line = told.poll(20, TimeUnit.SECONDS)) != null; ) {
+    String awaitEvent(String start) throws InterruptedException {
+        for (String line; (line = events.poll(20, TimeUnit.SECONDS)) != null; ) {
             if (line.startsWith(start)) {
                 return line;
             }
@@ -219,37 +219,37 @@
     @Override
     public void close() throws Exception {
         if (sidecar != null) {
-            sidecar.end();
+            sidecar.shutdownNow();
         }
         discovery.close();
-        for (Peer p : peers) {
+        for (Peer p : upstreams) {
             p.close();
         }
     }
 
-    private final class Recorder implements Balancer {
+    private final class RecordingBalancer implements Balancer {
         @Override
         public void onList(long now, ListKind kind, List<Upstream> entries) {
-            told.add("list " + kind + " "
+            events.add("list " + kind + " "
                     + String.join(
                             ",",
                             entries.stream().map(u -> u.id() + "=" + u.state()).toList()));
             if (kind == ListKind.FULL) {
-                onWholeList.run();
+                onFullList.run();
             }
-            if (asks && (kind == ListKind.CACHED || kind == ListKind.FAILED && !asksOnce)) {
+            if (subscribes && (kind == ListKind.CACHED || kind == ListKind.FAILED && !subscribesOnce)) {
                 actions.subscribe();
             }
         }
 
         @Override
         public void onCordon(long now, String upstream, boolean out, long atUs) {
-            told.add("cordon " + upstream + " " + out);
+            events.add("cordon " + upstream + " " + out);
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            told.add("request " + request.id() + " " + request.remainingUs());
+            events.add("request " + request.id() + " " + request.remainingUs());
             onRequest.take(now, request, actions);
         }
 
@@ -263,59 +263,59 @@
                 long latencyUs,
                 boolean done,
                 LoadReport report) {
-            told.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
+            events.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
                     + (report == null ? "-" : report.inFlight()));
             onOutcome.take(request, outcome, done, actions);
         }
 
         @Override
         public void onStreamStart(long now, String request, int attempt, String upstream, long latencyUs) {
-            told.add("begins " + request + " " + attempt);
+            events.add("begins " + request + " " + attempt);
         }
 
         @Override
         public boolean mayBegin(long now, String request, int attempt) {
-            return mayBegin;
+            return mayStartWrite;
         }
 
         @Override
         public void onSent(long now, String request, int attempt) {
-            told.add("sent " + request + " " + attempt);
+            events.add("sent " + request + " " + attempt);
         }
 
         @Override
         public void onProbe(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
-            told.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
+            events.add("probe " + upstream + " " + outcome + " " + (report == null ? "-" : report.inFlight()));
         }
 
         @Override
         public void onExpired(long now, String request) {
-            told.add("expired " + request);
+            events.add("expired " + request);
         }
 
         @Override
         public void onPeer(long now, int peer, byte[] message) {
-            told.add("peer " + peer + " " + message.length);
+            events.add("peer " + peer + " " + message.length);
         }
 
         @Override
         public void onFleet(long now, Fleet fleet) {
-            told.add("fleet " + fleet.here() + " " + fleet.standing());
+            events.add("fleet " + fleet.here() + " " + fleet.standing());
         }
 
         @Override
         public void onVerdicts(long now, List<Verdict> verdicts) {
-            verdicts.forEach(v -> told.add("verdict " + v.upstream() + " " + v.kind() + " " + v.holds()));
+            verdicts.forEach(v -> events.add("verdict " + v.upstream() + " " + v.kind() + " " + v.holds()));
         }
 
         @Override
         public void onShares(long now, List<Share> shares) {
-            shares.forEach(s -> told.add("share " + s.name() + " " + s.share()));
+            shares.forEach(s -> events.add("share " + s.name() + " " + s.share()));
         }
 
         @Override
         public void onWeights(long now, Weights weights) {
-            told.add("weights " + new java.util.TreeMap<>(weights.byServer()));
+            events.add("weights " + new java.util.TreeMap<>(weights.byServer()));
         }
 
         @Override
@@ -325,7 +325,7 @@
 
         @Override
         public int onKnow(long now, List<byte[]> all) {
-            all.forEach(k -> told.add("know " + java.util.Arrays.toString(k)));
+            all.forEach(k -> events.add("know " + java.util.Arrays.toString(k)));
             return all.size();
         }
 
@@ -336,7 +336,7 @@
 
         @Override
         public void onTimer(long now, String mark) {
-            told.add("timer " + mark);
+            events.add("timer " + mark);
             if (mark.equals("break")) {
                 throw new IllegalStateException("as the test wants");
             }
--- a/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
+++ b/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
@@ -20,14 +20,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"Connection reset by peer", "Broken pipe", "Connection timed out", "No route to host"})
     void thePeersEndIsFinal(String words) {
-        assertTrue(SocketErrors.endsConnection(new IOException(words)));
+        assertTrue(SocketErrors.isConnectionLost(new IOException(words)));
         assertFalse(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
     }
 
     @Test
     void whatTheRuntimeHasTypesForIsFinal() {
-        assertTrue(SocketErrors.endsConnection(new SocketException("Connection reset")));
-        assertTrue(SocketErrors.endsConnection(new ClosedChannelException()));
+        assertTrue(SocketErrors.isConnectionLost(new SocketException("Connection reset")));
+        assertTrue(SocketErrors.isConnectionLost(new ClosedChannelException()));
     }
 
     /** As Netty hands on what a dial failed by. */
@@ -35,10 +35,10 @@
     void theAddressInTheWordsChangesNothing() {
         IOException reset = new SocketException("Connection reset by peer: /127.0.0.1:80");
         reset.initCause(new SocketException("Connection reset by peer"));
-        assertTrue(SocketErrors.isOfPeer(reset));
+        assertTrue(SocketErrors.isRemoteConnectFailure(reset));
         IOException local = new SocketException("Network is unreachable: /127.0.0.1:80");
         local.initCause(new SocketException("Network is unreachable"));
-        assertFalse(SocketErrors.isOfPeer(local));
+        assertFalse(SocketErrors.isRemoteConnectFailure(local));
     }
 
     @ParameterizedTest
@@ -53,24 +53,24 @@
                 "an error of another system"
             })
     void whateverElseIsForAMoment(String words) {
-        assertFalse(SocketErrors.endsConnection(new IOException(words)));
+        assertFalse(SocketErrors.isConnectionLost(new IOException(words)));
         assertTrue(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
     }
 
     @Test
     void noErrorIsNoEnd() {
-        assertFalse(SocketErrors.endsConnection(null));
-        assertFalse(SocketErrors.endsConnection(new IOException()));
-        assertFalse(SocketErrors.endsConnection(new IllegalStateException("Broken pipe")));
+        assertFalse(SocketErrors.isConnectionLost(null));
+        assertFalse(SocketErrors.isConnectionLost(new IOException()));
+        assertFalse(SocketErrors.isConnectionLost(new IllegalStateException("Broken pipe")));
     }
 
     @Test
     void aDialIsFailedByThePeerOrByThisMachine() {
-        assertTrue(SocketErrors.isOfPeer(new ConnectException("Connection refused")));
-        assertTrue(SocketErrors.isOfPeer(new NoRouteToHostException("No route to host")));
-        assertFalse(SocketErrors.isOfPeer(new BindException("Cannot assign requested address")));
-        assertFalse(SocketErrors.isOfPeer(new SocketException("Network is unreachable")));
-        assertFalse(SocketErrors.isOfPeer(new SocketException("No buffer space available")));
+        assertTrue(SocketErrors.isRemoteConnectFailure(new ConnectException("Connection refused")));
+        assertTrue(SocketErrors.isRemoteConnectFailure(new NoRouteToHostException("No route to host")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new BindException("Cannot assign requested address")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new SocketException("Network is unreachable")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new SocketException("No buffer space available")));
     }
 
     @Test
--- a/src/test/java/rushproxy/sidecar/StartTimesTest.java
+++ b/src/test/java/rushproxy/sidecar/StartTimesTest.java
@@ -17,7 +17,7 @@
     private final StartTimes starts = new StartTimes(clock, () -> wallMs);
 
     private static UpstreamList list(boolean whole, long startedAtMs) {
-        return UpstreamList.of(Json.parse(Rig.list(1, whole, Rig.entry("u0", "127.0.0.1:1", "Ready", startedAtMs))
+        return UpstreamList.of(Json.parse(SidecarRig.list(1, whole, SidecarRig.entry("u0", "127.0.0.1:1", "Ready", startedAtMs))
                 .getBytes(StandardCharsets.UTF_8)));
     }
 
@@ -26,7 +26,7 @@
     }
 
     private void assertAge(long expectedMs, UpstreamList list) {
-        long ageUs = clock.now() - started(list);
+        long ageUs = clock.nowUs() - started(list);
         assertTrue(
                 Math.abs(ageUs - expectedMs * 1_000) < SLACK_US,
                 "age " + ageUs / 1_000 + " ms instead of " + expectedMs);
--- a/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
@@ -32,7 +32,7 @@
  * time, and none runs twice that must not.
  */
 @Timeout(120)
-class MomentaryFailuresIT {
+class TransientFailuresIT {
     /** Six calls in a hundred, as in incident-2. */
     private static final double CHANCE = 0.06;
 
@@ -54,17 +54,17 @@
 
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
-    private StandIns standIns;
+    private FakeServices standIns;
     private SidecarProcess sidecar;
     private SystemFaults faults;
 
     @BeforeEach
     void prepare() throws Exception {
-        standIns = new StandIns();
+        standIns = new FakeServices();
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
         faults = SystemFaults.with(library.get(), folder.resolve("control"), SEED);
-        standIns.servers(SERVERS, (m, line) -> {
+        standIns.addServers(SERVERS, (m, line) -> {
             runs.merge(m.header("X-Txn"), 1, Integer::sum);
             line.answer("200 OK", "", m.header("X-Txn"));
         });
@@ -206,7 +206,7 @@
         pause();
         assertEquals(List.of(), List.copyOf(wrong));
         assertEquals(Set.of("safe-first", "safe-last"), runs.keySet());
-        assertEquals(0, sidecar.violations());
+        assertEquals(0, sidecar.invariantViolations());
     }
 
     /** The end of such an answer is the end of its connection. */
@@ -341,11 +341,11 @@
         }
     }
 
-    private interface Client {
+    private interface ClientAction {
         void run(int number) throws IOException;
     }
 
-    private void play(Client client) throws InterruptedException {
+    private void play(ClientAction client) throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
         for (int n = 0; n < CLIENTS; n++) {
             int number = n;
@@ -372,6 +372,6 @@
                 runs.entrySet().stream()
                         .filter(e -> e.getKey().startsWith("unsafe") && e.getValue() > 1)
                         .toList());
-        assertEquals(0, sidecar.violations());
+        assertEquals(0, sidecar.invariantViolations());
     }
 }
--- a/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
+++ b/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
@@ -35,8 +35,8 @@
     /** The kernel counts in steps of up to 10 ms. */
     private static final long STEP_US = 10_000;
 
-    private static long toldUs(Rig rig, String id) throws Exception {
-        return Long.parseLong(rig.await("request " + id + " ").split(" ")[2]);
+    private static long toldUs(SidecarRig rig, String id) throws Exception {
+        return Long.parseLong(rig.awaitEvent("request " + id + " ").split(" ")[2]);
     }
 
     /** Guards against a kernel's figure that does not count while a connection waits to be accepted. */
@@ -51,7 +51,7 @@
                     Thread.sleep(waitMs);
                     try (SocketChannel accepted = listener.accept()) {
                         long leastUs = (System.nanoTime() - sentNanos) / 1_000;
-                        long agoUs = TcpInfo.lastReceivedAgoUs(accepted);
+                        long agoUs = TcpInfo.sinceLastReceiveUs(accepted);
                         long mostUs = (System.nanoTime() - beforeNanos) / 1_000;
                         assertTrue(
                                 agoUs >= leastUs - STEP_US && agoUs <= mostUs + STEP_US,
@@ -65,19 +65,19 @@
     /** Guards against a server that is told more time than its client has, by what it waited for a place. */
     @Test
     void whatWaitedToBeLetInHasLessTimeLeft() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> {};
-            rig.sockets = 48 + 2 * 16;
+            rig.maxSockets = 48 + 2 * 16;
             rig.start();
             List<Peer.Client> clients = new ArrayList<>();
             try {
                 // As many as are let in, and some more.
                 for (int i = 0; i < 48; i++) {
-                    clients.add(rig.client().send(Rig.get("busy" + i, 20_000)));
+                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
                 }
-                rig.await("request busy0");
+                rig.awaitEvent("request busy0");
                 try (Peer.Client waits = rig.client()) {
-                    waits.send(Rig.get("waits", REMAINING_MS));
+                    waits.send(SidecarRig.get("waits", REMAINING_MS));
                     long sentNanos = System.nanoTime();
                     Thread.sleep(WAIT_MS);
                     for (Peer.Client c : clients) {
@@ -98,17 +98,17 @@
     /** Guards against refusing, after a hold-up, who has just asked and has all of its time. */
     @Test
     void whatCameAtTheEndOfAHoldUpHasItsTime() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client known = rig.client()) {
-                known.send(Rig.get("a0", REMAINING_MS));
+                known.send(SidecarRig.get("a0", REMAINING_MS));
                 assertEquals(200, known.status());
                 List<Peer.Client> fresh = new ArrayList<>();
-                rig.holdUp(0, () -> {
+                rig.stallLoop(0, () -> {
                     Thread.sleep(HOLD_UP_MS);
-                    known.send(Rig.get("a1", REMAINING_MS));
-                    fresh.add(rig.client().send(Rig.get("a2", REMAINING_MS)));
+                    known.send(SidecarRig.get("a1", REMAINING_MS));
+                    fresh.add(rig.client().send(SidecarRig.get("a2", REMAINING_MS)));
                 });
                 for (String id : List.of("a1", "a2")) {
                     long toldUs = toldUs(rig, id);
@@ -125,19 +125,19 @@
     /** Guards against taking the first of two requests for as young as the second, which the kernel received last. */
     @Test
     void theFirstOfTwoThatLayThereIsAsOldAsItMayBe() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a0", REMAINING_MS));
+                client.send(SidecarRig.get("a0", REMAINING_MS));
                 assertEquals(200, client.status());
-                rig.holdUp(0, () -> {
-                    client.send(Rig.get("first", REMAINING_MS));
+                rig.stallLoop(0, () -> {
+                    client.send(SidecarRig.get("first", REMAINING_MS));
                     Thread.sleep(WAIT_MS);
-                    client.send(Rig.get("second", REMAINING_MS));
+                    client.send(SidecarRig.get("second", REMAINING_MS));
                 });
                 long toldUs = toldUs(rig, "first");
-                assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + LoopDelay.BEAT_US + STEP_US, "" + toldUs);
+                assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + EventLoopDelay.HEARTBEAT_INTERVAL_US + STEP_US, "" + toldUs);
             }
         }
     }
@@ -146,19 +146,19 @@
     @Test
     void whatIsReadLaterOfAHoldUpIsAsOld() throws Exception {
         Clock clock = new Clock();
-        LoopDelay loopDelay = new LoopDelay();
+        EventLoopDelay loopDelay = new EventLoopDelay();
         BlockingQueue<Long> agesUs = new LinkedBlockingQueue<>();
         ClientInput input = new ClientInput(clock, loopDelay, new Budget(1 << 20), new ClientInput.Listener() {
             @Override
             public void arrived(long sentUs) {
-                agesUs.add(clock.now() - sentUs);
-                loopDelay.beat(clock.now());
+                agesUs.add(clock.nowUs() - sentUs);
+                loopDelay.recordHeartbeat(clock.nowUs());
             }
 
             @Override
             public void unwatched() {}
         });
-        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, SocketLook.handlers());
+        MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, SocketPolling.ioHandlerFactory());
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             new Bootstrap()
                     .group(group)
@@ -190,9 +190,9 @@
     void whatCanNotBeReadIsToldUntilItCan() {
         AtomicInteger told = new AtomicInteger();
         // What is written counts as new, however late this machine is: an embedded loop has no sockets to look at.
-        MovableTime clock = new MovableTime();
-        clock.stop();
-        ClientInput input = new ClientInput(clock, new LoopDelay(), new Budget(1 << 20), new ClientInput.Listener() {
+        FreezableClock clock = new FreezableClock();
+        clock.freeze();
+        ClientInput input = new ClientInput(clock, new EventLoopDelay(), new Budget(1 << 20), new ClientInput.Listener() {
             @Override
             public void arrived(long sentUs) {}
 
--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamsTest.java
@@ -21,10 +21,10 @@
 @Timeout(60)
 class UpstreamsTest {
     /** Running, until a test stops it. */
-    private final MovableTime clock = new MovableTime();
+    private final FreezableClock clock = new FreezableClock();
 
-    private final LoopDelay loopDelay = new LoopDelay();
-    private final EventLoopGroup group = clock.loops(TimedIoHandler.factory(SocketLook.handlers(), clock, loopDelay));
+    private final EventLoopDelay loopDelay = new EventLoopDelay();
+    private final EventLoopGroup group = clock.eventLoopGroup(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
     private final EventLoop loop = group.next();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
@@ -44,7 +44,7 @@
     private Upstreams upstreams(long idleUs, long restUs, long dialTimeoutUs, int most) throws Exception {
         return loop.submit(() -> new Upstreams(
                         loop,
-                        new RunningTime(clock, loopDelay),
+                        new StallAwareClock(clock, loopDelay),
                         idleUs,
                         restUs,
                         dialTimeoutUs,
@@ -54,7 +54,7 @@
     }
 
     private static UpstreamList list(boolean whole, String... entries) {
-        return UpstreamList.of(Json.parse(Rig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
+        return UpstreamList.of(Json.parse(SidecarRig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
     }
 
     private UpstreamCall call(String upstream) {
@@ -64,7 +64,7 @@
     private UpstreamCall call(String upstream, long withinUs) {
         return new UpstreamCall(
                 upstream,
-                clock.now() + withinUs,
+                clock.nowUs() + withinUs,
                 false,
                 left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 null,
@@ -84,13 +84,13 @@
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
                 Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
-            UpstreamList ready = list(true, Rig.entry("u", up.address(), "Ready", 0));
+            UpstreamList ready = list(true, SidecarRig.entry("u", up.address(), "Ready", 0));
             for (UpstreamList change : new UpstreamList[] {
-                list(false, Rig.entry("u", up.address(), "Terminating", 0)),
-                list(false, Rig.entry("u", up.address(), "Gone", 0)),
-                list(false, Rig.entry("u", up.address(), "Ready", 5_000_000)),
-                list(false, Rig.entry("u", moved.address(), "Ready", 0)),
-                list(true, Rig.entry("other", moved.address(), "Ready", 0))
+                list(false, SidecarRig.entry("u", up.address(), "Terminating", 0)),
+                list(false, SidecarRig.entry("u", up.address(), "Gone", 0)),
+                list(false, SidecarRig.entry("u", up.address(), "Ready", 5_000_000)),
+                list(false, SidecarRig.entry("u", moved.address(), "Ready", 0)),
+                list(true, SidecarRig.entry("other", moved.address(), "Ready", 0))
             }) {
                 loop.execute(() -> {
                     upstreams.update(ready);
@@ -112,11 +112,11 @@
                     new java.util.concurrent.atomic.AtomicLong(Long.MAX_VALUE);
             UpstreamCall late = new UpstreamCall(
                     "u",
-                    clock.now() + 20_000_000,
+                    clock.nowUs() + 20_000_000,
                     false,
                     left -> {
-                        closesUs.set(clock.now() + 5_000);
-                        while (clock.now() < closesUs.get()) {
+                        closesUs.set(clock.nowUs() + 5_000);
+                        while (clock.nowUs() < closesUs.get()) {
                             Thread.onSpinWait();
                         }
                         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
@@ -125,7 +125,7 @@
                     new CallResult() {
                         @Override
                         public boolean mayBegin(UpstreamCall c) {
-                            return clock.now() < closesUs.get();
+                            return clock.nowUs() < closesUs.get();
                         }
 
                         @Override
@@ -138,7 +138,7 @@
                         }
                     });
             loop.execute(() -> {
-                upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0)));
+                upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0)));
                 upstreams.start(late);
             });
             assertEquals("u NOT_SENT", outcome());
@@ -153,7 +153,7 @@
             Upstreams upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0)));
+                    upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0)));
                     upstreams.start(call("u"));
                 });
                 assertEquals("u OK", outcome());
@@ -167,7 +167,7 @@
     void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(1, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -197,14 +197,14 @@
             closes.start();
             Upstreams upstreams = upstreams(15_000_000, 100);
             loop.execute(() ->
-                    upstreams.update(list(true, Rig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
+                    upstreams.update(list(true, SidecarRig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
             for (int i = 0; i < 50; i++) {
                 Body body = new Body(() -> {}, -1);
                 loop.execute(() -> {
                     body.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100]));
                     upstreams.start(new UpstreamCall(
                             "u",
-                            clock.now() + 20_000_000,
+                            clock.nowUs() + 20_000_000,
                             false,
                             left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/api"),
                             body,
@@ -220,7 +220,7 @@
     void aCallWhoseTimeEndsWhileItsConnectionRestsWasNotSent() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 5_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
             assertEquals("u OK", outcome());
             loop.execute(() -> upstreams.start(call("u", 100_000)));
@@ -242,7 +242,7 @@
             }
         })) {
             Upstreams upstreams = upstreams(15_000_000, 1_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
             assertEquals("u REJECTED", outcome());
             loop.submit(() -> upstreams.start(call("u"))).get();
@@ -268,7 +268,7 @@
     private void threeCallsUseOneConnection(long restUs, long pauseMs) throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "served"))) {
             Upstreams upstreams = upstreams(15_000_000, restUs, 100);
-            loop.execute(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -285,7 +285,7 @@
                 Peer silent = new Peer((m, line) -> {})) {
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, Rig.entry("a", a.address(), "Ready", 0), Rig.entry("silent", silent.address(), "Ready", 0))));
+                    true, SidecarRig.entry("a", a.address(), "Ready", 0), SidecarRig.entry("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("a")));
             assertEquals("a OK", outcome());
             loop.execute(() -> upstreams.start(call("silent")));
@@ -304,7 +304,7 @@
             gone.close();
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, Rig.entry("u", up.address(), "Ready", 0), Rig.entry("gone", gone.address(), "Ready", 0))));
+                    true, SidecarRig.entry("u", up.address(), "Ready", 0), SidecarRig.entry("gone", gone.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("gone")));
                 assertEquals("gone CONNECT_FAILED", outcome());
@@ -330,7 +330,7 @@
     /** With an upstream that has answered once before, so that no code runs for the first time. */
     private Upstreams used(Peer up) throws Exception {
         Upstreams upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
-        loop.submit(() -> upstreams.update(list(true, Rig.entry("u", up.address(), "Ready", 0))))
+        loop.submit(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))))
                 .get();
         loop.execute(() -> upstreams.start(call("u")));
         assertEquals("u OK", outcome());
@@ -344,7 +344,7 @@
     private void startAndHoldUp(Upstreams upstreams, UpstreamCall call) {
         loop.execute(() -> upstreams.start(new UpstreamCall(
                 "u",
-                clock.now() + 20_000_000,
+                clock.nowUs() + 20_000_000,
                 false,
                 left -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api"),
                 null,
@@ -398,13 +398,13 @@
         try (java.net.ServerSocket full = full()) {
             Upstreams upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
             loop.submit(() -> upstreams.update(
-                            list(true, Rig.entry("u", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
+                            list(true, SidecarRig.entry("u", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
             // However late the loop is, no more than the call's time passes.
-            clock.stop();
+            clock.freeze();
             loop.execute(() -> {
                 upstreams.start(call("u", 2_000));
-                clock.move(2);
+                clock.advance(2);
             });
             assertEquals("u NOT_SENT", outcome());
         }
@@ -427,7 +427,7 @@
             up.script = (m, line) -> {};
             UpstreamCall call = call("u", DIAL_US);
             loop.execute(() -> {
-                loopDelay.beat(clock.now());
+                loopDelay.recordHeartbeat(clock.nowUs());
                 upstreams.start(call);
                 holdUp();
             });
@@ -446,14 +446,14 @@
             Upstreams upstreams = used(silent);
             silent.script = (m, line) -> {};
             loop.submit(() -> upstreams.update(
-                            list(false, Rig.entry("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
+                            list(false, SidecarRig.entry("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
             loop.execute(() -> upstreams.start(call("u", DIAL_US)));
             assertEquals("u TIMEOUT", outcome());
-            long sinceUs = clock.now();
+            long sinceUs = clock.nowUs();
             loop.execute(() -> upstreams.start(call("full")));
             assertEquals("full CONNECT_FAILED", outcome());
-            assertTrue(clock.now() - sinceUs >= DIAL_US, "given up early");
+            assertTrue(clock.nowUs() - sinceUs >= DIAL_US, "given up early");
             loop.execute(() -> upstreams.start(call("full", DIAL_US / 2)));
             assertEquals("full CONNECT_FAILED", outcome());
         }
@@ -472,9 +472,9 @@
     @Test
     void aTimeOutThatComesLateTakesNoFurtherTurn() throws Exception {
         BlockingQueue<String> order = new LinkedBlockingQueue<>();
-        TimeOuts timeOuts = new TimeOuts(loop, new RunningTime(clock, loopDelay));
+        TimeOuts timeOuts = new TimeOuts(loop, new StallAwareClock(clock, loopDelay));
         loop.execute(() -> {
-            timeOuts.at(clock.now(), () -> true, () -> order.add("time-out"));
+            timeOuts.at(clock.nowUs(), () -> true, () -> order.add("time-out"));
             Runnable turnEnds = () -> order.add("end of the turn");
             loop.schedule(
                     () -> ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(turnEnds),
--- a/src/test/java/rushproxy/sidecar/WarmUpTest.java
+++ b/src/test/java/rushproxy/sidecar/WarmUpTest.java
@@ -17,25 +17,25 @@
 class WarmUpTest {
     @Test
     void allOfItsRequestsAreServedAndNoneReachesTheModule() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             Peer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             WarmUp warmUp = new WarmUp(
                     rig.sidecar.loop(),
                     new Clock(),
-                    Rig.config("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                                    + rig.discovery.address() + "\",\"seed\":\"1\",\"known\":" + rig.known()
+                    SidecarRig.config("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                    + rig.discovery.address() + "\",\"seed\":\"1\",\"known\":" + rig.knownList()
                                     + ",\"limits\":{\"sockets\":512},\"settings\":"
-                                    + Rig.SETTINGS + "}")
+                                    + SidecarRig.SETTINGS + "}")
                             .settings());
             CountDownLatch done = new CountDownLatch(1);
             rig.sidecar.loop().execute(() -> {
                 rig.sidecar.clients().warmsUp(warmUp);
-                warmUp.begin(rig.address(), done::countDown);
+                warmUp.start(rig.address(), done::countDown);
             });
             assertTrue(done.await(30, TimeUnit.SECONDS));
-            assertEquals(WarmUp.REQUESTS, warmUp.served());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request")), rig.told.toString());
+            assertEquals(WarmUp.REQUEST_COUNT, warmUp.successCount());
+            assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request")), rig.events.toString());
             assertEquals(0, upstream.messages.size());
         }
     }
@@ -43,12 +43,12 @@
     /** What bears its name but was not sent by it is a request like any other. */
     @Test
     void nobodyElseIsServedByIt() throws Exception {
-        try (Rig rig = new Rig()) {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             rig.sidecar.warmUp();
             try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000).replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
+                client.send(SidecarRig.get("a1", 20_000).replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
                 assertEquals("served", client.answer().body());
             }
         }
