--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/rushproxy/sidecar/Config.java
@@ -21,8 +21,8 @@
  */
 record Config(
         String name,
-        InetSocketAddress listenAddress,
-        InetSocketAddress discoveryAddress,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
         InetSocketAddress adminAddress,
         boolean inheritsListener,
         Path stateDirectory,
@@ -30,7 +30,7 @@
         int maxSockets,
         int memoryMb,
         InetSocketAddress peerListenAddress,
-        List<InetSocketAddress> peerAddresses,
+        List<InetSocketAddress> peers,
         InetSocketAddress allPeersAddress,
         UpstreamList knownUpstreams,
         Settings settings,
--- a/src/main/java/rushproxy/sidecar/ConfigReloader.java
+++ b/src/main/java/rushproxy/sidecar/ConfigReloader.java
@@ -50,8 +50,9 @@
     }
 
     /** One at a time, so that what was read last is what is done last. */
-    private synchronized void applyDiscoveryAddress(Map<String, String> environment) throws Config.InvalidConfigException {
-        InetSocketAddress address = Config.read(environment).discoveryAddress();
+    private synchronized void applyDiscoveryAddress(Map<String, String> environment)
+            throws Config.InvalidConfigException {
+        InetSocketAddress address = Config.read(environment).discovery();
         onDiscoveryAddress.accept(address);
         Log.info("discovery is at " + address);
     }
--- a/src/main/java/rushproxy/sidecar/ConnectionBuffers.java
+++ b/src/main/java/rushproxy/sidecar/ConnectionBuffers.java
@@ -10,7 +10,8 @@
 /** How much of a message lies in this program, and in the kernel for it, at each of its connections. */
 final class ConnectionBuffers {
     private static final int MAX_READ_BYTES = 16 * 1024;
-    private static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(MAX_READ_BYTES, 2 * MAX_READ_BYTES);
+    private static final WriteBufferWaterMark WRITE_WATER_MARK =
+            new WriteBufferWaterMark(MAX_READ_BYTES, 2 * MAX_READ_BYTES);
     /** The kernel would let megabytes lie there, and tell of room only once a third of them is gone. */
     private static final int SOCKET_BUFFER_BYTES = 128 * 1024;
 
--- a/src/main/java/rushproxy/sidecar/Dialling.java
+++ b/src/main/java/rushproxy/sidecar/Dialling.java
@@ -65,8 +65,8 @@
             return null;
         }
         Attempt attempt = new Attempt(connecting, dialled);
-        Future<?> timeout =
-                loop.schedule(() -> SocketPolling.runAfterNextPoll(loop, attempt::giveUp), timeoutUs, TimeUnit.MICROSECONDS);
+        Future<?> timeout = loop.schedule(
+                () -> SocketPolling.runAfterNextPoll(loop, attempt::giveUp), timeoutUs, TimeUnit.MICROSECONDS);
         connecting.addListener(f -> {
             timeout.cancel(false);
             attempt.tell(f.cause());
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -93,7 +93,7 @@
                 new Membership.Self(
                         config.name(),
                         s.me(),
-                        config.peerAddresses().size(),
+                        config.peers().size(),
                         Math.max(0, s.zones().indexOf(s.zone())),
                         s.zones().size(),
                         VERSION,
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -123,12 +123,12 @@
                 decisions,
                 upstreams,
                 startTimes,
-                config.discoveryAddress(),
+                config.discovery(),
                 config.knownUpstreams().generation(),
                 settings.rules().askEveryUs(),
                 !settings.discoveryOnRequest());
         configReloader = new ConfigReloader(address -> loop.execute(() -> discovery.moveTo(address)));
-        peers = new Peers(clock, decisions, config.peerAddresses(), config.allPeersAddress());
+        peers = new Peers(clock, decisions, config.peers(), config.allPeersAddress());
         fleetPlane = config.fleet().members()
                 ? new FleetPlane(loop, clock, peers, decisions, config, upstreams::ready)
                 : null;
@@ -138,7 +138,9 @@
         cordonStore = config.adminAddress() == null
                 ? null
                 : new CordonStore(
-                        config.stateDirectory(), settings.rules().rampUs() / 1000, now -> loop.execute(() -> applyCordonMarks(now)));
+                        config.stateDirectory(),
+                        settings.rules().rampUs() / 1000,
+                        now -> loop.execute(() -> applyCordonMarks(now)));
         deadlines = new AnswerDeadlines(settings.classes(), loopDelay);
         clients = new ClientServer(
                 loop,
@@ -240,15 +242,15 @@
             loop.execute(fleetPlane::start);
         }
         if (inherited == null) {
-            listenAddress = clients.listen(config.listenAddress());
+            listenAddress = clients.listen(config.listen());
         } else {
             // Until it has warmed up: a call to the shared address could land in the other process.
-            listenAddress = clients.listen(new InetSocketAddress(config.listenAddress().getAddress(), 0));
+            listenAddress = clients.listen(new InetSocketAddress(config.listen().getAddress(), 0));
         }
         clients.start();
         if (config.adminAddress() != null) {
-            OperatorCalls calls =
-                    new OperatorCalls(loop, clients, upstreams, fleetPlane, cordonStore, id -> cordonMarks.containsKey(id));
+            OperatorCalls calls = new OperatorCalls(
+                    loop, clients, upstreams, fleetPlane, cordonStore, id -> cordonMarks.containsKey(id));
             adminAddress = new AdminServer(loop, calls).listen(config.adminAddress());
         }
         PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, this::onHeartbeat);
@@ -269,12 +271,18 @@
             loopDelay.recordHeartbeat(now);
         } else {
             // What lay in the sockets meanwhile is read only now, and is as old as the hold-up.
-            loop.schedule(() -> loopDelay.recordHeartbeat(clock.nowUs()), EventLoopDelay.EXTRA_POLL_DELAY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> loopDelay.recordHeartbeat(clock.nowUs()),
+                    EventLoopDelay.EXTRA_POLL_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
         }
         if (++heartbeats % HEARTBEATS_PER_REPORT == 0) {
             reportUnansweredConnections();
             requests.tally((words, fields) -> Log.event(
-                    Log.Level.INFO, "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + words + "; " + describeConnections() + describeInvariantViolations(), fields));
+                    Log.Level.INFO,
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + words + "; "
+                            + describeConnections() + describeInvariantViolations(),
+                    fields));
             reportLag();
         }
     }
@@ -284,8 +292,8 @@
         ThreadSchedStats before = lastSchedStats;
         lastSchedStats = ThreadSchedStats.ofCurrentThread().orElse(null);
         if (maxLagUs >= REPORTED_LAG_US) {
-            String words =
-                    "the event loop was late by up to " + maxLagUs / 1000 + " ms in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
+            String words = "the event loop was late by up to " + maxLagUs / 1000 + " ms in "
+                    + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
             if (before == null || lastSchedStats == null) {
                 Log.event(Log.Level.WARN, words, "late_ms", maxLagUs / 1000);
             } else {
@@ -310,7 +318,8 @@
         if (!ends.isEmpty()) {
             Log.event(
                     Log.Level.WARN,
-                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s clients' connections ended with no answer: " + ends,
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000
+                            + " s clients' connections ended with no answer: " + ends,
                     "unanswered",
                     ends);
         }
@@ -333,7 +342,7 @@
         if (inherited != null) {
             clients.closeListener();
             clients.take(inherited);
-            listenAddress = config.listenAddress();
+            listenAddress = config.listen();
         }
         // What discovery has counts as told from the first moment: its first answer goes before the first client.
         loop.execute(() -> discovery.whenHeard(() -> {
@@ -461,7 +470,8 @@
                     left -> probe(),
                     null,
                     (call, outcome, report, body) -> decisions.call(
-                            m -> m.onProbe(clock.nowUs(), upstream, outcome, upstreams.tookUs(call), report), () -> {})));
+                            m -> m.onProbe(clock.nowUs(), upstream, outcome, upstreams.tookUs(call), report),
+                            () -> {})));
         }
 
         private static HttpRequest probe() {
--- a/src/main/java/rushproxy/sidecar/SocketErrors.java
+++ b/src/main/java/rushproxy/sidecar/SocketErrors.java
@@ -40,6 +40,7 @@
             return false;
         }
         // Netty adds the address to the words of a failed dial, and has the system's error as its cause.
-        return error.getMessage() != null && CONNECTION_LOST_MESSAGES.contains(error.getMessage()) || isConnectionLost(error.getCause());
+        return error.getMessage() != null && CONNECTION_LOST_MESSAGES.contains(error.getMessage())
+                || isConnectionLost(error.getCause());
     }
 }
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -85,7 +85,14 @@
     }
 
     private Upstreams connectionPool(StallAwareClock time) {
-        return new Upstreams(loop, time, MAX_DURATION_US, 0, MAX_DURATION_US, () -> CONCURRENCY, new Budget(CONCURRENCY * Body.KEPT));
+        return new Upstreams(
+                loop,
+                time,
+                MAX_DURATION_US,
+                0,
+                MAX_DURATION_US,
+                () -> CONCURRENCY,
+                new Budget(CONCURRENCY * Body.KEPT));
     }
 
     /** The runtime's own generator loads the security providers, of which a sidecar needs nothing else. */
--- a/src/test/java/rushproxy/sidecar/BadInputTest.java
+++ b/src/test/java/rushproxy/sidecar/BadInputTest.java
@@ -131,7 +131,8 @@
     }
 
     private static void broken(String json, String... named) {
-        Config.InvalidConfigException e = assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json));
+        Config.InvalidConfigException e =
+                assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json));
         for (String name : named) {
             assertTrue(e.getMessage().contains(name), e.getMessage());
         }
@@ -145,7 +146,14 @@
                         + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
                         + SidecarRig.list(1, true, SidecarRig.entry("u", "127.0.0.1:8", "Ready", 7))
                         + ",\"settings\":" + SidecarRig.SETTINGS + ",\"new\":{\"x\":[1]}}";
-        assertEquals(7000, SidecarRig.config(good).knownUpstreams().entries().get(0).upstream().startedUs());
+        assertEquals(
+                7000,
+                SidecarRig.config(good)
+                        .knownUpstreams()
+                        .entries()
+                        .get(0)
+                        .upstream()
+                        .startedUs());
         assertEquals(0x8c1f30d27a5be964L, SidecarRig.config(good).seed());
         broken("", "JSON");
         broken("[]", "JSON");
@@ -160,6 +168,7 @@
         broken(good.replace("\"balancers\":2,", ""), "settings", "balancers");
         broken(good.replace("\"balancers\":2", "\"balancers\":\"few\""), "settings", "balancers");
         assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of()));
-        assertThrows(Config.InvalidConfigException.class, () -> Config.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
+        assertThrows(
+                Config.InvalidConfigException.class, () -> Config.read(Map.of("BALANCER_CONFIG", "/nowhere/at/all")));
     }
 }
--- a/src/test/java/rushproxy/sidecar/CordonTest.java
+++ b/src/test/java/rushproxy/sidecar/CordonTest.java
@@ -143,7 +143,10 @@
                         } catch (InterruptedException e) {
                             throw new java.io.InterruptedIOException();
                         }
-                        line.answer("200 OK", "", SidecarRig.list(42, true, SidecarRig.entry("u0", address[0], "Ready", 5_000)));
+                        line.answer(
+                                "200 OK",
+                                "",
+                                SidecarRig.list(42, true, SidecarRig.entry("u0", address[0], "Ready", 5_000)));
                     }
                 })
                 .withAdmin()) {
--- a/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
+++ b/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
@@ -119,7 +119,8 @@
             List<RequestTimeline> all = IntStream.range(0, REQUESTS)
                     .mapToObj(i -> courses.get("a" + i))
                     .toList();
-            assertEquals(List.of(), all.stream().filter(RequestTimeline::isFault).toList());
+            assertEquals(
+                    List.of(), all.stream().filter(RequestTimeline::isFault).toList());
         }
     }
 
--- a/src/test/java/rushproxy/sidecar/DepartureTest.java
+++ b/src/test/java/rushproxy/sidecar/DepartureTest.java
@@ -94,8 +94,8 @@
     void nothingIsSentWhenTheConnectionComesUpAfterTheClientHasGone() throws Exception {
         try (SlowDoor door = new SlowDoor();
                 SidecarRig rig = new SidecarRig((m, line) -> {})) {
-            rig.discovery.script = (m, line) ->
-                    line.answer("200 OK", "", SidecarRig.list(50, true, SidecarRig.entry("u0", door.address(), "Ready", 0)));
+            rig.discovery.script = (m, line) -> line.answer(
+                    "200 OK", "", SidecarRig.list(50, true, SidecarRig.entry("u0", door.address(), "Ready", 0)));
             rig.upstream((m, line) -> {});
             rig.start();
             rig.awaitEvent("list FULL u0=READY");
@@ -166,7 +166,9 @@
                     rig.stallLoop(200, () -> {
                         client.send(SidecarRig.get("a1", 20_000));
                         watch.answer(
-                                "200 OK", "", SidecarRig.list(42, false, SidecarRig.entry("u0", up.address(), "Terminating", 0)));
+                                "200 OK",
+                                "",
+                                SidecarRig.list(42, false, SidecarRig.entry("u0", up.address(), "Terminating", 0)));
                     });
                     rig.awaitEvent("outcome a0");
                     assertEquals("outcome a1 0 NOT_SENT false -", rig.awaitEvent("outcome"));
--- a/src/test/java/rushproxy/sidecar/DiscoveryTest.java
+++ b/src/test/java/rushproxy/sidecar/DiscoveryTest.java
@@ -143,7 +143,8 @@
             rig.upstream((m, line) -> {});
             rig.start();
             rig.awaitEvent("list CACHED");
-            assertEquals("list DELTA u0=READY", rig.awaitEvent("list"), "told of a call it has not made, or of no change");
+            assertEquals(
+                    "list DELTA u0=READY", rig.awaitEvent("list"), "told of a call it has not made, or of no change");
         }
     }
 
--- a/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
+++ b/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
@@ -152,7 +152,10 @@
                 assertEquals("before", served(at, "a1"), this::log);
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
-                        line.answer("200 OK", "", SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
+                        line.answer(
+                                "200 OK",
+                                "",
+                                SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
                 awaitServed(at, "after");
@@ -180,7 +183,10 @@
                 assertTrue(List.of(502, 503).contains(known.status()), log());
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
-                        line.answer("200 OK", "", SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
+                        line.answer(
+                                "200 OK",
+                                "",
+                                SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
                 leave();
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -143,7 +143,8 @@
             assertEquals("NAK no class 'x'\n", rig.callAdmin("limit some class:x 10 in_flight"));
             assertEquals("NAK 'ten' is no number\n", rig.callAdmin("limit some all ten in_flight"));
             assertEquals(
-                    "NAK 'most' is not all, class:NAME or tenant:NAME\n", rig.callAdmin("limit some most 10 in_flight"));
+                    "NAK 'most' is not all, class:NAME or tenant:NAME\n",
+                    rig.callAdmin("limit some most 10 in_flight"));
             assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.callAdmin("limit some all 10 a_day"));
             assertEquals("NAK -1.0 is no limit\n", rig.callAdmin("limit some all -1 in_flight"));
             assertEquals("NAK no such call\n", rig.callAdmin("limit some all 10"));
@@ -210,10 +211,14 @@
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
                         + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
-        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{\"memberz\":true}," + rest))
+        assertTrue(assertThrows(
+                        Config.InvalidConfigException.class,
+                        () -> SidecarRig.config("{\"fleet\":{\"memberz\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.memberz' is unknown"));
-        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{\"members\":true}," + rest))
+        assertTrue(assertThrows(
+                        Config.InvalidConfigException.class,
+                        () -> SidecarRig.config("{\"fleet\":{\"members\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.members' needs 'peer_listen'"));
         for (String[] bad : new String[][] {
@@ -221,7 +226,9 @@
             {"\"limits\":[]", "'fleet.limits' needs 'fleet.shared'"}
         }) {
             assertTrue(
-                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"fleet\":{" + bad[0] + "}," + rest))
+                    assertThrows(
+                                    Config.InvalidConfigException.class,
+                                    () -> SidecarRig.config("{\"fleet\":{" + bad[0] + "}," + rest))
                             .getMessage()
                             .contains(bad[1]),
                     bad[1]);
--- a/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
+++ b/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
@@ -69,8 +69,8 @@
     }
 
     /** Plays a stop of the old process, which is ready and alone unless {@code meanwhile} starts another, under clients that come for 0.4 s. */
-    private static void everybodyIsServedWhoComes(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action meanwhile)
-            throws Exception {
+    private static void everybodyIsServedWhoComes(
+            SidecarRig old, ServerSocketChannel socket, SidecarRig.Action meanwhile) throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
         old.start();
         old.sidecar.warmUp();
@@ -213,7 +213,8 @@
     }
 
     /** Stops the old process and lets a client come, behind whose back the time passes at which the process would leave. */
-    private static void theLastIsServed(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action before) throws Exception {
+    private static void theLastIsServed(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action before)
+            throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
         old.start();
         old.sidecar.warmUp();
--- a/src/test/java/rushproxy/sidecar/LogTest.java
+++ b/src/test/java/rushproxy/sidecar/LogTest.java
@@ -53,15 +53,22 @@
     void theEnvironmentsLevelGoesFirst() throws Exception {
         String json =
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,"
-                        + "\"reset\":true,\"instances\":[]},\"log\":{\"level\":\"warn\"},\"settings\":" + SidecarRig.SETTINGS
+                        + "\"reset\":true,\"instances\":[]},\"log\":{\"level\":\"warn\"},\"settings\":"
+                        + SidecarRig.SETTINGS
                         + "}";
         assertEquals(
                 Level.DEBUG,
-                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "debug")).logOptions().minLevel());
+                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "debug"))
+                        .logOptions()
+                        .minLevel());
         assertEquals(
                 Level.WARN,
-                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "")).logOptions().minLevel());
-        assertTrue(assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
+                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", ""))
+                        .logOptions()
+                        .minLevel());
+        assertTrue(assertThrows(
+                        Config.InvalidConfigException.class,
+                        () -> SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
                 .getMessage()
                 .contains("BALANCER_LOG_LEVEL"));
     }
@@ -78,7 +85,9 @@
         assertEquals(Format.PLAIN, SidecarRig.config("{" + rest).logOptions().format());
         for (String bad : new String[] {"{\"form\":\"xml\"}", "{\"level\":\"loud\"}", "{\"file\":\"x\"}"}) {
             assertTrue(
-                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config("{\"log\":" + bad + "," + rest))
+                    assertThrows(
+                                    Config.InvalidConfigException.class,
+                                    () -> SidecarRig.config("{\"log\":" + bad + "," + rest))
                             .getMessage()
                             .contains("'log."),
                     bad);
--- a/src/test/java/rushproxy/sidecar/SidecarRig.java
+++ b/src/test/java/rushproxy/sidecar/SidecarRig.java
@@ -110,7 +110,8 @@
         return config(json, Map.of("TMPDIR", kept == null ? "" : kept.toString()));
     }
 
-    static Config config(String json, Map<String, String> environment) throws IOException, Config.InvalidConfigException {
+    static Config config(String json, Map<String, String> environment)
+            throws IOException, Config.InvalidConfigException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, json);
--- a/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
+++ b/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
@@ -137,7 +137,13 @@
                     client.send(SidecarRig.get("second", REMAINING_MS));
                 });
                 long toldUs = toldUs(rig, "first");
-                assertTrue(toldUs <= REMAINING_MS * 1_000 - WAIT_MS * 1_000 + EventLoopDelay.HEARTBEAT_INTERVAL_US + STEP_US, "" + toldUs);
+                assertTrue(
+                        toldUs
+                                <= REMAINING_MS * 1_000
+                                        - WAIT_MS * 1_000
+                                        + EventLoopDelay.HEARTBEAT_INTERVAL_US
+                                        + STEP_US,
+                        "" + toldUs);
             }
         }
     }
@@ -192,15 +198,16 @@
         // What is written counts as new, however late this machine is: an embedded loop has no sockets to look at.
         FreezableClock clock = new FreezableClock();
         clock.freeze();
-        ClientInput input = new ClientInput(clock, new EventLoopDelay(), new Budget(1 << 20), new ClientInput.Listener() {
-            @Override
-            public void arrived(long sentUs) {}
+        ClientInput input =
+                new ClientInput(clock, new EventLoopDelay(), new Budget(1 << 20), new ClientInput.Listener() {
+                    @Override
+                    public void arrived(long sentUs) {}
 
-            @Override
-            public void unwatched() {
-                told.incrementAndGet();
-            }
-        });
+                    @Override
+                    public void unwatched() {
+                        told.incrementAndGet();
+                    }
+                });
         EmbeddedChannel channel = new EmbeddedChannel(input);
         channel.freezeTime();
         input.regulate(true, false);
--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamsTest.java
@@ -24,7 +24,8 @@
     private final FreezableClock clock = new FreezableClock();
 
     private final EventLoopDelay loopDelay = new EventLoopDelay();
-    private final EventLoopGroup group = clock.eventLoopGroup(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
+    private final EventLoopGroup group =
+            clock.eventLoopGroup(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
     private final EventLoop loop = group.next();
     private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
@@ -196,8 +197,8 @@
             closes.setDaemon(true);
             closes.start();
             Upstreams upstreams = upstreams(15_000_000, 100);
-            loop.execute(() ->
-                    upstreams.update(list(true, SidecarRig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(
+                    list(true, SidecarRig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
             for (int i = 0; i < 50; i++) {
                 Body body = new Body(() -> {}, -1);
                 loop.execute(() -> {
@@ -285,7 +286,9 @@
                 Peer silent = new Peer((m, line) -> {})) {
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, SidecarRig.entry("a", a.address(), "Ready", 0), SidecarRig.entry("silent", silent.address(), "Ready", 0))));
+                    true,
+                    SidecarRig.entry("a", a.address(), "Ready", 0),
+                    SidecarRig.entry("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("a")));
             assertEquals("a OK", outcome());
             loop.execute(() -> upstreams.start(call("silent")));
@@ -304,7 +307,9 @@
             gone.close();
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
-                    true, SidecarRig.entry("u", up.address(), "Ready", 0), SidecarRig.entry("gone", gone.address(), "Ready", 0))));
+                    true,
+                    SidecarRig.entry("u", up.address(), "Ready", 0),
+                    SidecarRig.entry("gone", gone.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("gone")));
                 assertEquals("gone CONNECT_FAILED", outcome());
