--- a/src/main/java/rushproxy/sidecar/AsyncLogWriter.java
+++ b/src/main/java/rushproxy/sidecar/AsyncLogWriter.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Writes lines to a stream on a thread of its own, so that a reader that is slow or gone holds up nobody who logs. Lines for which there
- * is no room are dropped, and their number is written once there is room again.
+ * Writes log lines to a stream on a separate thread, so that a slow or stalled reader of the stream never blocks the threads that log.
+ * Lines that exceed the limit of pending characters are dropped, and their number is logged later.
  */
 final class AsyncLogWriter {
-    /** Characters that wait to be written, of all lines together. */
+    /** Limit on the characters of all lines not written yet. */
     static final int MAX_PENDING_CHARS = 512 * 1024;
 
     private static final long FLUSH_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -21,21 +21,20 @@
 
     private final PrintStream out;
     private final Queue<String> lines = new ConcurrentLinkedQueue<>();
-    /** Characters of the lines that are not written yet. */
     private final AtomicInteger pendingChars = new AtomicInteger();
 
     private final AtomicInteger droppedLines = new AtomicInteger();
     private final Thread thread;
 
-    /** Begins to write to the stream; the thread lasts as long as the process. */
-    AsyncLogWriter(PrintStream to) {
-        this.out = to;
+    /** Starts a daemon thread that writes to {@code out}. */
+    AsyncLogWriter(PrintStream out) {
+        this.out = out;
         thread = new Thread(this::run, "log");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Takes the line, or drops it. Waits for nothing. */
+    /** Queues the line, or drops it if too much is pending. Never blocks. */
     void write(String line) {
         if (pendingChars.addAndGet(line.length()) <= MAX_PENDING_CHARS) {
             lines.add(line);
@@ -46,10 +45,10 @@
         LockSupport.unpark(thread);
     }
 
-    /** Waits until all lines are written, or for so long at most. */
-    void flush(long mostMs) {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-        while (pendingChars.get() > 0 && System.nanoTime() - untilNanos < 0) {
+    /** Waits until all lines are written, but no longer than {@code timeoutMs}. */
+    void flush(long timeoutMs) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (pendingChars.get() > 0 && System.nanoTime() - deadlineNanos < 0) {
             LockSupport.parkNanos(FLUSH_POLL_NANOS);
         }
     }
@@ -68,7 +67,7 @@
         }
     }
 
-    /** For want of memory one line is lost, and not the log. */
+    /** An error, such as lack of memory, costs one line and not the log thread. */
     private void printOrDrop(String line) {
         try {
             print(line);
@@ -77,12 +76,12 @@
         }
     }
 
-    /** Memory may lack for this line too: then it is tried again later. */
+    /** Logs the number of dropped lines. Retried later if this fails too, as when memory is short. */
     private void reportDropped() {
-        int told = droppedLines.get();
+        int count = droppedLines.get();
         try {
-            print("rushproxy: " + told + " lines of the log were dropped: nobody read it, or there was no memory\n");
-            droppedLines.addAndGet(-told);
+            print("rushproxy: " + count + " log lines were dropped: the reader stalled or memory was short\n");
+            droppedLines.addAndGet(-count);
         } catch (RuntimeException | Error e) {
             LockSupport.parkNanos(this, DROP_REPORT_RETRY_NANOS);
         }
--- a/src/main/java/rushproxy/sidecar/Clock.java
+++ b/src/main/java/rushproxy/sidecar/Clock.java
@@ -1,11 +1,11 @@
 package rushproxy.sidecar;
 
-/** Module time: microseconds that only move forward, whatever becomes of the wall clock. They begin near Unix time, for people. */
+/** A monotonic clock in microseconds. It starts at Unix time, for readability, and ignores later steps of the wall clock. */
 class Clock {
-    private final long unixUs = System.currentTimeMillis() * 1000;
-    private final long nanos = System.nanoTime();
+    private final long startUnixUs = System.currentTimeMillis() * 1000;
+    private final long startNanos = System.nanoTime();
 
     long nowUs() {
-        return unixUs + (System.nanoTime() - nanos) / 1000;
+        return startUnixUs + (System.nanoTime() - startNanos) / 1000;
     }
 }
--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/rushproxy/sidecar/Config.java
@@ -15,9 +15,14 @@
 import rushproxy.wire.WireException;
 
 /**
- * What a sidecar is told at its start. {@code inheritsListener}: the clients' socket is descriptor 0. {@code adminAddress}, {@code stateDirectory}
- * (the folder for what outlives the process), {@code peerListenAddress} and {@code allPeersAddress} are null where there are none.
- * {@code fleet}: the parts of the fleet plane that are on.
+ * The configuration of a sidecar, read from a JSON file and from environment variables, which take precedence.
+ *
+ * @param adminAddress      null if there is no admin server
+ * @param inheritsListener  whether file descriptor 0 is the listening socket for clients
+ * @param stateDirectory    the directory for state that outlives the process; null if nothing is kept
+ * @param peerListenAddress null if no messages from peers are received
+ * @param allPeersAddress   reaches all peers with one datagram; null if there is no such address
+ * @param fleet             the enabled parts of the fleet plane
  */
 record Config(
         String name,
@@ -38,12 +43,12 @@
         FleetOptions fleet,
         Log.Options logOptions) {
 
-    /** {@code shared} is on only where {@code members} is; limits only where both are. */
+    /** {@code shared} requires {@code members}, and limits require both. */
     record FleetOptions(boolean members, boolean shared, List<Limits.Limit> limits) {
         static final FleetOptions NONE = new FleetOptions(false, false, List.of());
     }
 
-    /** A configuration that no sidecar can start with; the message is one line and names the field. */
+    /** Thrown for an invalid configuration. The message is a single line that names the field. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -78,41 +83,41 @@
         Settings settings = reader.read();
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String peer : json.textsOrNone("peers")) {
-            peers.add(address("peers", peer));
+            peers.add(parseAddress("peers", peer));
         }
         Json limits = json.has("limits") ? json.object("limits") : null;
         int sockets = (int) (limits == null ? 1024 : limits.numberOr("sockets", 1024));
         int memoryMb = (int) (limits == null ? 192 : limits.numberOr("memory_mb", 192));
         return new Config(
                 name,
-                told(json, environment, "listen", "BALANCER_LISTEN"),
-                told(json, environment, "discovery", "BALANCER_DISCOVERY"),
-                admin(json, environment),
-                inherits(environment),
-                kept(environment, name),
-                seed(json.text("seed")),
+                requiredAddress(json, environment, "listen", "BALANCER_LISTEN"),
+                requiredAddress(json, environment, "discovery", "BALANCER_DISCOVERY"),
+                adminAddress(json, environment),
+                inheritsListener(environment),
+                stateDirectory(environment, name),
+                parseSeed(json.text("seed")),
                 sockets,
                 memoryMb,
-                optional(json, "peer_listen"),
+                optionalAddress(json, "peer_listen"),
                 peers,
-                optional(json, "peers_all"),
-                known(json),
+                optionalAddress(json, "peers_all"),
+                knownUpstreams(json),
                 settings,
                 reader.dialTimeoutUs(),
-                fleet(json, settings, peers),
-                log(json, environment, name));
+                fleetOptions(json, settings, peers),
+                logOptions(json, environment, name));
     }
 
     /**
-     * {@code "log": {"form": "json", "level": "warn"}}; the words alone where there is no such table. The level of the
-     * environment, if it names one, goes first.
+     * Reads the table {@code "log": {"form": "json", "level": "warn"}}. Without it the format is plain. A level from the
+     * environment takes precedence, so that one process can be debugged without another configuration.
      */
-    private static Log.Options log(Json json, Map<String, String> environment, String name) {
+    private static Log.Options logOptions(Json json, Map<String, String> environment, String name) {
         String level = environment.getOrDefault("BALANCER_LOG_LEVEL", "");
         if (!json.has("log")) {
             return new Log.Options(
                     Log.Format.PLAIN,
-                    word("BALANCER_LOG_LEVEL", Log.Level.class, level.isEmpty() ? "info" : level),
+                    enumConstant("BALANCER_LOG_LEVEL", Log.Level.class, level.isEmpty() ? "info" : level),
                     name);
         }
         Json log = json.object("log");
@@ -122,26 +127,26 @@
             }
         }
         return new Log.Options(
-                word("log.form", Log.Format.class, log.textOr("form", "plain")),
+                enumConstant("log.form", Log.Format.class, log.textOr("form", "plain")),
                 level.isEmpty()
-                        ? word("log.level", Log.Level.class, log.textOr("level", "info"))
-                        : word("BALANCER_LOG_LEVEL", Log.Level.class, level),
+                        ? enumConstant("log.level", Log.Level.class, log.textOr("level", "info"))
+                        : enumConstant("BALANCER_LOG_LEVEL", Log.Level.class, level),
                 name);
     }
 
-    private static <E extends Enum<E>> E word(String field, Class<E> words, String text) {
-        for (E word : words.getEnumConstants()) {
-            if (word.name().toLowerCase(java.util.Locale.ROOT).equals(text)) {
-                return word;
+    private static <E extends Enum<E>> E enumConstant(String field, Class<E> type, String text) {
+        for (E constant : type.getEnumConstants()) {
+            if (constant.name().toLowerCase(java.util.Locale.ROOT).equals(text)) {
+                return constant;
             }
         }
-        throw new IllegalArgumentException("'" + field + "' is none of "
-                + java.util.Arrays.toString(words.getEnumConstants()).toLowerCase(java.util.Locale.ROOT) + " but '"
+        throw new IllegalArgumentException("'" + field + "' must be one of "
+                + java.util.Arrays.toString(type.getEnumConstants()).toLowerCase(java.util.Locale.ROOT) + ", not '"
                 + text + "'");
     }
 
-    /** The parts of the fleet plane that are on: none where there is no {@code fleet}. */
-    private static FleetOptions fleet(Json json, Settings settings, List<InetSocketAddress> peers) {
+    /** Reads the table {@code fleet}. Without it the fleet plane is disabled. */
+    private static FleetOptions fleetOptions(Json json, Settings settings, List<InetSocketAddress> peers) {
         if (!json.has("fleet")) {
             return FleetOptions.NONE;
         }
@@ -155,8 +160,8 @@
         boolean shared = fleet.has("shared") && fleet.flag("shared");
         if (members && (!json.has("peer_listen") || settings.me() < 0 || settings.me() >= peers.size())) {
             throw new IllegalArgumentException(
-                    "'fleet.members' needs 'peer_listen' and 'peers' with this sidecar's number, " + settings.me()
-                            + ", among them");
+                    "'fleet.members' needs 'peer_listen' and an entry for this sidecar at index " + settings.me()
+                            + " of 'peers'");
         }
         if (shared && !members) {
             throw new IllegalArgumentException("'fleet.shared' needs 'fleet.members'");
@@ -167,13 +172,13 @@
                 throw new IllegalArgumentException("'fleet.limits' needs 'fleet.shared'");
             }
             for (Json limit : fleet.objects("limits")) {
-                limits.add(limit(limit, settings, limits));
+                limits.add(parseLimit(limit, settings, limits));
             }
         }
         return new FleetOptions(members, shared, List.copyOf(limits));
     }
 
-    private static Limits.Limit limit(Json json, Settings settings, List<Limits.Limit> before) {
+    private static Limits.Limit parseLimit(Json json, Settings settings, List<Limits.Limit> earlier) {
         for (String name : json.names()) {
             if (!Set.of("name", "class", "tenant", "per_second", "in_flight").contains(name)) {
                 throw new IllegalArgumentException("'fleet.limits." + name + "' is unknown");
@@ -182,9 +187,9 @@
         String name = json.text("name");
         if (json.has("per_second") == json.has("in_flight") || json.has("class") && json.has("tenant")) {
             throw new IllegalArgumentException("'fleet.limits', '" + name
-                    + "' wants 'per_second' or 'in_flight', and 'class', " + "'tenant' or neither");
+                    + "' wants 'per_second' or 'in_flight', and at most one of 'class' " + "and 'tenant'");
         }
-        if (before.stream().anyMatch(l -> l.name().equals(name))) {
+        if (earlier.stream().anyMatch(l -> l.name().equals(name))) {
             throw new IllegalArgumentException("'fleet.limits' names '" + name + "' twice");
         }
         try {
@@ -201,7 +206,7 @@
         }
     }
 
-    private static UpstreamList known(Json json) {
+    private static UpstreamList knownUpstreams(Json json) {
         try {
             return UpstreamList.of(json.object("known"));
         } catch (IllegalArgumentException e) {
@@ -209,55 +214,56 @@
         }
     }
 
-    private static InetSocketAddress told(Json json, Map<String, String> environment, String field, String variable) {
+    private static InetSocketAddress requiredAddress(
+            Json json, Map<String, String> environment, String field, String variable) {
         String text = environment.get(variable);
-        return text == null ? address(field, json.text(field)) : address(variable, text);
+        return text == null ? parseAddress(field, json.text(field)) : parseAddress(variable, text);
     }
 
-    /** Nothing listens where neither names an address; an empty variable names none. */
-    private static InetSocketAddress admin(Json json, Map<String, String> environment) {
+    /** Null, which disables the admin server, if neither the variable nor the file has one. An empty variable counts as unset. */
+    private static InetSocketAddress adminAddress(Json json, Map<String, String> environment) {
         String text = environment.getOrDefault("BALANCER_ADMIN_ADDR", "");
-        return text.isEmpty() ? optional(json, "admin_addr") : address("BALANCER_ADMIN_ADDR", text);
+        return text.isEmpty() ? optionalAddress(json, "admin_addr") : parseAddress("BALANCER_ADMIN_ADDR", text);
     }
 
-    private static boolean inherits(Map<String, String> environment) {
-        String number = environment.getOrDefault("BALANCER_ACCEPT_FD", "");
-        if (!number.isEmpty() && !number.equals("0")) {
-            // The Java runtime can take over no other.
-            throw new IllegalArgumentException("'BALANCER_ACCEPT_FD' is not 0: '" + number + "'");
+    private static boolean inheritsListener(Map<String, String> environment) {
+        String descriptor = environment.getOrDefault("BALANCER_ACCEPT_FD", "");
+        if (!descriptor.isEmpty() && !descriptor.equals("0")) {
+            // Java can only inherit a socket as descriptor 0 (System.inheritedChannel).
+            throw new IllegalArgumentException("'BALANCER_ACCEPT_FD' must be 0, not '" + descriptor + "'");
         }
-        return !number.isEmpty();
+        return !descriptor.isEmpty();
     }
 
-    /** Of this sidecar alone, also where several share the folder for passing files. */
-    private static Path kept(Map<String, String> environment, String name) {
-        String folder = environment.getOrDefault("TMPDIR", "");
+    /** A directory for this sidecar alone, since several may share {@code TMPDIR}. */
+    private static Path stateDirectory(Map<String, String> environment, String name) {
+        String directory = environment.getOrDefault("TMPDIR", "");
         try {
-            return folder.isEmpty()
+            return directory.isEmpty()
                     ? null
-                    : Path.of(folder).resolve("rushproxy-" + name.replaceAll("[^A-Za-z0-9_-]", "_"));
+                    : Path.of(directory).resolve("rushproxy-" + name.replaceAll("[^A-Za-z0-9_-]", "_"));
         } catch (InvalidPathException e) {
-            throw new IllegalArgumentException("'TMPDIR' is no path: '" + folder + "'");
+            throw new IllegalArgumentException("'TMPDIR' is not a valid path: '" + directory + "'");
         }
     }
 
-    private static InetSocketAddress optional(Json json, String field) {
-        return json.has(field) ? address(field, json.text(field)) : null;
+    private static InetSocketAddress optionalAddress(Json json, String field) {
+        return json.has(field) ? parseAddress(field, json.text(field)) : null;
     }
 
-    private static InetSocketAddress address(String field, String text) {
+    private static InetSocketAddress parseAddress(String field, String text) {
         try {
             return UpstreamList.address(text);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException("'" + field + "' is no address: '" + text + "'");
+            throw new IllegalArgumentException("'" + field + "' is not a valid address: '" + text + "'");
         }
     }
 
-    private static long seed(String text) {
+    private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("'seed' is no hexadecimal number: '" + text + "'");
+            throw new IllegalArgumentException("'seed' is not a hexadecimal number: '" + text + "'");
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/ConfigReloader.java
+++ b/src/main/java/rushproxy/sidecar/ConfigReloader.java
@@ -6,16 +6,16 @@
 import java.util.function.Consumer;
 
 /**
- * The configuration was replaced: of all that it says only where discovery is may change while running. Read on a thread of its own,
- * since one that can't be read yet, as while it is being written, is read again.
+ * Reloads the configuration at run time, of which only the address of discovery may change. Runs on a separate thread, since a file
+ * that can't be read, as while it is being written, is read again after a delay.
  */
 final class ConfigReloader {
-    /** A configuration counts 4 s after the signal: by then it was read if it could be. */
+    /** Limits the attempts to 3 s, since a new configuration has to be in force 4 s after the signal. */
     private static final int MAX_ATTEMPTS = 30;
 
     private static final long RETRY_DELAY_MS = 100;
 
-    /** Told where discovery is now, on the reader's thread. */
+    /** Receives the address of discovery, on the reader thread. */
     private final Consumer<InetSocketAddress> onDiscoveryAddress;
 
     ConfigReloader(Consumer<InetSocketAddress> move) {
@@ -23,22 +23,22 @@
     }
 
     void reloadAsync(Map<String, String> environment) {
-        // The file tells of the change; what the environment said at the start is old.
-        Map<String, String> now = new HashMap<>(environment);
-        now.remove("BALANCER_DISCOVERY");
-        Thread reader = new Thread(() -> reloadWithRetries(now), "reload");
+        // The file has the new address; the variable would override it with that of startup.
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("BALANCER_DISCOVERY");
+        Thread reader = new Thread(() -> reloadWithRetries(remaining), "reload");
         reader.setDaemon(true);
         reader.start();
     }
 
     private void reloadWithRetries(Map<String, String> environment) {
-        for (int tries = 1; tries <= MAX_ATTEMPTS; tries++) {
+        for (int attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
             try {
                 applyDiscoveryAddress(environment);
                 return;
             } catch (Config.InvalidConfigException e) {
-                if (tries == 1 || tries == MAX_ATTEMPTS) {
-                    Log.warn("nothing reloaded" + (tries == 1 ? " yet: " : ": ") + e.getMessage());
+                if (attempt == 1 || attempt == MAX_ATTEMPTS) {
+                    Log.warn("nothing reloaded" + (attempt == 1 ? " yet: " : ": ") + e.getMessage());
                 }
             }
             try {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** One at a time, so that what was read last is what is done last. */
+    /** Synchronized, so that of concurrent reloads the last one to read the file is the last one applied. */
     private synchronized void applyDiscoveryAddress(Map<String, String> environment)
             throws Config.InvalidConfigException {
         InetSocketAddress address = Config.read(environment).discovery();
--- a/src/main/java/rushproxy/sidecar/ConnectionBuffers.java
+++ b/src/main/java/rushproxy/sidecar/ConnectionBuffers.java
@@ -7,27 +7,31 @@
 import io.netty.channel.WriteBufferWaterMark;
 import java.net.StandardSocketOptions;
 
-/** How much of a message lies in this program, and in the kernel for it, at each of its connections. */
+/** Limits how much data each connection buffers in this process and in the kernel. */
 final class ConnectionBuffers {
+    private static final int MIN_READ_BYTES = 256;
+    private static final int INITIAL_READ_BYTES = 2048;
     private static final int MAX_READ_BYTES = 16 * 1024;
     private static final WriteBufferWaterMark WRITE_WATER_MARK =
             new WriteBufferWaterMark(MAX_READ_BYTES, 2 * MAX_READ_BYTES);
-    /** The kernel would let megabytes lie there, and tell of room only once a third of them is gone. */
+    /** By default the kernel would buffer megabytes, and signal writability only once a third of them is free. */
     private static final int SOCKET_BUFFER_BYTES = 128 * 1024;
 
     private ConnectionBuffers() {}
 
-    static Bootstrap configure(Bootstrap to) {
-        return to.option(ChannelOption.RECVBUF_ALLOCATOR, receiveBufferAllocator())
+    static Bootstrap configure(Bootstrap bootstrap) {
+        return bootstrap
+                .option(ChannelOption.RECVBUF_ALLOCATOR, receiveBufferAllocator())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK);
     }
 
-    static ServerBootstrap configure(ServerBootstrap to) {
-        return to.childOption(ChannelOption.RECVBUF_ALLOCATOR, receiveBufferAllocator())
+    static ServerBootstrap configure(ServerBootstrap bootstrap) {
+        return bootstrap
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, receiveBufferAllocator())
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK);
     }
 
-    /** What the kernel holds. Not by the transport's own options: a connection whose option can't be set is closed by it. */
+    /** Sets the kernel's buffer sizes. Not done by Netty's channel options, since Netty closes a connection if one can't be set. */
     static TcpConnection withSocketBuffers(TcpConnection connection) {
         connection.options().set(StandardSocketOptions.SO_SNDBUF, SOCKET_BUFFER_BYTES);
         connection.options().set(StandardSocketOptions.SO_RCVBUF, SOCKET_BUFFER_BYTES);
@@ -35,6 +39,6 @@
     }
 
     private static AdaptiveRecvByteBufAllocator receiveBufferAllocator() {
-        return new AdaptiveRecvByteBufAllocator(256, 2048, MAX_READ_BYTES);
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 }
--- a/src/main/java/rushproxy/sidecar/ConnectionHistory.java
+++ b/src/main/java/rushproxy/sidecar/ConnectionHistory.java
@@ -1,8 +1,8 @@
 package rushproxy.sidecar;
 
-/** What is known of one connection at its end, for the log: its age, what was read of it, and why it ended. */
+/** Records what the log reports when a connection closes: its age, the bytes read and the reason. */
 final class ConnectionHistory {
-    /** A call on a socket that can fail. */
+    /** An operation whose failure is recorded. */
     enum SocketOperation {
         REGISTER,
         READ,
@@ -12,7 +12,6 @@
 
     private final long openedNanos = System.nanoTime();
     private long readBytes;
-    /** The peer has ended its side. */
     private boolean peerClosed;
 
     private boolean answered;
@@ -28,20 +27,20 @@
         peerClosed = true;
     }
 
-    /** A part of an answer has been handed to the connection. */
+    /** At least a part of a response was written. */
     void recordResponse() {
         answered = true;
     }
 
-    /** This program closes it; the first reason counts. */
-    void recordCloseReason(CloseReason why) {
-        closeReason = closeReason == null ? why : closeReason;
+    /** Records why this process closes the connection. Only the first reason counts. */
+    void recordCloseReason(CloseReason reason) {
+        closeReason = closeReason == null ? reason : closeReason;
     }
 
-    /** The last call that failed is kept. */
-    void recordFailure(SocketOperation call, Throwable why) {
-        failedOperation = call;
-        error = why;
+    /** Records a failed operation, in place of an earlier one. */
+    void recordFailure(SocketOperation operation, Throwable cause) {
+        failedOperation = operation;
+        error = cause;
     }
 
     long readBytes() {
@@ -52,16 +51,16 @@
         return (System.nanoTime() - openedNanos) / 1000;
     }
 
-    /** Whether it ends by this program's doing, or this machine's, before its client had any part of an answer. */
+    /** Whether this process or machine, and not the peer, ended the connection before any part of a response was written. */
     boolean isClosedLocallyUnanswered() {
         return !answered && !peerClosed && !SocketErrors.isConnectionLost(error);
     }
 
-    /** Why it ended, as words without figures of its own, so that ends of one kind can be counted. */
+    /** Why the connection ended. The text contains nothing specific to the connection, so that equal ends can be counted. */
     String describeEnd() {
-        String words = closeReason == null ? "not taken" : closeReason.words();
+        String reason = closeReason == null ? "not taken" : closeReason.words();
         return failedOperation == null
-                ? words
-                : words + " (" + failedOperation.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
+                ? reason
+                : reason + " (" + failedOperation.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
     }
 }
--- a/src/main/java/rushproxy/sidecar/EventLoopDelay.java
+++ b/src/main/java/rushproxy/sidecar/EventLoopDelay.java
@@ -1,27 +1,27 @@
 package rushproxy.sidecar;
 
 /**
- * How late the event loop runs. A heartbeat that it should get every {@link #HEARTBEAT_INTERVAL_US} tells of hold-ups: what is read after one may
- * have lain in the kernel since, and its client has waited for that time already. Each turn of the loop tells how late a time-out
- * would have run in it.
+ * Measures how late the event loop runs. A heartbeat scheduled every {@link #HEARTBEAT_INTERVAL_US} detects stalls: data read after
+ * one may have waited in the kernel since it began, and the client has waited as long. In addition, each iteration of the loop shows
+ * how late a timer would have run in it.
  */
 final class EventLoopDelay {
     static final long HEARTBEAT_INTERVAL_US = 50_000;
-    /** After a delay of this much the sockets are read before the loop counts as being in time again. */
+    /** A heartbeat this late is a stall, which lasts until the sockets have been polled again. */
     static final long STALL_THRESHOLD_US = 20_000;
-    /** The sockets are read once more before a timer of this length runs. */
+    /** A timer with this delay runs after one more poll of the sockets. */
     static final long EXTRA_POLL_DELAY_MS = 1;
 
-    /** A recent delay counts for half after this. */
+    /** The time in which the recent delay decays to half. */
     private static final double DECAY_HALF_LIFE_US = 250_000;
 
     private long lastHeartbeatUs;
     private long totalStallUs;
     private long recentDelayUs;
     private long recentDelayUpdatedUs;
-    /** Since when a time-out may have been due that has not run by the end of the last look at the sockets. */
+    /** The earliest time at which a timer may have become due that had not run when the last poll ended. */
     private long timersDueSinceUs;
-    /** When the last look at the sockets began. */
+
     private long lastPollStartUs;
 
     void recordHeartbeat(long now) {
@@ -29,56 +29,56 @@
         lastHeartbeatUs = now;
     }
 
-    /** The loop's first turn begins. */
+    /** The event loop starts its first iteration. */
     void recordLoopStart(long now) {
         timersDueSinceUs = now;
     }
 
     /**
-     * The loop has looked at its sockets, and takes up its timers next: one that was due as the turn before began has waited for all of
-     * that turn, and one for which the loop woke waits for another look.
+     * Records a poll of the sockets, after which the loop runs its timers. A timer that became due when the previous iteration had
+     * just started has waited for all of that iteration; one for which the loop woke up waits for the rest of this poll.
      *
-     * @param beganUs     when the loop began to look
-     * @param idleUntilUs until when it had nothing to do but wait for sockets, by its timers; {@code beganUs} where it did not wait
+     * @param startUs     when the poll started
+     * @param idleUntilUs when the next timer was due, up to which the poll could block; {@code startUs} if it could not
      */
-    void recordPoll(long beganUs, long idleUntilUs, long now) {
-        if (idleUntilUs > beganUs) {
-            recordDelay(now, Math.max(beganUs - timersDueSinceUs, now - idleUntilUs));
+    void recordPoll(long startUs, long idleUntilUs, long now) {
+        if (idleUntilUs > startUs) {
+            recordDelay(now, Math.max(startUs - timersDueSinceUs, now - idleUntilUs));
             timersDueSinceUs = Math.min(now, idleUntilUs);
         } else {
             recordDelay(now, now - timersDueSinceUs);
             timersDueSinceUs = now;
         }
-        lastPollStartUs = beganUs;
+        lastPollStartUs = startUs;
     }
 
-    /** Every socket has been looked at since then. */
+    /** When the last poll started. Every socket has been polled since. */
     long lastPollStartUs() {
         return lastPollStartUs;
     }
 
-    /** A time-out would have been late by so much. */
-    void recordDelay(long now, long byUs) {
-        double left = Math.pow(0.5, Math.max(0, now - recentDelayUpdatedUs) / DECAY_HALF_LIFE_US);
-        recentDelayUs = Math.max(byUs, (long) (recentDelayUs * left));
+    /** Records that a timer would have run late by {@code delayUs}. */
+    void recordDelay(long now, long delayUs) {
+        double decay = Math.pow(0.5, Math.max(0, now - recentDelayUpdatedUs) / DECAY_HALF_LIFE_US);
+        recentDelayUs = Math.max(delayUs, (long) (recentDelayUs * decay));
         recentDelayUpdatedUs = now;
     }
 
-    /** A decaying maximum of the delays: what is to be in time has to be begun sooner by this. */
+    /** The decaying maximum of the delays. Work with a deadline has to start earlier by this much. */
     long recentDelayUs() {
         return recentDelayUs;
     }
 
     /**
-     * For how long the loop has been held up in all: the sum of the delays of {@link #STALL_THRESHOLD_US} and more. The difference between two
-     * moments is time in between that nobody else can be blamed for.
+     * The total duration of all stalls so far: the sum of the heartbeat lags of at least {@link #STALL_THRESHOLD_US}. The difference
+     * between two readings is the part of the interval that must not be attributed to clients or upstreams.
      */
     long totalStallUs(long now) {
-        long behindUs = heartbeatLagUs(now);
-        return totalStallUs + (behindUs >= STALL_THRESHOLD_US ? behindUs : 0);
+        long lagUs = heartbeatLagUs(now);
+        return totalStallUs + (lagUs >= STALL_THRESHOLD_US ? lagUs : 0);
     }
 
-    /** For how long the heartbeat that is due has been late; 0 where none is. */
+    /** How long the next heartbeat has been overdue; 0 if it is not. */
     long heartbeatLagUs(long now) {
         return lastHeartbeatUs == 0 ? 0 : Math.max(0, now - lastHeartbeatUs - HEARTBEAT_INTERVAL_US);
     }
--- a/src/main/java/rushproxy/sidecar/EventLoopWatchdog.java
+++ b/src/main/java/rushproxy/sidecar/EventLoopWatchdog.java
@@ -3,25 +3,26 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Waits for the end of an event loop's thread. It ends where an error meets no handler, as when a class can't be loaded or memory lacks
- * for the log too. The process would live on: the kernel lets clients in, nobody answers them, and no signal ends it.
+ * Detects the death of an event loop's thread, which an uncaught error causes, such as a class that can't be loaded or a lack of
+ * memory that affects the error handler too. Otherwise the process would live on: the kernel would accept connections that are never
+ * served, and the process would not react to signals.
  */
 final class EventLoopWatchdog {
     private EventLoopWatchdog() {}
 
-    /** {@code ended} runs once, when the loop's thread has ended. Not for the loop's own thread. */
-    static void start(EventLoop loop, Runnable ended) throws InterruptedException {
-        // The thread, not the loop's termination: an error while the loop cleans up leaves that untold.
-        Thread watched = loop.submit(Thread::currentThread).sync().getNow();
-        Thread watch = new Thread(() -> awaitEnd(watched, ended), "loop-watch");
-        watch.setDaemon(true);
-        watch.start();
+    /** Calls {@code onDeath} once, when the loop's thread has ended. Must not be called on that thread. */
+    static void start(EventLoop loop, Runnable onDeath) throws InterruptedException {
+        // Joins the thread, since the loop's termination future never completes if the loop's cleanup fails.
+        Thread loopThread = loop.submit(Thread::currentThread).sync().getNow();
+        Thread watchdog = new Thread(() -> awaitDeath(loopThread, onDeath), "loop-watch");
+        watchdog.setDaemon(true);
+        watchdog.start();
     }
 
-    private static void awaitEnd(Thread watched, Runnable ended) {
+    private static void awaitDeath(Thread loopThread, Runnable onDeath) {
         try {
-            watched.join();
-            ended.run();
+            loopThread.join();
+            onDeath.run();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rushproxy/sidecar/Log.java
+++ b/src/main/java/rushproxy/sidecar/Log.java
@@ -9,10 +9,9 @@
 import java.util.logging.Logger;
 
 /**
- * Lines to standard error for what an operator should know; on a single request only at the debug level. Of three forms by the
- * configuration's {@code log} table: {@code plain}, the words alone; {@code formatText}, with time, level, node and fields;
- * {@code formatJson}, an object a line. Taken by the runtime's own logging (java.util.logging), to which Netty's goes too, and
- * written by {@link AsyncLogWriter}, which nobody who logs waits for.
+ * Logs to standard error; single requests appear only at the debug level. The {@code log} table of the configuration selects one of
+ * three formats: {@code plain}, the message alone; {@code text}, with time, level, node and fields; {@code json}, one object a line.
+ * Built on java.util.logging, to which Netty logs as well. Lines are written by {@link AsyncLogWriter}, so logging never blocks.
  */
 final class Log {
     enum Level {
@@ -42,49 +41,49 @@
         JSON
     }
 
-    /** How it is to write. {@code minLevel}: what is less grave is left out. */
+    /** The settings of the log. {@code minLevel}: less severe messages are dropped. */
     record Options(Format format, Level minLevel, String node) {
         static final Options DEFAULT = new Options(Format.PLAIN, Level.INFO, "sidecar");
     }
 
     private static final int MAX_STACK_FRAMES = 4;
-    /** A process that ends waits so long for its last lines to be written. */
+    /** How long a terminating process waits for its last lines to be written. */
     private static final long FLUSH_TIMEOUT_MS = 50;
 
     private static final AsyncLogWriter WRITER = new AsyncLogWriter(System.err);
     private static final Logger ROOT_LOGGER = Logger.getLogger("");
     private static final Logger LOGGER = Logger.getLogger("rushproxy");
 
-    /** Kept, since it is asked for every request. */
+    /** Cached, since it is checked for every request. */
     private static boolean debugEnabled;
 
     static {
-        // Netty would look for other libraries first.
+        // Otherwise Netty would probe for other logging libraries first.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         configure(Options.DEFAULT);
     }
 
     private Log() {}
 
-    static void configure(Options style) {
+    static void configure(Options options) {
         for (Handler h : ROOT_LOGGER.getHandlers()) {
             ROOT_LOGGER.removeHandler(h);
         }
-        Handler handler = new WriterHandler(style);
-        handler.setLevel(style.minLevel.julLevel);
+        Handler handler = new WriterHandler(options);
+        handler.setLevel(options.minLevel.julLevel);
         ROOT_LOGGER.addHandler(handler);
-        // Others' words only where they are grave: a request's fate is none.
+        // Libraries log only warnings and errors: Netty would log the failures of single connections.
         ROOT_LOGGER.setLevel(Level.WARN.julLevel);
-        LOGGER.setLevel(style.minLevel.julLevel);
-        debugEnabled = style.minLevel == Level.DEBUG;
+        LOGGER.setLevel(options.minLevel.julLevel);
+        debugEnabled = options.minLevel == Level.DEBUG;
     }
 
-    /** Hands each line to the writer. */
+    /** Formats each record and hands it to the writer. */
     private static final class WriterHandler extends Handler {
         private final Options options;
 
-        WriterHandler(Options style) {
-            this.options = style;
+        WriterHandler(Options options) {
+            this.options = options;
         }
 
         @Override
@@ -103,12 +102,11 @@
         public void close() {}
     }
 
-    /** Before the process ends: its last lines are written if their reader takes them. */
+    /** Waits a short time for pending lines to be written. Called before the process ends. */
     static void flush() {
         WRITER.flush(FLUSH_TIMEOUT_MS);
     }
 
-    /** Whether lines of the debug level are written. */
     static boolean isDebugEnabled() {
         return debugEnabled;
     }
@@ -121,7 +119,7 @@
         event(Level.WARN, text);
     }
 
-    /** {@code fields}: names and values in turn; the plain form leaves them out, since the words say it. */
+    /** {@code fields}: alternating names and values. The plain format omits them, since the text contains them. */
     static void event(Level level, String text, Object... fields) {
         LogRecord r = new LogRecord(level.julLevel, text);
         r.setLoggerName(LOGGER.getName());
@@ -129,21 +127,21 @@
         LOGGER.log(r);
     }
 
-    static String format(Options style, long atMs, Level level, String text, Object... fields) {
-        return switch (style.format) {
+    static String format(Options options, long atMs, Level level, String text, Object... fields) {
+        return switch (options.format) {
             case PLAIN -> "rushproxy: " + text + "\n";
-            case TEXT -> formatText(style, atMs, level, text, fields);
-            case JSON -> formatJson(style, atMs, level, text, fields);
+            case TEXT -> formatText(options, atMs, level, text, fields);
+            case JSON -> formatJson(options, atMs, level, text, fields);
         };
     }
 
-    private static String formatText(Options style, long atMs, Level level, String text, Object... fields) {
+    private static String formatText(Options options, long atMs, Level level, String text, Object... fields) {
         StringBuilder line = new StringBuilder(64 + text.length());
         line.append(Instant.ofEpochMilli(atMs))
                 .append(' ')
                 .append(level)
                 .append(' ')
-                .append(style.node)
+                .append(options.node)
                 .append(' ')
                 .append(text.replace('\n', ' '));
         for (int i = 0; i + 1 < fields.length; i += 2) {
@@ -159,14 +157,14 @@
         return line.append('\n').toString();
     }
 
-    private static String formatJson(Options style, long atMs, Level level, String text, Object... fields) {
+    private static String formatJson(Options options, long atMs, Level level, String text, Object... fields) {
         StringBuilder line = new StringBuilder(96 + text.length());
         line.append("{\"time\":\"")
                 .append(Instant.ofEpochMilli(atMs))
                 .append("\",\"level\":\"")
                 .append(level.name().toLowerCase(Locale.ROOT))
                 .append("\",\"node\":");
-        appendQuoted(line, style.node);
+        appendQuoted(line, options.node);
         line.append(",\"text\":");
         appendQuoted(line, text);
         for (int i = 0; i + 1 < fields.length; i += 2) {
@@ -182,7 +180,7 @@
         return line.append("}\n").toString();
     }
 
-    /** As JSON has it (RFC 8259, section 7). */
+    /** Appends a JSON string (RFC 8259, section 7). */
     private static void appendQuoted(StringBuilder to, String text) {
         to.append('"');
         for (int i = 0; i < text.length(); i++) {
@@ -198,9 +196,9 @@
         to.append('"');
     }
 
-    /** A fault of this program: with the lines at which it arose. */
-    static void exception(String what, Throwable e) {
-        StringBuilder text = new StringBuilder(what).append(": ").append(e);
+    /** Logs an internal error with the top of its stack trace. */
+    static void exception(String message, Throwable e) {
+        StringBuilder text = new StringBuilder(message).append(": ").append(e);
         StackTraceElement[] trace = e.getStackTrace();
         for (int i = 0; i < Math.min(MAX_STACK_FRAMES, trace.length); i++) {
             text.append(" at ").append(trace[i]);
--- a/src/main/java/rushproxy/sidecar/PeriodicTask.java
+++ b/src/main/java/rushproxy/sidecar/PeriodicTask.java
@@ -5,32 +5,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Work that the loop does again and again. A time that fails is logged and the next one comes all the same; left to itself the
- * loop would let the work end there for good, and unsaid, though want of descriptors or memory passes.
+ * Runs a task periodically on an event loop. A failed run is logged and the schedule goes on: by itself the executor would silently
+ * cancel a periodic task that throws, though its cause, such as a lack of descriptors or memory, may pass.
  */
 final class PeriodicTask {
     private PeriodicTask() {}
 
-    /** The result ends it. */
-    static Future<?> scheduleEvery(EventLoop loop, long ms, Runnable work) {
+    /** Runs {@code task} every {@code periodMs} until the returned future is cancelled. */
+    static Future<?> scheduleEvery(EventLoop loop, long periodMs, Runnable task) {
         return loop.scheduleAtFixedRate(
                 () -> {
                     try {
-                        work.run();
+                        task.run();
                     } catch (Throwable e) {
                         logFailure(e);
                     }
                 },
-                ms,
-                ms,
+                periodMs,
+                periodMs,
                 TimeUnit.MILLISECONDS);
     }
 
     private static void logFailure(Throwable e) {
         try {
             Log.exception("recurring work failed", e);
-        } catch (Throwable again) {
-            // What it lacks the log may lack too; it is about the next time that this is.
+        } catch (Throwable logFailure) {
+            // Logging may fail for the same reason as the task. The next run matters more than the message.
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/ProcessSignals.java
+++ b/src/main/java/rushproxy/sidecar/ProcessSignals.java
@@ -5,10 +5,10 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** What the platform asks of the process, from its first moment on. */
+/** Handles the signals sent to the process: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration. */
 final class ProcessSignals {
     private final Map<String, String> environment;
-    /** Null while there is none yet. */
+    /** Null until startup is complete. */
     private Sidecar sidecar;
 
     private boolean reloadPending;
@@ -17,25 +17,26 @@
         this.environment = environment;
     }
 
-    /** False where a reload can't be asked for: the runtime leaves a signal ignored that was so at its start. */
+    /** Returns false if reloads are impossible, since the JVM keeps ignoring a SIGHUP that was ignored when it started. */
     boolean installHandlers() {
-        // Not a hook of the runtime's end: by then its logging has been taken down, and the last lines with it.
-        for (String end : List.of("TERM", "INT")) {
-            Signal.handle(new Signal(end), s -> onStopSignal());
+        // Not a shutdown hook: java.util.logging may already have been reset when hooks run, which would lose the last
+        // lines.
+        for (String name : List.of("TERM", "INT")) {
+            Signal.handle(new Signal(name), s -> onStopSignal());
         }
         return Signal.handle(new Signal("HUP"), s -> onReloadSignal()) != SignalHandler.SIG_IGN;
     }
 
-    synchronized void sidecarStarted(Sidecar now) {
-        sidecar = now;
+    synchronized void sidecarStarted(Sidecar started) {
+        sidecar = started;
         if (reloadPending) {
-            now.reload(environment);
+            started.reload(environment);
         }
     }
 
     private synchronized void onStopSignal() {
-        // A stop that was asked for and went well is no failure, whatever signal asked; before the start nothing is
-        // held.
+        // A requested stop exits with status 0 for either signal. Before startup is complete there is nothing to
+        // finish.
         if (sidecar == null) {
             exit();
         }
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -19,20 +19,20 @@
 import rushproxy.Balancer.ListKind;
 import rushproxy.Policy;
 
-/** One sidecar: starts its parts on one event loop, which owns them all, and ends them in good order. */
+/** A sidecar process: wires up the components, which all run on one event loop, and starts and stops them in order. */
 public final class Sidecar {
-    /** Descriptors for the program itself: some 15 files, listeners and selectors, and all that operators may hold. */
+    /** File descriptors not available to connections: about 15 files, listeners and selectors, and the admin connections. */
     private static final int RESERVED_DESCRIPTORS = 32 + AdminServer.MOST_CALLERS;
 
     private static final int MIN_SOCKETS_PER_SIDE = 16;
-    /** A sixteenth of the memory may hold bodies and answers: the runtime's own parts take a third and more. */
+    /** Buffered bodies and responses get 1/16 of the memory limit, since the JVM itself needs more than a third of it. */
     private static final int BUFFER_BUDGET_SHIFT = 4;
-    /** An answer to a probe that takes longer tells nothing of now. */
+    /** A probe response that takes longer no longer reflects the current state of the server. */
     private static final long PROBE_TIMEOUT_US = 50_000;
 
     private static final long HEARTBEAT_INTERVAL_MS = EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000;
     private static final int HEARTBEATS_PER_REPORT = 100;
-    /** A lag worth a line in the log: more than the margin by which answers precede their deadlines. */
+    /** Lag from which a warning is logged: the smallest margin kept between a response and its deadline. */
     private static final long REPORTED_LAG_US = 15_000;
 
     private final Config config;
@@ -48,60 +48,60 @@
     private final RequestGuard guard;
     private final Requests requests;
     private final StartTimes startTimes;
-    /** The list that the process was started with. */
+    /** The upstream list from the configuration, used until discovery delivers one. */
     private final UpstreamList knownUpstreams;
 
     private final Discovery discovery;
     private final ConfigReloader configReloader;
     private final Peers peers;
-    /** Null where no part of it is on. */
+    /** Null if the fleet plane is disabled. */
     private final FleetPlane fleetPlane;
 
     private final ClientServer clients;
-    /** Null where no second address is named: nobody could call anything out, or back. */
+    /** Null if there is no admin address, without which nothing can be cordoned. */
     private final CordonStore cordonStore;
 
     private Map<String, CordonStore.Mark> cordonMarks = Map.of();
     private InetSocketAddress listenAddress;
-    /** Null where no second address is named. */
+    /** Null if there is no admin address. */
     private InetSocketAddress adminAddress;
 
     private final AnswerDeadlines deadlines;
     private long maxLagUs;
-    /** At the last line of the log; null where the kernel does not tell. */
+    /** As of the last periodic report; null if the kernel does not provide them. */
     private ThreadSchedStats lastSchedStats;
 
     private long heartbeats;
     private boolean stopping;
 
-    /** Makes the module that decides; its actions may be used from then on. */
+    /** Creates the load balancer. It may use {@code actions} as soon as it exists. */
     interface BalancerFactory {
-        Balancer create(Config config, long now, Balancer.Actions actions);
+        Balancer create(Config config, long nowUs, Balancer.Actions actions);
     }
 
-    /** {@code inherited} listens for clients already; null where the sidecar is to listen itself. */
-    Sidecar(Config config, ServerSocketChannel inherited, BalancerFactory module) {
-        this(config, inherited, module, new Clock(), handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
+    /** {@code inherited}: a listening socket passed in by the parent process; null if the sidecar opens its own. */
+    Sidecar(Config config, ServerSocketChannel inherited, BalancerFactory balancerFactory) {
+        this(config, inherited, balancerFactory, new Clock(), handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
     }
 
-    /** {@code loops} makes a group of one loop, whose timers go by {@code clock}. */
+    /** {@code groupFactory} creates a group of one event loop, whose timers must use {@code clock}. */
     Sidecar(
             Config config,
             ServerSocketChannel inherited,
-            BalancerFactory module,
+            BalancerFactory balancerFactory,
             Clock clock,
-            Function<IoHandlerFactory, EventLoopGroup> loops) {
+            Function<IoHandlerFactory, EventLoopGroup> groupFactory) {
         this.clock = clock;
-        group = loops.apply(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
+        group = groupFactory.apply(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
         loop = group.next();
         this.config = config;
         this.inherited = inherited;
-        this.balancerFactory = module;
+        this.balancerFactory = balancerFactory;
         Balancer.Settings settings = config.settings();
         Budget budget = new Budget((long) config.memoryMb() << 20 >> BUFFER_BUDGET_SHIFT);
-        // Those who only come to stay are on the clients' side. What that does not use upstreams may have.
-        int free = Math.max(2 * MIN_SOCKETS_PER_SIDE, config.maxSockets() - RESERVED_DESCRIPTORS);
-        int ofClients = free - Math.max(MIN_SOCKETS_PER_SIDE, free / 4);
+        // Idle connections come from clients, so their share is capped; upstreams may borrow what clients don't use.
+        int availableSockets = Math.max(2 * MIN_SOCKETS_PER_SIDE, config.maxSockets() - RESERVED_DESCRIPTORS);
+        int maxClientSockets = availableSockets - Math.max(MIN_SOCKETS_PER_SIDE, availableSockets / 4);
         StallAwareClock time = new StallAwareClock(clock, loopDelay);
         upstreams = new Upstreams(
                 loop,
@@ -109,8 +109,8 @@
                 settings.limits().connIdleUs(),
                 Upstreams.REST_US,
                 config.dialTimeoutUs(),
-                // A place for the next client is none of those that clients do not use.
-                () -> free - Math.min(ofClients, clients().open() + 1),
+                // One socket is always kept for the next client.
+                () -> availableSockets - Math.min(maxClientSockets, clients().open() + 1),
                 budget);
         guard = new RequestGuard(clock, settings.classes(), invariants);
         requests = new Requests(
@@ -150,20 +150,20 @@
                 upstreams::anyReady,
                 new ClientPlaces(
                         loop,
-                        () -> Math.min(ofClients, free - upstreams.open()),
-                        () -> clients().open() < ofClients && upstreams.closeOldestIdle()),
+                        () -> Math.min(maxClientSockets, availableSockets - upstreams.open()),
+                        () -> clients().open() < maxClientSockets && upstreams.closeOldestIdle()),
                 budget,
                 loopDelay,
                 deadlines,
                 guard);
     }
 
-    /** Runs one sidecar until it is asked to end; only a start that fails returns. */
+    /** Runs a sidecar until a signal stops the process. Returns an exit code only if startup fails. */
     public static int serve(Map<String, String> environment) throws InterruptedException {
-        // Before all else: without handlers of its own the Java runtime ends on these, and a reload that comes now is
-        // meant.
+        // Installed first: without handlers the JVM exits on these signals, and a reload signal during startup must
+        // not be lost.
         ProcessSignals signals = new ProcessSignals(environment);
-        boolean reloads = signals.installHandlers();
+        boolean canReload = signals.installHandlers();
         Config config;
         try {
             config = Config.read(environment);
@@ -179,17 +179,17 @@
             ServerSocketChannel inherited = config.inheritsListener() ? InheritedListener.open() : null;
             sidecar = new Sidecar(
                     config, inherited, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
-            // Before anybody can ask.
+            // Before the listeners open, so that no health check succeeds early.
             sidecar.clients.notReady();
             EventLoopWatchdog.start(sidecar.loop, Sidecar::haltAfterLoopExit);
             sidecar.start();
         } catch (Exception e) {
-            Log.event(Log.Level.ERROR, "can't start: " + e);
+            Log.event(Log.Level.ERROR, "failed to start: " + e);
             Log.flush();
             return 1;
         }
-        if (!reloads) {
-            Log.warn("was started with SIGHUP ignored: it will not reload");
+        if (!canReload) {
+            Log.warn("was started with SIGHUP ignored: configuration reload is disabled");
         }
         signals.sidecarStarted(sidecar);
         sidecar.warmUp();
@@ -198,36 +198,36 @@
         return 0;
     }
 
-    /** Whoever supervises the process starts another. */
+    /** Ends a process whose event loop has died, so that its supervisor restarts it. */
     private static void haltAfterLoopExit() {
         try {
-            Log.event(Log.Level.ERROR, "the event loop has ended, and the process with it");
+            Log.event(Log.Level.ERROR, "the event loop thread has died, halting the process");
             Log.flush();
         } finally {
             Runtime.getRuntime().halt(1);
         }
     }
 
-    /** The configuration file was replaced. */
+    /** Reloads the configuration file. */
     void reload(Map<String, String> environment) {
         configReloader.reloadAsync(environment);
     }
 
     void start() throws InterruptedException {
-        // Where the selector's own wake-up could not be registered, a loop without timers would never see what is
-        // handed to it.
-        Future<?> wakes = PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, () -> {});
+        // If the selector's wake-up descriptor could not be registered, a loop without timers would never run the
+        // tasks submitted to it.
+        Future<?> wakeUps = PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, () -> {});
         upstreams.update(knownUpstreams);
         loop.submit(() -> decisions.start(
                         actions -> {
-                            Balancer made = balancerFactory.create(config, clock.nowUs(), actions);
-                            made.onList(
+                            Balancer balancer = balancerFactory.create(config, clock.nowUs(), actions);
+                            balancer.onList(
                                     clock.nowUs(),
                                     ListKind.CACHED,
                                     knownUpstreams.entries().stream()
                                             .map(UpstreamList.Entry::upstream)
                                             .toList());
-                            return made;
+                            return balancer;
                         },
                         new ModuleActions()))
                 .sync();
@@ -244,33 +244,33 @@
         if (inherited == null) {
             listenAddress = clients.listen(config.listen());
         } else {
-            // Until it has warmed up: a call to the shared address could land in the other process.
+            // A private port for the warm-up: a connection to the shared address could reach the other process.
             listenAddress = clients.listen(new InetSocketAddress(config.listen().getAddress(), 0));
         }
         clients.start();
         if (config.adminAddress() != null) {
-            OperatorCalls calls = new OperatorCalls(
+            OperatorCalls operatorCalls = new OperatorCalls(
                     loop, clients, upstreams, fleetPlane, cordonStore, id -> cordonMarks.containsKey(id));
-            adminAddress = new AdminServer(loop, calls).listen(config.adminAddress());
+            adminAddress = new AdminServer(loop, operatorCalls).listen(config.adminAddress());
         }
         PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, this::onHeartbeat);
-        wakes.cancel(false);
+        wakeUps.cancel(false);
     }
 
-    /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
+    /** Measures how late the event loop runs (CPU shortage, GC pause, blocking code), since that delays every response. */
     private void onHeartbeat() {
         long now = clock.nowUs();
-        long behindUs = loopDelay.heartbeatLagUs(now);
-        maxLagUs = Math.max(maxLagUs, behindUs);
-        // The turn that this beat is part of is told only when it is over.
-        loopDelay.recordDelay(now, behindUs);
+        long lagUs = loopDelay.heartbeatLagUs(now);
+        maxLagUs = Math.max(maxLagUs, lagUs);
+        // The loop iteration in progress is recorded only when it ends.
+        loopDelay.recordDelay(now, lagUs);
         if (loopDelay.recentDelayUs() >= Requests.LEAST_GAIN_US) {
             requests.tighten(deadlines);
         }
-        if (behindUs < EventLoopDelay.STALL_THRESHOLD_US) {
+        if (lagUs < EventLoopDelay.STALL_THRESHOLD_US) {
             loopDelay.recordHeartbeat(now);
         } else {
-            // What lay in the sockets meanwhile is read only now, and is as old as the hold-up.
+            // Data that arrived during the stall is read only now: the stall lasts until the sockets were polled again.
             loop.schedule(
                     () -> loopDelay.recordHeartbeat(clock.nowUs()),
                     EventLoopDelay.EXTRA_POLL_DELAY_MS,
@@ -278,29 +278,29 @@
         }
         if (++heartbeats % HEARTBEATS_PER_REPORT == 0) {
             reportUnansweredConnections();
-            requests.tally((words, fields) -> Log.event(
+            requests.tally((summary, fields) -> Log.event(
                     Log.Level.INFO,
-                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + words + "; "
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + summary + "; "
                             + describeConnections() + describeInvariantViolations(),
                     fields));
             reportLag();
         }
     }
 
-    /** Whether it worked then or waited for a processor says whose the delay was. */
+    /** Run time and run queue wait show whether the delay came from this process or from a lack of CPU. */
     private void reportLag() {
         ThreadSchedStats before = lastSchedStats;
         lastSchedStats = ThreadSchedStats.ofCurrentThread().orElse(null);
         if (maxLagUs >= REPORTED_LAG_US) {
-            String words = "the event loop was late by up to " + maxLagUs / 1000 + " ms in "
+            String text = "the event loop was late by up to " + maxLagUs / 1000 + " ms in "
                     + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
             if (before == null || lastSchedStats == null) {
-                Log.event(Log.Level.WARN, words, "late_ms", maxLagUs / 1000);
+                Log.event(Log.Level.WARN, text, "late_ms", maxLagUs / 1000);
             } else {
                 ThreadSchedStats since = lastSchedStats.since(before);
                 Log.event(
                         Log.Level.WARN,
-                        words + ", in which it ran for " + since.cpuMs() + " ms and waited for a processor for "
+                        text + "; its thread ran for " + since.cpuMs() + " ms and was runnable without a CPU for "
                                 + since.runQueueWaitMs() + " ms",
                         "late_ms",
                         maxLagUs / 1000,
@@ -314,26 +314,26 @@
     }
 
     private void reportUnansweredConnections() {
-        Map<String, Integer> ends = clients.unansweredSinceLast();
-        if (!ends.isEmpty()) {
+        Map<String, Integer> countsByReason = clients.unansweredSinceLast();
+        if (!countsByReason.isEmpty()) {
             Log.event(
                     Log.Level.WARN,
                     "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000
-                            + " s clients' connections ended with no answer: " + ends,
+                            + " s client connections were closed without a response: " + countsByReason,
                     "unanswered",
-                    ends);
+                    countsByReason);
         }
     }
 
-    /** Readies the program's own code before {@link ClientServer} tells the application that it may come. */
+    /** Warms up the JVM before the readiness check of {@link ClientServer} succeeds, and takes over an inherited listener. */
     void warmUp() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        long sinceUs = clock.nowUs();
+        long startUs = clock.nowUs();
         loop.execute(() -> {
             WarmUp warmUp = new WarmUp(loop, clock, config.settings());
             clients.warmsUp(warmUp);
             warmUp.start(listenAddress, () -> {
-                Log.info("warmed up with " + warmUp.successCount() + " requests in " + (clock.nowUs() - sinceUs) / 1_000
+                Log.info("warm-up served " + warmUp.successCount() + " requests in " + (clock.nowUs() - startUs) / 1_000
                         + " ms");
                 done.countDown();
             });
@@ -344,7 +344,7 @@
             clients.take(inherited);
             listenAddress = config.listen();
         }
-        // What discovery has counts as told from the first moment: its first answer goes before the first client.
+        // Ready only after discovery's first response, so that the first clients are served from a current list.
         loop.execute(() -> discovery.whenHeard(() -> {
             if (fleetPlane == null) {
                 clients.warm();
@@ -366,12 +366,12 @@
         return adminAddress;
     }
 
-    /** {@code stopped} runs when all that was taken has been answered and all connections are closed. */
+    /** Stops gracefully. {@code stopped} runs once all accepted requests are answered and all connections are closed. */
     void stop(Runnable stopped) {
-        // The kill is counted from the signal, however late the loop comes to it.
-        long sinceUs = clock.nowUs();
+        // Taken here and not on the loop: the time until SIGKILL runs from the signal, even if the loop is late.
+        long stopRequestedUs = clock.nowUs();
         loop.execute(() -> {
-            // Told again it changes nothing: the time runs from the first call.
+            // A second call must not restart the shutdown deadline.
             if (stopping) {
                 return;
             }
@@ -380,8 +380,8 @@
             if (fleetPlane != null) {
                 fleetPlane.leave();
             }
-            clients.stop(sinceUs, () -> {
-                long afterMs = (clock.nowUs() - sinceUs) / 1000;
+            clients.stop(stopRequestedUs, () -> {
+                long afterMs = (clock.nowUs() - stopRequestedUs) / 1000;
                 Log.event(Log.Level.INFO, "leaves after " + afterMs + " ms", "after_ms", afterMs);
                 stopped.run();
             });
@@ -409,29 +409,28 @@
                 + " to upstreams";
     }
 
-    /** The operators have called upstreams out or back, here or at the other process of an upgrade. */
-    private void applyCordonMarks(Map<String, CordonStore.Mark> now) {
-        Map<String, CordonStore.Mark> before = cordonMarks;
-        cordonMarks = now;
-        for (Map.Entry<String, CordonStore.Mark> e : now.entrySet()) {
+    /** Applies cordons set or lifted by operators, here or at the other process during an upgrade. */
+    private void applyCordonMarks(Map<String, CordonStore.Mark> marks) {
+        Map<String, CordonStore.Mark> previous = cordonMarks;
+        cordonMarks = marks;
+        for (Map.Entry<String, CordonStore.Mark> e : marks.entrySet()) {
             CordonStore.Mark mark = e.getValue();
-            if (!mark.equals(before.get(e.getKey()))) {
+            if (!mark.equals(previous.get(e.getKey()))) {
                 Log.event(
                         Log.Level.INFO,
-                        (mark.out() ? "leaves out " : "has back ") + e.getKey() + ", as the operators ask",
+                        (mark.out() ? "cordoned " : "uncordoned ") + e.getKey() + " by operator request",
                         "upstream",
                         e.getKey(),
                         "out",
                         mark.out());
                 upstreams.cordon(e.getKey(), mark.out());
-                // Told here, it is news of now: the wall clock by which the mark was written may have been stepped
-                // since.
+                // Uses the current time, since the wall clock that stamped the mark may have been stepped since.
                 decisions.call(m -> m.onCordon(clock.nowUs(), e.getKey(), mark.out(), clock.nowUs()), () -> {});
             }
         }
     }
 
-    /** Ends at once, whatever is held. */
+    /** Closes everything at once, including requests in progress. */
     void shutdownNow() {
         if (cordonStore != null) {
             cordonStore.close();
@@ -439,11 +438,11 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Carries out what the module decides. */
+    /** Carries out the load balancer's decisions. */
     private final class ModuleActions implements Balancer.Actions {
         @Override
-        public void send(String request, String upstream, long untilUs) {
-            requests.send(request, upstream, untilUs);
+        public void send(String request, String upstream, long attemptUntilUs) {
+            requests.send(request, upstream, attemptUntilUs);
         }
 
         @Override
@@ -467,14 +466,14 @@
                     upstream,
                     clock.nowUs() + PROBE_TIMEOUT_US,
                     true,
-                    left -> probe(),
+                    left -> probeRequest(),
                     null,
                     (call, outcome, report, body) -> decisions.call(
                             m -> m.onProbe(clock.nowUs(), upstream, outcome, upstreams.tookUs(call), report),
                             () -> {})));
         }
 
-        private static HttpRequest probe() {
+        private static HttpRequest probeRequest() {
             return new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/stats");
         }
 
--- a/src/main/java/rushproxy/sidecar/SocketErrors.java
+++ b/src/main/java/rushproxy/sidecar/SocketErrors.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * Tells what a failed socket call says of its connection: that the peer has ended it, or nothing. The runtime hands on most of the
- * system's errors as the system's words for them alone, so those that end a connection are known by these words. What is not known
- * is taken to be this machine's own and for a moment, which costs a few more attempts of the call where it is not.
+ * Classifies socket errors into those that mean the connection is lost and transient local ones. The JDK reports most system errors
+ * only by the system's message, so lost connections are recognised by message. Unknown errors count as transient, which at worst costs
+ * a few useless retries.
  */
 final class SocketErrors {
-    /** What Linux says for ECONNRESET (the runtime says it shorter), EPIPE, ETIMEDOUT, EHOSTUNREACH and ENOTCONN. */
+    /** The messages of Linux for ECONNRESET (which the JDK shortens), EPIPE, ETIMEDOUT, EHOSTUNREACH and ENOTCONN. */
     private static final Set<String> CONNECTION_LOST_MESSAGES = Set.of(
             "Connection reset",
             "Connection reset by peer",
@@ -23,15 +23,15 @@
 
     private SocketErrors() {}
 
-    /** Whether a connection could not be opened by the peer's doing or the network's, and not this machine's. */
-    static boolean isRemoteConnectFailure(Throwable failedDial) {
-        return failedDial instanceof ConnectException
-                || failedDial instanceof NoRouteToHostException
-                || failedDial instanceof ClosedChannelException
-                || isConnectionLost(failedDial);
+    /** Whether connecting failed because of the peer or the network, and not of this machine. */
+    static boolean isRemoteConnectFailure(Throwable error) {
+        return error instanceof ConnectException
+                || error instanceof NoRouteToHostException
+                || error instanceof ClosedChannelException
+                || isConnectionLost(error);
     }
 
-    /** Whether the call has failed since there is no connection any more, by the peer's doing or the network's. */
+    /** Whether the call failed because the connection no longer exists. */
     static boolean isConnectionLost(Throwable error) {
         if (error instanceof ClosedChannelException) {
             return true;
@@ -39,7 +39,7 @@
         if (!(error instanceof IOException)) {
             return false;
         }
-        // Netty adds the address to the words of a failed dial, and has the system's error as its cause.
+        // For a failed connect Netty appends the address to the message and keeps the system's error as the cause.
         return error.getMessage() != null && CONNECTION_LOST_MESSAGES.contains(error.getMessage())
                 || isConnectionLost(error.getCause());
     }
--- a/src/main/java/rushproxy/sidecar/SocketOptions.java
+++ b/src/main/java/rushproxy/sidecar/SocketOptions.java
@@ -9,45 +9,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The options that one socket is to have. One that can't be set for a moment is tried again, so it costs the option for as long and
- * never the connection.
+ * Sets options on a socket, with retries. A transient failure to set an option delays that option and never costs the connection.
  */
 final class SocketOptions {
     private static final long RETRY_DELAY_MS = 3;
-    /** A second of tries. */
+    /** About a second of retries. */
     private static final int MAX_ATTEMPTS = 330;
 
     private final NetworkChannel socket;
-    /** Those that are not set yet. */
     private final Map<SocketOption<?>, Object> pending = new LinkedHashMap<>();
-    /** Null until the socket belongs to one. */
+    /** Null until the socket is registered with an event loop. */
     private EventLoop loop;
 
     private int attempts;
     private boolean retryScheduled;
-    /** Runs once nothing is pending, or no more is tried; null where nobody waits. */
+    /** Null if there is no callback. */
     private Runnable whenApplied;
 
     SocketOptions(NetworkChannel socket) {
         this.socket = socket;
     }
 
-    /** A value that is still pending for this option is forgotten. */
+    /** Sets an option. Replaces a value still pending for it. */
     <T> void set(SocketOption<T> option, T value) {
         pending.put(option, value);
         attempts = 0;
         applyPending();
     }
 
-    /** What could not be set yet is tried again on this loop. */
-    void retryOn(EventLoop of) {
-        loop = of;
+    /** Sets the event loop on which failed options are retried. */
+    void retryOn(EventLoop eventLoop) {
+        loop = eventLoop;
         scheduleRetryIfPending();
     }
 
-    /** {@code then} runs at once where nothing is pending, and no later than a second from now. */
-    void whenApplied(Runnable then) {
-        whenApplied = then;
+    /** Runs {@code callback} once no option is pending, at the latest after the last retry about a second from now. */
+    void whenApplied(Runnable callback) {
+        whenApplied = callback;
         notifyIfDone();
     }
 
@@ -77,9 +75,9 @@
 
     private void notifyIfDone() {
         if (whenApplied != null && (pending.isEmpty() || attempts >= MAX_ATTEMPTS)) {
-            Runnable then = whenApplied;
+            Runnable callback = whenApplied;
             whenApplied = null;
-            then.run();
+            callback.run();
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/SocketPolling.java
+++ b/src/main/java/rushproxy/sidecar/SocketPolling.java
@@ -6,31 +6,30 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * Puts work off until every socket of the event loop has been looked at once more. What a client or discovery has sent by then, its
- * end above all, is read before the work runs, in whichever order the sockets come. It holds for a connection that was accepted late
- * as well: how long its request and its end have lain there nobody can tell, but both are read.
+ * Defers work until the event loop has polled every socket once more. Whatever clients or discovery have sent by then, above all the
+ * end of a connection, is processed before the work runs, whichever socket it came on. This includes connections accepted late: the
+ * age of a request waiting on one is unknown, but the request and the end of the connection are both read.
  */
 final class SocketPolling {
     static {
-        // Where a change of a registration fails the selector wakes for nothing until it is made anew
-        // (RegistrationRetry, 15 ms). Netty
-        // would rather register everything with another selector, and where that fails for some nobody would know
-        // which.
+        // A failed change of a registration makes the selector wake without events until RegistrationRetry repeats it
+        // (15 ms).
+        // By default Netty would move all channels to a new selector then, and where that fails for some of them there
+        // is no way to know for which.
         System.setProperty("io.netty.selectorAutoRebuildThreshold", "0");
     }
 
     private SocketPolling() {}
 
-    /** Makes the event loop's I/O handler. */
+    /** Creates the event loop's I/O handler. */
     static IoHandlerFactory ioHandlerFactory() {
         return WholeWaits.of(NioIoHandler.newFactory());
     }
 
-    /** Costs two turns of the loop, without a wait. */
+    /** Runs {@code work} after the next poll. Costs two iterations of the loop, neither of which blocks. */
     static void runAfterNextPoll(EventLoop loop, Runnable work) {
-        // A task runs in the turn that it is put into, if that goes on; the turn after is the next to ask for sockets.
-        // Netty
-        // tells of a connection's end by a task of that turn, so the work goes behind those.
+        // A task submitted now may still run in the current iteration; the next iteration polls the sockets. Netty
+        // signals the end of a connection by a task of that iteration, so the work is queued behind those tasks.
         ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(() -> loop.execute(work)));
     }
 }
--- a/src/main/java/rushproxy/sidecar/StallAwareClock.java
+++ b/src/main/java/rushproxy/sidecar/StallAwareClock.java
@@ -1,11 +1,11 @@
 package rushproxy.sidecar;
 
 /**
- * Measures spans of time, and tells how much of each this process's own event loop was held up. What others are judged by (a latency,
- * a missing answer) must not contain that part: they may have done their work, and nobody was there to see it.
+ * Measures elapsed time with and without the stalls of this process's own event loop. Latencies and timeouts of upstreams must not
+ * include stalls: an upstream may have responded in time while the loop could not read the response.
  */
 final class StallAwareClock {
-    /** A moment, and for how long the loop had been held up in all by then. */
+    /** A point in time, and the total duration of stalls up to it. */
     record Timestamp(long atUs, long totalStallUs) {}
 
     private final Clock clock;
@@ -20,7 +20,7 @@
         return clock;
     }
 
-    /** Every socket of the loop has been looked at since then. */
+    /** When the last poll started. Every socket of the loop has been polled since. */
     long lastPollStartUs() {
         return loopDelay.lastPollStartUs();
     }
@@ -34,13 +34,13 @@
         return clock.nowUs() - since.atUs;
     }
 
-    /** The part of the time since then in which the loop ran. */
+    /** The elapsed time less the stalls. */
     long elapsedUnstalledUs(Timestamp since) {
         long now = clock.nowUs();
         return Math.max(0, now - since.atUs - (loopDelay.totalStallUs(now) - since.totalStallUs));
     }
 
-    /** Whether the loop was held up for more than half of the time since then. */
+    /** Whether the loop was stalled for more than half of the elapsed time. */
     boolean wasMostlyStalled(Timestamp since) {
         return 2 * elapsedUnstalledUs(since) < elapsedUs(since);
     }
--- a/src/main/java/rushproxy/sidecar/TcpConnection.java
+++ b/src/main/java/rushproxy/sidecar/TcpConnection.java
@@ -14,13 +14,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A TCP connection, opened or accepted, to which only the peer's end is an end: any other error of a call is this machine's own, and
- * the call is tried again ({@link SocketErrors}), a few milliseconds later: what keeps failing must not keep the loop from waiting.
- * Netty closes a connection at each error of a read or write. The JDK returns a negative number other than -1 for a read that a
- * signal interrupted (EINTR); Netty takes every negative number for the peer's end.
+ * A TCP connection, opened or accepted, that survives transient errors of socket calls. Netty closes a connection on every read or
+ * write error; here only errors that mean the connection is lost do so ({@link SocketErrors}), and other calls are retried. Retries
+ * wait a few milliseconds, so that a call that keeps failing does not make the event loop spin. Interrupted reads (EINTR) need care:
+ * the JDK returns a negative number other than -1 for them, and Netty takes every negative number for the end of the stream.
  */
 final class TcpConnection extends NioSocketChannel implements RegistrationRetry.Registered {
-    /** Told to the handlers where it could not be read for so long that its peer may have gone unseen. */
+    /** User event, fired when reads have failed for so long that the peer may have closed the connection unnoticed. */
     enum ReadFailure {
         FOR_LONG
     }
@@ -33,21 +33,21 @@
     private final FailureSpell readFailures = new FailureSpell(System::nanoTime);
     private BooleanSupplier dataAgeWanted = () -> false;
     private long sinceLastReceiveUs = TcpInfo.UNKNOWN;
-    /** Not asked for readiness to read until the next try. */
+    /** Read readiness is not requested until the next retry. */
     private boolean readPaused;
 
     private boolean readFailureReported;
     private final FailureSpell writeFailures = new FailureSpell(System::nanoTime);
     private boolean writePaused;
-    /** Asked before each write, as long as no byte of what it writes has left; null where nobody asks. */
+    /** Consulted before each attempt until the first byte of a write is sent; null if there is no condition. */
     private BooleanSupplier mayStartWrite;
 
-    /** One that is to be opened. */
+    /** Creates a connection to be opened. */
     TcpConnection() {
         options.set(StandardSocketOptions.TCP_NODELAY, true);
     }
 
-    /** One that was accepted. */
+    /** Wraps an accepted connection. */
     TcpConnection(Channel parent, SocketChannel socket) {
         super(parent, socket);
         options.set(StandardSocketOptions.TCP_NODELAY, true);
@@ -73,19 +73,19 @@
         }
     }
 
-    /** From now on {@code wanted} is asked before each read whether {@link #sinceLastReceiveUs} is needed after it. */
+    /** Measures {@link #sinceLastReceiveUs} before each read for which {@code wanted} is true. */
     void measureDataAgeIf(BooleanSupplier wanted) {
         dataAgeWanted = wanted;
     }
 
-    /** By the kernel, before the last read: how long ago data came last. {@link TcpInfo#UNKNOWN} where it was not wanted or does not tell. */
+    /** The kernel's time since the last receipt of data, as of the last read; {@link TcpInfo#UNKNOWN} if not measured or not available. */
     long sinceLastReceiveUs() {
         return sinceLastReceiveUs;
     }
 
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
-        // Before it: what comes between the two is taken for older than it is, never for younger.
+        // Before the read: data that arrives in between may then be taken for older than it is, but never for younger.
         sinceLastReceiveUs = dataAgeWanted.getAsBoolean() ? TcpInfo.sinceLastReceiveUs(javaChannel()) : TcpInfo.UNKNOWN;
         int n;
         try {
@@ -111,7 +111,7 @@
         return n;
     }
 
-    /** A read that a signal interrupts is made once more at once; one that is interrupted again has failed for a moment. */
+    /** Repeats a read interrupted by a signal once; a second interruption counts as a transient failure. */
     private int readRetryingInterrupt(ByteBuf to) throws Exception {
         int n = super.doReadBytes(to);
         if (n < END_OF_STREAM) {
@@ -123,19 +123,19 @@
         return n;
     }
 
-    /** Whether what comes is read as soon as it comes. */
+    /** Whether incoming data is read as soon as it arrives. */
     boolean isReading() {
         return isActive() && isRegistered() && config().isAutoRead() && !readPaused;
     }
 
-    /** Reads what lies in the socket by now, without waiting to be told of it; nothing where reading waits. */
+    /** Reads the available data without waiting for a readiness event. Does nothing while reading is paused. */
     void readNow() {
         if (isReading()) {
             unsafe().read();
         }
     }
 
-    /** The socket may stay readable all the while: until the next try it is not asked for. */
+    /** Drops the read interest until the retry, since the socket may stay readable and would make the loop spin. */
     private void scheduleReadRetry() {
         readPaused = true;
         removeAndSubmit(NioIoOps.READ);
@@ -159,20 +159,17 @@
 
     // ---- writing
 
-    /**
-     * {@code now} is asked right before each try of a write of which no byte has left: false, and it is not tried. It is forgotten with
-     * the first byte.
-     */
-    void startWriteIf(BooleanSupplier now) {
-        mayStartWrite = now;
+    /** Attempts the next write only while {@code condition} is true. The condition is dropped once the first byte is sent. */
+    void startWriteIf(BooleanSupplier condition) {
+        mayStartWrite = condition;
     }
 
-    /** Whether such a write has not begun to leave. */
+    /** Whether a conditional write has not sent its first byte yet. */
     boolean isWriteNotStarted() {
         return mayStartWrite != null;
     }
 
-    /** Whether the last write failed for a moment. */
+    /** Whether the last write failed with a transient error. */
     boolean isWriteFailing() {
         return writeFailures.failing();
     }
@@ -199,7 +196,7 @@
         }
     }
 
-    /** The socket may stay writable all the while: until the next try it is not asked for. */
+    /** Drops the write interest until the retry, since the socket may stay writable and would make the loop spin. */
     private void scheduleWriteRetry() {
         clearOpWrite();
         if (!writePaused) {
@@ -215,7 +212,7 @@
         }
     }
 
-    /** Ends the output where the transport could not for a moment; it counts as ended there. Nothing may wait to be written. */
+    /** Repeats a shutdown of the output that failed in Netty, which considers it done. No writes may be pending. */
     void shutdownOutputWithRetry() {
         if (!isOpen()) {
             return;
--- a/src/main/java/rushproxy/sidecar/TcpInfo.java
+++ b/src/main/java/rushproxy/sidecar/TcpInfo.java
@@ -9,29 +9,28 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * What the kernel knows of a connection (TCP_INFO): when it last received data, also while nobody had accepted the connection or read
- * from it. It takes a call of Netty's native library and a part of the runtime that are not public; where either is missing nothing is
- * known.
+ * Reads from the kernel (TCP_INFO) when a connection last received data, even if the data has not been read or the connection not been
+ * accepted since. Relies on non-public parts of Netty's native library and of the JDK; if either is missing, the result is unknown.
  */
 final class TcpInfo {
-    /** The kernel does not tell. */
+    /** The result if the kernel's figures are not available. */
     static final long UNKNOWN = -1;
 
-    /** Null where a part is missing. */
+    /** Null if a required part is missing. */
     private static final TcpInfo INSTANCE;
-    /** Why nothing is known; null where it is. */
+    /** Null if the figures are available. */
     private static final String UNAVAILABLE_REASON;
 
     static {
-        TcpInfo found = null;
-        String missing = null;
+        TcpInfo instance = null;
+        String reason = null;
         try {
-            found = lookUp();
+            instance = lookUp();
         } catch (ReflectiveOperationException | RuntimeException | LinkageError e) {
-            missing = rootCause(e).toString();
+            reason = rootCause(e).toString();
         }
-        INSTANCE = found;
-        UNAVAILABLE_REASON = missing;
+        INSTANCE = instance;
+        UNAVAILABLE_REASON = reason;
     }
 
     private static final long US_PER_MS = 1_000;
@@ -67,14 +66,14 @@
         return root;
     }
 
-    /** Loads all that the call takes, which reads files and may unpack one: not for the event loop. What is missing is told once. */
+    /** Loads the native library ahead of use, since that reads files and must not block the event loop. Logs if it is unavailable. */
     static void loadEagerly() {
         if (UNAVAILABLE_REASON != null) {
-            Log.warn("the kernel's figures for connections are unknown: " + UNAVAILABLE_REASON);
+            Log.warn("TCP_INFO is unavailable: " + UNAVAILABLE_REASON);
         }
     }
 
-    /** How long ago the connection last received data, or was established, where it has received none; {@link #UNKNOWN} else. */
+    /** The time since the connection last received data, or since it was established if it has received none; or {@link #UNKNOWN}. */
     static synchronized long sinceLastReceiveUs(SocketChannel connection) {
         if (INSTANCE == null || !connection.isOpen()) {
             return UNKNOWN;
@@ -88,7 +87,7 @@
 
     private long readSinceLastReceiveUs(SocketChannel connection) throws ReflectiveOperationException {
         getTcpInfo.invoke(socketConstructor.newInstance(descriptorField.getInt(connection)), info);
-        // A kernel has a segment size for each connection; what stands in for one may fill in nothing.
+        // The kernel always reports a segment size; emulations of Linux may leave the structure empty.
         return info.rcvMss() == 0 ? UNKNOWN : info.lastDataRecv() * US_PER_MS;
     }
 }
--- a/src/main/java/rushproxy/sidecar/ThreadSchedStats.java
+++ b/src/main/java/rushproxy/sidecar/ThreadSchedStats.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * What the kernel says of a thread.
+ * A thread's scheduling statistics (schedstat of Linux).
  *
- * @param ranMs    processor time that it has had
- * @param waitedMs for how long it was ready to run and had none
+ * @param cpuMs          time spent running
+ * @param runQueueWaitMs time spent runnable, waiting for a CPU
  */
 record ThreadSchedStats(long cpuMs, long runQueueWaitMs) {
     private static final Path CURRENT_THREAD_SCHEDSTAT = Path.of("/proc/thread-self/schedstat");
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** Empty where the kernel does not tell. */
+    /** Empty if the kernel does not provide the statistics. */
     static Optional<ThreadSchedStats> ofCurrentThread() {
         try {
             return Optional.of(parse(Files.readString(CURRENT_THREAD_SCHEDSTAT)));
--- a/src/main/java/rushproxy/sidecar/TimedIoHandler.java
+++ b/src/main/java/rushproxy/sidecar/TimedIoHandler.java
@@ -6,7 +6,7 @@
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.IoRegistration;
 
-/** An event loop's I/O handler that measures each turn of the loop: a turn begins as the handler has looked at the sockets. */
+/** An I/O handler that reports each poll of its event loop to an {@link EventLoopDelay}. */
 final class TimedIoHandler implements IoHandler {
     private static final long NANOS_PER_US = 1_000;
 
@@ -14,25 +14,25 @@
     private final Clock clock;
     private final EventLoopDelay loopDelay;
 
-    private TimedIoHandler(IoHandler handler, Clock clock, EventLoopDelay loopDelay) {
-        this.delegate = handler;
+    private TimedIoHandler(IoHandler delegate, Clock clock, EventLoopDelay loopDelay) {
+        this.delegate = delegate;
         this.clock = clock;
         this.loopDelay = loopDelay;
     }
 
-    /** For one loop alone: {@code loopDelay} is told of its turns on its thread. */
-    static IoHandlerFactory wrap(IoHandlerFactory handlers, Clock clock, EventLoopDelay loopDelay) {
-        return executor -> new TimedIoHandler(handlers.newHandler(executor), clock, loopDelay);
+    /** The factory must serve only one event loop, since {@code loopDelay} is not thread-safe. */
+    static IoHandlerFactory wrap(IoHandlerFactory factory, Clock clock, EventLoopDelay loopDelay) {
+        return executor -> new TimedIoHandler(factory.newHandler(executor), clock, loopDelay);
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        long beganUs = clock.nowUs();
-        long idleUs = context.canBlock() ? context.delayNanos(System.nanoTime()) / NANOS_PER_US : 0;
+        long startUs = clock.nowUs();
+        long blockableUs = context.canBlock() ? context.delayNanos(System.nanoTime()) / NANOS_PER_US : 0;
         try {
             return delegate.run(context);
         } finally {
-            loopDelay.recordPoll(beganUs, beganUs + idleUs, clock.nowUs());
+            loopDelay.recordPoll(startUs, startUs + blockableUs, clock.nowUs());
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -26,20 +26,21 @@
 import rushproxy.Policy;
 
 /**
- * Serves requests before the sidecar says that it is ready: from a client's connection, by a decision module and connections of its
- * own, to the sidecar itself as the upstream. Code that has never run costs a core ten times what it does later: without this the
- * first seconds of requests get it loaded and compiled, and where processes share busy cores most of those requests are late.
+ * Warms up the JVM before the sidecar reports that it is ready. Sends requests to the sidecar itself, which acts as client, proxy and
+ * upstream, with a load balancer and connection pools used for nothing else. Code that has never run costs ten times the CPU time:
+ * without the warm-up, class loading and compilation take place during the first seconds of real traffic, and on shared busy cores
+ * most of those requests miss their deadlines.
  */
 final class WarmUp {
-    /** The compiler takes a method up after some hundred calls; a request makes several of most. */
+    /** The JIT compiles a method after a few hundred calls, and one request calls most methods several times. */
     static final int REQUEST_COUNT = 400;
 
     private static final int CONCURRENCY = 4;
-    /** However little of a core there is, a start is not held up for longer. */
+    /** Upper bound for the delay of startup on a machine that is short of CPU. */
     private static final long MAX_DURATION_US = 5_000_000;
 
     private static final long REQUEST_TIMEOUT_US = 1_000_000;
-    /** As many as a choice of two needs, and one more. */
+    /** One more than power-of-two-choices balancing needs. */
     private static final List<String> UPSTREAM_IDS = List.of("self-0", "self-1", "self-2");
 
     private static final String CLIENT_SIDE_ID = "clients";
@@ -51,13 +52,13 @@
     private final Clock clock;
     private final Settings settings;
     private final List<RequestClass> classes;
-    /** Nobody else can guess it. */
+    /** Unguessable, so that no client's request is taken for one of the warm-up's. */
     private final String uri = "/api/warm-up?" + randomToken();
 
     private final Decisions decisions = new Decisions();
     private final Upstreams upstreams;
     private final Requests requests;
-    /** The clients' side: connections on which requests come. */
+    /** The connections on which the warm-up acts as a client. */
     private final Upstreams clients;
 
     private Runnable onDone;
@@ -95,7 +96,7 @@
                 new Budget(CONCURRENCY * Body.KEPT));
     }
 
-    /** The runtime's own generator loads the security providers, of which a sidecar needs nothing else. */
+    /** Reads the kernel's generator, since {@code SecureRandom} would load security providers that nothing else needs. */
     private static String randomToken() {
         try (InputStream random = Files.newInputStream(KERNEL_RANDOM)) {
             return HexFormat.of().formatHex(random.readNBytes(TOKEN_BYTES));
@@ -111,22 +112,22 @@
         return new Upstream(id, settings.zone(), kind, 0, 0, 1, UpstreamState.READY);
     }
 
-    /** Whether the message is one of the warm-up's own requests or attempts. */
+    /** Whether this is a request or an attempt sent by the warm-up. */
     boolean isOwnMessage(HttpRequest message) {
         return message.uri().equals(uri);
     }
 
-    /** Whether it is an attempt, which has come to its upstream and is answered. */
+    /** Whether this is an attempt, which the sidecar answers in the role of the upstream. */
     boolean isAttempt(HttpRequest message) {
         return isOwnMessage(message) && !message.headers().contains(Headers.CLASS);
     }
 
-    /** Where the warm-up's requests are carried through their attempts. */
+    /** Executes the warm-up's requests, apart from those of real clients. */
     Requests requests() {
         return requests;
     }
 
-    /** {@code self}: where the sidecar listens. {@code whenDone} runs once, on the loop, also if no request is served. */
+    /** {@code self} is the sidecar's own listen address. {@code whenDone} runs once, on the event loop, even if no request succeeds. */
     void start(InetSocketAddress self, Runnable whenDone) {
         onDone = whenDone;
         deadlineUs = clock.nowUs() + MAX_DURATION_US;
@@ -150,7 +151,7 @@
         }
     }
 
-    /** Requests that were answered with success so far. */
+    /** The number of requests answered successfully so far. */
     int successCount() {
         return successCount;
     }
@@ -167,7 +168,7 @@
                 (call, outcome, report, body) -> {
                     inFlight--;
                     successCount += outcome == Outcome.OK ? 1 : 0;
-                    // Not from within: requests that end at once must not pile up on the stack.
+                    // Not called directly: requests that complete at once would recurse until the stack overflows.
                     loop.execute(this::continueOrFinish);
                 }));
     }
@@ -200,7 +201,7 @@
         onDone.run();
     }
 
-    /** Carries out what the module decides here; peers, discovery and the fleet hear nothing of it. */
+    /** Carries out the load balancer's decisions without involving peers, discovery or the fleet plane. */
     private final class ModuleActions implements Balancer.Actions {
         @Override
         public void send(String request, String upstream, long attemptUntilUs) {
--- a/src/test/java/rushproxy/sidecar/LogTest.java
+++ b/src/test/java/rushproxy/sidecar/LogTest.java
@@ -110,7 +110,7 @@
         });
         writer.write("lost\n");
         String told = lines.poll(20, TimeUnit.SECONDS);
-        assertTrue(told != null && told.contains("1 lines of the log were dropped"), told);
+        assertTrue(told != null && told.contains("1 log lines were dropped"), told);
         writer.write("next\n");
         assertEquals("next\n", lines.poll(20, TimeUnit.SECONDS));
     }
--- a/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
+++ b/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
@@ -28,7 +28,7 @@
                 assertEquals(200, client.status());
             }
             long told = sidecar.log.stream()
-                    .filter(line -> line.contains("kernel's figures for connections are unknown"))
+                    .filter(line -> line.contains("TCP_INFO is unavailable"))
                     .count();
             assertEquals(1, told, sidecar.log::toString);
         }
