--- a/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
+++ b/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
@@ -16,60 +16,60 @@
 @Timeout(60)
 class DelayedEventLoopTest {
     private static final long BUSY_MS = 100;
-    private static final long FREE_MS = 20;
-    private static final long PATIENCE_MS = 500;
+    private static final long IDLE_MS = 20;
+    private static final long CLIENT_TIMEOUT_MS = 500;
     private static final int REQUESTS = 60;
-    /** Spreads the requests over the loop's busy and free times. */
+    /** Spreads the requests over the busy and idle periods of the loop. */
     private static final long PAUSE_MS = 17;
 
-    /** One request by the clock in microseconds: when it was sent, taken, due, and its time-out ran. */
+    /** When a request was sent, accepted and due, and when its timeout ran. */
     private static final class RequestTimeline {
         long sentUs;
-        long takenUs;
+        long acceptedUs;
         long dueUs;
-        long ranUs;
-        long busyBeforeUs;
+        long timedOutUs;
+        long previousBusyUs;
 
-        /** Too late for its client, though it was taken in time and the loop came no later to its time-out than it had come just before. */
+        /** Whether it timed out too late, although accepted in time and delayed no longer than the loop had just been. */
         boolean isFault() {
-            long marginUs = Math.min(PATIENCE_MS * 1000 / 4, busyBeforeUs + AnswerDeadlines.LEAST_MARGIN_US);
-            long endUs = sentUs + PATIENCE_MS * 1000;
-            return ranUs > endUs && takenUs <= endUs - marginUs && ranUs - dueUs <= marginUs;
+            long marginUs = Math.min(CLIENT_TIMEOUT_MS * 1000 / 4, previousBusyUs + AnswerDeadlines.LEAST_MARGIN_US);
+            long deadlineUs = sentUs + CLIENT_TIMEOUT_MS * 1000;
+            return timedOutUs > deadlineUs && acceptedUs <= deadlineUs - marginUs && timedOutUs - dueUs <= marginUs;
         }
 
         @Override
         public String toString() {
             return String.format(
-                    "taken %d, due %d, run %d us after it was sent, the loop busy for %d",
-                    takenUs - sentUs, dueUs - sentUs, ranUs - sentUs, busyBeforeUs);
+                    "accepted %d, due %d, timed out %d us after it was sent, the loop busy for %d us before",
+                    acceptedUs - sentUs, dueUs - sentUs, timedOutUs - sentUs, previousBusyUs);
         }
     }
 
-    private final Map<String, RequestTimeline> courses = new ConcurrentHashMap<>();
+    private final Map<String, RequestTimeline> timelines = new ConcurrentHashMap<>();
     private volatile long busyUs;
 
     private static long nowUs() {
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    private void beBusy(SidecarRig rig) {
-        long beganUs = nowUs();
+    private void keepBusy(SidecarRig rig) {
+        long startUs = nowUs();
         try {
             TimeUnit.MILLISECONDS.sleep(BUSY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        busyUs = nowUs() - beganUs;
-        rig.sidecar.loop().schedule(() -> beBusy(rig), FREE_MS, TimeUnit.MILLISECONDS);
+        busyUs = nowUs() - startUs;
+        rig.sidecar.loop().schedule(() -> keepBusy(rig), IDLE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private Thread ask(SidecarRig rig, String id, long patienceMs) {
+    private Thread sendInBackground(SidecarRig rig, String id, long timeoutMs) {
         Thread client = new Thread(() -> {
             try (Peer.Client connection = rig.client()) {
-                connection.send(SidecarRig.get(id, patienceMs));
+                connection.send(SidecarRig.get(id, timeoutMs));
                 long sentUs = nowUs();
                 assertEquals(502, connection.status());
-                courses.get(id).sentUs = sentUs;
+                timelines.get(id).sentUs = sentUs;
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -78,55 +78,55 @@
         return client;
     }
 
-    /** The loop's delay was counted from a heartbeat that was late itself: answers were due 80 ms before their end on a loop 100 ms late. */
+    /** Guards against measuring the loop's delay from a heartbeat that is late itself: a loop 100 ms late left a margin of only 80 ms. */
     @Test
-    void anAnswerIsDueAsMuchEarlierAsTheLoopIsLate() throws Exception {
+    void deadlinesAllowForTheDelayOfTheLoop() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.settings = SidecarRig.SETTINGS.replace("\"objective_us\":300000", "\"objective_us\":800000");
             rig.upstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
-                RequestTimeline course = new RequestTimeline();
-                course.takenUs = nowUs();
-                course.dueUs = course.takenUs + r.remainingUs();
-                course.busyBeforeUs = busyUs;
-                courses.put(r.id(), course);
+                RequestTimeline timeline = new RequestTimeline();
+                timeline.acceptedUs = nowUs();
+                timeline.dueUs = timeline.acceptedUs + r.remainingUs();
+                timeline.previousBusyUs = busyUs;
+                timelines.put(r.id(), timeline);
                 out.send(r.id(), "u0", 0);
             };
             rig.onOutcome = (id, outcome, done, out) -> {
-                RequestTimeline course = courses.get(id);
-                course.ranUs = nowUs();
-                // As it stands in the end: it may have been moved since the request was taken.
+                RequestTimeline timeline = timelines.get(id);
+                timeline.timedOutUs = nowUs();
+                // The final due time: it may have moved since the request was accepted.
                 rig.sidecar
                         .requests()
                         .dueUs(id)
-                        .ifPresent(due -> course.dueUs = course.ranUs + due - new Clock().nowUs());
+                        .ifPresent(due -> timeline.dueUs = timeline.timedOutUs + due - new Clock().nowUs());
                 out.fail(id);
             };
             rig.start();
             for (int i = 0; i < REQUESTS; i++) {
-                ask(rig, "first" + i, 1).join();
+                sendInBackground(rig, "first" + i, 1).join();
             }
-            rig.sidecar.loop().execute(() -> beBusy(rig));
-            TimeUnit.MILLISECONDS.sleep(5 * (BUSY_MS + FREE_MS));
+            rig.sidecar.loop().execute(() -> keepBusy(rig));
+            TimeUnit.MILLISECONDS.sleep(5 * (BUSY_MS + IDLE_MS));
             Thread[] clients = new Thread[REQUESTS];
             for (int i = 0; i < REQUESTS; i++) {
-                clients[i] = ask(rig, "a" + i, PATIENCE_MS);
+                clients[i] = sendInBackground(rig, "a" + i, CLIENT_TIMEOUT_MS);
                 TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
             }
             for (Thread client : clients) {
                 client.join();
             }
             List<RequestTimeline> all = IntStream.range(0, REQUESTS)
-                    .mapToObj(i -> courses.get("a" + i))
+                    .mapToObj(i -> timelines.get("a" + i))
                     .toList();
             assertEquals(
                     List.of(), all.stream().filter(RequestTimeline::isFault).toList());
         }
     }
 
-    /** An answer that lies in its socket as its time-out comes late is read first. */
+    /** Guards against a late timeout that runs before the response waiting in the socket is read. */
     @Test
-    void anAnswerThatCameInAHoldUpIsNotTimedOut() throws Exception {
+    void aResponseReceivedDuringAStallIsNotTimedOut() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             BlockingQueue<Peer.Line> lines = new LinkedBlockingQueue<>();
             rig.upstream((m, line) -> lines.add(line));
--- a/src/test/java/rushproxy/sidecar/DrainTest.java
+++ b/src/test/java/rushproxy/sidecar/DrainTest.java
@@ -6,37 +6,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A drained sidecar says so, answers what it has, holds nobody's connection, and comes back when told. */
+/** A quiesced sidecar fails its readiness check, answers pending requests, closes its connections, and can be resumed. */
 @Timeout(60)
 class DrainTest {
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
-    private static int ready(SidecarRig rig) throws Exception {
+    private static int readinessStatus(SidecarRig rig) throws Exception {
         try (Peer.Client c = rig.client()) {
             return c.send(READY).status();
         }
     }
 
     @Test
-    void readySaysNoAtOnceAndYesAgainAfterTheCallBack() throws Exception {
+    void readinessFailsWhileQuiescedAndRecoversOnResume() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
             rig.upstream((m, line) -> {});
             rig.start();
-            assertEquals(200, ready(rig));
+            assertEquals(200, readinessStatus(rig));
             for (int i = 0; i < 2; i++) {
                 assertEquals("ACK\n", rig.callAdmin("quiesce"));
-                assertEquals(503, ready(rig));
+                assertEquals(503, readinessStatus(rig));
             }
-            assertEquals("ACK\n", rig.callAdmin("health"), "the process runs on");
+            assertEquals("ACK\n", rig.callAdmin("health"), "the process must keep running");
             for (int i = 0; i < 2; i++) {
                 assertEquals("ACK\n", rig.callAdmin("resume"));
-                assertEquals(200, ready(rig));
+                assertEquals(200, readinessStatus(rig));
             }
         }
     }
 
     @Test
-    void openConnectionsEndAfterTheirAnswersAndIdleOnesInTime() throws Exception {
+    void quiesceClosesBusyConnectionsAfterTheirResponsesAndIdleOnesToo() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
             rig.upstream((m, line) -> {
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void afterTheCallBackConnectionsStayOpen() throws Exception {
+    void resumeKeepsConnectionsOpen() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
--- a/src/test/java/rushproxy/sidecar/EventLoopWatchdogTest.java
+++ b/src/test/java/rushproxy/sidecar/EventLoopWatchdogTest.java
@@ -13,19 +13,19 @@
 
 @Timeout(60)
 class EventLoopWatchdogTest {
-    /** Guards against a process that lives on, deaf to signals, after an error has ended its event loop and even that loop's cleaning up. */
+    /** Guards against a process that hangs after an error has ended its event loop and the loop's cleanup has failed too. */
     @Test
-    void theEndOfTheThreadIsToldWhereTheLoopTellsNone() throws Exception {
+    void reportsThreadDeathWhenLoopNeverTerminates() throws Exception {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, SocketPolling.ioHandlerFactory()).next();
         CountDownLatch ended = new CountDownLatch(1);
         EventLoopWatchdog.start(loop, ended::countDown);
-        FastThreadLocal<Object> fails = new FastThreadLocal<>() {
+        FastThreadLocal<Object> failingCleanup = new FastThreadLocal<>() {
             @Override
             protected void onRemoval(Object value) {
                 throw new NoClassDefFoundError();
             }
         };
-        loop.submit(() -> fails.set("")).sync();
+        loop.submit(() -> failingCleanup.set("")).sync();
         assertFalse(ended.await(0, TimeUnit.SECONDS));
         loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         assertTrue(ended.await(30, TimeUnit.SECONDS));
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -25,42 +25,43 @@
 import rushproxy.lab.node.SystemFaults;
 import rushproxy.lab.node.SystemFaults.Call;
 
-/** A real sidecar under injected faults: each request that it takes has one end, in its time, that its client can recognise. */
+/** Runs a sidecar process under injected faults: each request must end in time, exactly once, and in a way its client can detect. */
 @Timeout(120)
 class FaultInjectionIT {
     private static final long REMAINING_MS = 600;
     private static final long SLACK_MS = 70;
-    /** The hold-up that the pages name, and when a stop answers what it holds, before the kill. */
-    private static final long HOLD_UP_MS = 150;
+    /** The longest pause of the process that a shutdown must tolerate. */
+    private static final long STALL_MS = 150;
 
-    private static final long LEAVE_DUE_MS = 250;
-    /** What the machine may be late by itself. */
-    private static final long LATE_MS = 30;
+    /** How long before SIGKILL a shutdown answers the requests it still holds. */
+    private static final long FINAL_ANSWERS_BEFORE_KILL_MS = 250;
+    /** Scheduling delay of the machine from which an attempt does not count. */
+    private static final long MAX_SCHEDULING_DELAY_MS = 30;
 
-    private static final int MOST_TRIES = 5;
+    private static final int MAX_ATTEMPTS = 5;
     private static final long HOUR_MS = 3_600_000;
-    /** Well over the time in which a warm server that was taken to be slow is tried again. */
-    private static final int MOST_WARM_S = 30;
+    /** Well over the time after which a warm server that was found slow gets requests again. */
+    private static final int MAX_WARM_UP_WAIT_S = 30;
 
     @TempDir
     Path folder;
 
-    private FakeServices standIns;
+    private FakeServices services;
     private SidecarProcess sidecar;
 
     @BeforeEach
-    void silentDiscovery() throws Exception {
-        standIns = new FakeServices();
+    void createServices() throws Exception {
+        services = new FakeServices();
     }
 
     @AfterEach
-    void end() throws Exception {
-        standIns.close();
+    void closeServices() throws Exception {
+        services.close();
     }
 
     private void start(int count, Peer.Script script, Map<String, String> environment) throws Exception {
-        standIns.addServers(count, script);
-        sidecar = standIns.start(folder, environment);
+        services.addServers(count, script);
+        sidecar = services.start(folder, environment);
     }
 
     private Optional<SystemFaults> systemFaults() throws Exception {
@@ -71,21 +72,21 @@
         return Optional.of(SystemFaults.with(library.get(), folder.resolve("control"), 7));
     }
 
-    /** How the answer on this connection ends for its client: "whole", "broken", "failed", or "open" where it has no end by then. */
-    private static String end(Peer.Client client, long withinMs) throws Exception {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
+    /** How the client sees the response end: "whole", "broken", "failed", or "open" if it does not end within the time. */
+    private static String awaitResponseEnd(Peer.Client client, long withinMs) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         StringBuilder text = new StringBuilder();
         InputStream in = client.socket.getInputStream();
         try {
             while (true) {
-                long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
+                long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
                 if (leftMs <= 0) {
                     return "open";
                 }
                 client.socket.setSoTimeout((int) leftMs);
                 int b = in.read();
                 if (b < 0) {
-                    return endAt(text.toString());
+                    return classifyAtEndOfStream(text.toString());
                 }
                 text.append((char) b);
                 if (text.indexOf("\r\n\r\n") >= 0 && !text.toString().startsWith("HTTP/1.1 200")) {
@@ -102,14 +103,14 @@
         }
     }
 
-    /** The connection has ended: an answer whose end would be the connection's is whole then. */
-    private static String endAt(String text) {
+    /** Without any framing the end of the connection is the regular end of a response. */
+    private static String classifyAtEndOfStream(String text) {
         boolean framed = text.contains("chunked")
                 || text.toLowerCase(java.util.Locale.ROOT).contains("content-length");
         return text.startsWith("HTTP/1.1 200") && !framed ? "whole" : "broken";
     }
 
-    private static final List<String> HALF_ANSWERS = List.of(
+    private static final List<String> PARTIAL_RESPONSES = List.of(
             "Transfer-Encoding: chunked\r\n\r\n",
             "Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n",
             "Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n4000\r\nmore",
@@ -118,32 +119,32 @@
             "Content-Length: 20\r\n\r\nfirst",
             "Content-Length: 200000\r\n\r\n");
 
-    /** Whatever the framing, an answer that stops half way has an end in its client's time. */
+    /** Guards against clients that wait beyond their deadline for the rest of a response, with any framing. */
     @Test
-    void anAnswerThatStopsHalfWayHasAnEnd() throws Exception {
-        Map<String, String> forms = new ConcurrentHashMap<>();
-        start(2, (m, line) -> line.raw("HTTP/1.1 200 OK\r\n" + forms.get(m.header("X-Txn"))), Map.of());
+    void partialResponsesEndInTime() throws Exception {
+        Map<String, String> partialResponses = new ConcurrentHashMap<>();
+        start(2, (m, line) -> line.raw("HTTP/1.1 200 OK\r\n" + partialResponses.get(m.header("X-Txn"))), Map.of());
         List<String> wrong = new ArrayList<>();
         List<Thread> clients = new ArrayList<>();
         int number = 0;
-        for (String form : HALF_ANSWERS) {
+        for (String partial : PARTIAL_RESPONSES) {
             for (String version : List.of("1.1", "1.0")) {
                 for (String requestClass : List.of("safe", "unsafe")) {
                     String id = "h" + number++;
-                    forms.put(id, form);
+                    partialResponses.put(id, partial);
                     clients.add(new Thread(() -> {
                         try (Peer.Client c = sidecar.client()) {
                             c.send(SidecarProcess.request("GET", version, id, requestClass, REMAINING_MS));
-                            String end = end(c, REMAINING_MS + SLACK_MS);
+                            String end = awaitResponseEnd(c, REMAINING_MS + SLACK_MS);
                             if (end.equals("open") || end.equals("whole")) {
                                 synchronized (wrong) {
-                                    wrong.add(version + " " + requestClass + " " + form.replace("\r\n", "|") + ": "
+                                    wrong.add(version + " " + requestClass + " " + partial.replace("\r\n", "|") + ": "
                                             + end);
                                 }
                             }
                         } catch (Exception e) {
                             synchronized (wrong) {
-                                wrong.add(form + ": " + e);
+                                wrong.add(partial + ": " + e);
                             }
                         }
                     }));
@@ -160,9 +161,9 @@
         assertEquals(0, sidecar.invariantViolations());
     }
 
-    /** A restart that is told while the process runs is one of now, whatever the wall clocks say by then. */
+    /** Guards against a slow start skipped or stretched because the wall clock was stepped: a reported restart counts as just now. */
     @Test
-    void aSteppedWallClockChangesNoSlowStart() throws Exception {
+    void wallClockStepsDoNotAffectSlowStart() throws Exception {
         Optional<SystemFaults> faults = systemFaults();
         Assumptions.assumeTrue(faults.isPresent(), "no C compiler on this machine");
         start(
@@ -172,177 +173,179 @@
         for (long stepMs : new long[] {HOUR_MS, -HOUR_MS}) {
             faults.get().stepWallClock(stepMs);
             Peer restarted = new Peer((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
-            standIns.servers.add(restarted);
-            long generation = 41 + standIns.servers.size();
-            tell(
+            services.servers.add(restarted);
+            long generation = 41 + services.servers.size();
+            publishList(
                     SidecarRig.list(
                             generation,
                             false,
                             SidecarRig.entry("u0", restarted.address(), "Ready", System.currentTimeMillis() + stepMs)),
                     generation);
             double first = share(restarted, 500);
-            assertTrue(first < 0.15, "share of its first half second, clock stepped by " + stepMs + " ms: " + first);
+            assertTrue(first < 0.15, "share in its first half second, clock stepped by " + stepMs + " ms: " + first);
             share(restarted, 4_000);
             double warm = shareOnceWarm(restarted);
-            assertTrue(
-                    warm > 0.1,
-                    "share when it is warm, clock stepped by " + stepMs + " ms: " + warm + "; " + sidecar.log);
+            assertTrue(warm > 0.1, "share once warm, clock stepped by " + stepMs + " ms: " + warm + "; " + sidecar.log);
         }
         assertEquals(0, sidecar.invariantViolations());
     }
 
     /**
-     * The part of all requests that a warm upstream has had by the time that it is more than a tenth, or after half a minute: a server
-     * whose answers were late for want of a processor has no share for some seconds, one that is taken to start in an hour stays cold.
+     * The upstream's share of all requests, as soon as it exceeds a tenth, or after half a minute. A server whose responses were late
+     * for lack of CPU gets no requests for some seconds; one whose start is taken to be an hour ahead would stay cold.
      */
-    private double shareOnceWarm(Peer of) throws Exception {
+    private double shareOnceWarm(Peer upstream) throws Exception {
         double sum = 0;
-        for (int s = 1; s <= MOST_WARM_S; s++) {
-            sum += share(of, 1_000);
+        for (int s = 1; s <= MAX_WARM_UP_WAIT_S; s++) {
+            sum += share(upstream, 1_000);
             if (sum / s > 0.1) {
                 return sum / s;
             }
         }
-        return sum / MOST_WARM_S;
+        return sum / MAX_WARM_UP_WAIT_S;
     }
 
-    /** Answers each call to discovery with the news, until one shows that the sidecar has them. */
-    private void tell(String news, long generation) throws Exception {
-        CountDownLatch has = new CountDownLatch(1);
-        standIns.discovery.script = (m, line) -> {
+    /** Makes discovery answer with the list until a request shows that the sidecar has applied it. */
+    private void publishList(String list, long generation) throws Exception {
+        CountDownLatch applied = new CountDownLatch(1);
+        services.discovery.script = (m, line) -> {
             if (m.path().contains("index=" + generation)) {
-                has.countDown();
+                applied.countDown();
             } else {
-                line.answer("200 OK", "Content-Type: application/json\r\n", news);
+                line.answer("200 OK", "Content-Type: application/json\r\n", list);
             }
         };
-        for (java.net.Socket open; (open = standIns.discovery.accepted.poll()) != null; ) {
+        for (java.net.Socket open; (open = services.discovery.accepted.poll()) != null; ) {
             open.close();
         }
-        assertTrue(has.await(20, TimeUnit.SECONDS), "the sidecar has not taken the news");
+        assertTrue(applied.await(20, TimeUnit.SECONDS), "the sidecar has not applied the list");
     }
 
-    /** The part of a client's requests that this upstream gets in so long a time. */
-    private double share(Peer of, long ms) throws Exception {
-        of.messages.clear();
+    /** Sends requests for the given time and returns the share of them that the upstream received. */
+    private double share(Peer upstream, long durationMs) throws Exception {
+        upstream.messages.clear();
         int sent = 0;
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
         try (Peer.Client c = sidecar.client()) {
-            while (System.nanoTime() < until) {
+            while (System.nanoTime() < deadlineNanos) {
                 c.send(SidecarProcess.get("s" + System.nanoTime(), "safe", 800));
                 assertEquals(200, c.status());
                 sent++;
                 Thread.sleep(1);
             }
         }
-        return of.messages.size() / (double) sent;
+        return upstream.messages.size() / (double) sent;
     }
 
     /**
-     * The pages' hold-up, in the last moment in which it can come: what is owed is answered before the kill all the same. A try in which
-     * this machine was late by itself shows nothing, and is made again.
+     * Guards against requests lost when the process is paused right before the final answers of a shutdown: they must still be answered
+     * before SIGKILL. An attempt in which the machine itself was late proves nothing and is repeated.
      */
     @Test
-    void aHoldUpBeforeTheEndOfAStopLosesNothing() throws Exception {
+    void aStallLateInShutdownLosesNoRequest() throws Exception {
         boolean inTime = false;
         Semaphore arrived = new Semaphore(0);
-        for (int i = 0; i < MOST_TRIES && !inTime; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS && !inTime; i++) {
             start(i == 0 ? 4 : 0, (m, line) -> arrived.release(), Map.of());
-            try (SchedulingDelayMonitor lateness = new SchedulingDelayMonitor()) {
-                List<String> wrong = holdUpBeforeTheEnd(arrived, lateness);
-                inTime = lateness.mostMs() <= LATE_MS;
+            try (SchedulingDelayMonitor delays = new SchedulingDelayMonitor()) {
+                List<String> wrong = stallLateInShutdown(arrived, delays);
+                inTime = delays.maxMs() <= MAX_SCHEDULING_DELAY_MS;
                 if (inTime) {
                     assertEquals(List.of(), wrong);
                 }
             }
             sidecar.close();
         }
-        Assumptions.assumeTrue(inTime, "this machine was late in each try");
+        Assumptions.assumeTrue(inTime, "the machine was too slow in each attempt");
     }
 
-    /** What went wrong, by the clients' records. */
-    private List<String> holdUpBeforeTheEnd(Semaphore arrived, SchedulingDelayMonitor lateness) throws Exception {
+    /** Stops the process with two requests pending, pauses it late in the shutdown, and returns what the clients saw go wrong. */
+    private List<String> stallLateInShutdown(Semaphore arrived, SchedulingDelayMonitor delays) throws Exception {
         List<String> wrong = new ArrayList<>();
         try (Peer.Client safe = sidecar.client();
                 Peer.Client unsafe = sidecar.client()) {
             safe.send(SidecarProcess.get("safe", "safe", 10_000));
             unsafe.send(SidecarProcess.get("unsafe", "unsafe", 10_000));
-            // Both have reached an upstream, which hangs.
+            // Both requests have reached an upstream, which does not answer.
             assertTrue(arrived.tryAcquire(2, 20, TimeUnit.SECONDS));
             long termAt = System.nanoTime();
             sidecar.signal("TERM");
-            signalAt("STOP", termAt, SidecarProcess.KILL_AFTER_MS - LEAVE_DUE_MS - 10, lateness);
-            signalAt("CONT", termAt, SidecarProcess.KILL_AFTER_MS - LEAVE_DUE_MS - 10 + HOLD_UP_MS, lateness);
+            signalAt("STOP", termAt, SidecarProcess.KILL_AFTER_MS - FINAL_ANSWERS_BEFORE_KILL_MS - 10, delays);
+            signalAt(
+                    "CONT",
+                    termAt,
+                    SidecarProcess.KILL_AFTER_MS - FINAL_ANSWERS_BEFORE_KILL_MS - 10 + STALL_MS,
+                    delays);
             for (Peer.Client c : List.of(safe, unsafe)) {
-                c.socket.setSoTimeout((int) Math.max(1, SidecarProcess.KILL_AFTER_MS - passedMs(termAt)));
+                c.socket.setSoTimeout((int) Math.max(1, SidecarProcess.KILL_AFTER_MS - elapsedMs(termAt)));
                 try {
                     int status = c.status();
                     if (status != 502 && status != 503) {
                         wrong.add("was answered " + status);
                     }
                 } catch (IOException e) {
-                    wrong.add("got no answer before the kill: " + e);
+                    wrong.add("got no response before the kill: " + e);
                 }
             }
         }
         return wrong;
     }
 
-    private void signalAt(String name, long sinceNanos, long ms, SchedulingDelayMonitor lateness) throws Exception {
-        sleepUntil(sinceNanos, ms);
+    private void signalAt(String name, long startNanos, long atMs, SchedulingDelayMonitor delays) throws Exception {
+        sleepUntil(startNanos, atMs);
         sidecar.signal(name);
-        lateness.atLeast(passedMs(sinceNanos) - ms);
+        delays.record(elapsedMs(startNanos) - atMs);
     }
 
-    /** How late this machine runs a thread that sleeps for a moment again and again. */
+    /** Measures the machine's scheduling delay with a thread that sleeps for short periods. */
     private static final class SchedulingDelayMonitor implements AutoCloseable {
-        private static final long NAP_MS = 5;
-        private volatile boolean over;
-        private volatile long mostMs;
-        private final Thread thread = new Thread(this::look);
+        private static final long SLEEP_MS = 5;
+        private volatile boolean closed;
+        private volatile long maxMs;
+        private final Thread thread = new Thread(this::measure);
 
         SchedulingDelayMonitor() {
             thread.setDaemon(true);
             thread.start();
         }
 
-        private void look() {
-            while (!over) {
-                long since = System.nanoTime();
+        private void measure() {
+            while (!closed) {
+                long startNanos = System.nanoTime();
                 try {
-                    Thread.sleep(NAP_MS);
+                    Thread.sleep(SLEEP_MS);
                 } catch (InterruptedException e) {
                     return;
                 }
-                atLeast(passedMs(since) - NAP_MS);
+                record(elapsedMs(startNanos) - SLEEP_MS);
             }
         }
 
-        synchronized void atLeast(long ms) {
-            mostMs = Math.max(mostMs, ms);
+        synchronized void record(long delayMs) {
+            maxMs = Math.max(maxMs, delayMs);
         }
 
-        long mostMs() {
-            return mostMs;
+        long maxMs() {
+            return maxMs;
         }
 
         @Override
         public void close() {
-            over = true;
+            closed = true;
         }
     }
 
-    private static long passedMs(long sinceNanos) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
+    private static long elapsedMs(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    private static void sleepUntil(long sinceNanos, long ms) throws InterruptedException {
-        Thread.sleep(Math.max(0, ms - passedMs(sinceNanos)));
+    private static void sleepUntil(long startNanos, long atMs) throws InterruptedException {
+        Thread.sleep(Math.max(0, atMs - elapsedMs(startNanos)));
     }
 
-    /** An interrupted or short call is no end of a connection, and a refused one no reason to lose a request. */
+    /** Guards against interrupted, short or failing system calls that close connections or lose requests. */
     @Test
-    void failingSystemCallsLoseNoRequest() throws Exception {
+    void faultySystemCallsLoseNoRequest() throws Exception {
         Optional<SystemFaults> faults = systemFaults();
         Assumptions.assumeTrue(faults.isPresent(), "no C compiler on this machine");
         Map<String, Integer> runs = new ConcurrentHashMap<>();
@@ -364,7 +367,7 @@
         List<Thread> clients = new ArrayList<>();
         for (int n = 0; n < 16; n++) {
             int client = n;
-            clients.add(new Thread(() -> requests(client, wrong)));
+            clients.add(new Thread(() -> sendRequests(client, wrong)));
         }
         for (Thread t : clients) {
             t.start();
@@ -382,7 +385,7 @@
         assertEquals(0, sidecar.invariantViolations());
     }
 
-    private void requests(int client, ConcurrentLinkedQueue<String> wrong) {
+    private void sendRequests(int client, ConcurrentLinkedQueue<String> wrong) {
         try (Peer.Client c = sidecar.client()) {
             for (int i = 0; i < 100; i++) {
                 String requestClass = i % 2 == 0 ? "unsafe" : "safe";
@@ -390,11 +393,11 @@
                 c.send(SidecarProcess.get(id, requestClass, 800));
                 Peer.Message answer = c.answer();
                 if (answer == null) {
-                    wrong.add(id + " got no answer");
+                    wrong.add(id + " got no response");
                     return;
                 }
                 if (answer.head().startsWith("HTTP/1.1 200") && !answer.body().equals(id)) {
-                    wrong.add(id + " got the answer of another: " + answer.body());
+                    wrong.add(id + " got the response to another request: " + answer.body());
                 }
             }
         } catch (IOException e) {
--- a/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
+++ b/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program with as many descriptors as the platform gives it, or with fewer than it was told, and clients that take them all. */
+/** Runs a sidecar process whose file descriptors are exhausted by clients: within its configured limit, and with a lower {@code ulimit}. */
 @Timeout(120)
 class FileDescriptorLimitTest {
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
-    /** A second address would have a class loader look for more files; it is not what is tried here. */
+    /** Has no admin address, since the admin server would load more classes and so open more files. */
     private static final String CONFIG = """
             {"name":"n0","listen":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":%d,"memory_mb":32},
              "known":%s,"settings":%s}""";
@@ -31,16 +31,17 @@
 
     private final List<Peer.Client> idle = new ArrayList<>();
 
-    private Process start(int port, Peer discovery, Peer upstream, int told, int allowed) throws Exception {
-        String known = SidecarRig.list(41, true, SidecarRig.entry("u0", upstream.address(), "Ready", 0));
+    private Process start(int port, Peer discovery, Peer upstream, int configuredSockets, int descriptorLimit)
+            throws Exception {
+        String knownList = SidecarRig.list(41, true, SidecarRig.entry("u0", upstream.address(), "Ready", 0));
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
                 CONFIG.formatted(
                         port,
                         discovery.address(),
-                        told,
-                        known,
+                        configuredSockets,
+                        knownList,
                         SidecarRig.SETTINGS
                                 .replace("on_request", "pushed")
                                 .replace("\"probing\":true", "\"probing\":false")
@@ -48,7 +49,7 @@
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                "ulimit -n " + allowed + "; exec \"$0\" \"$@\"",
+                "ulimit -n " + descriptorLimit + "; exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-Xmx72m",
@@ -76,7 +77,7 @@
         }
     }
 
-    private Peer.Client ready(Process p, InetSocketAddress at) throws Exception {
+    private Peer.Client connectWhenReady(Process p, InetSocketAddress at) throws Exception {
         while (true) {
             assertTrue(p.isAlive(), log());
             try {
@@ -86,14 +87,14 @@
                 }
                 c.close();
             } catch (IOException e) {
-                // not yet
+                // Not listening yet.
             }
             Thread.sleep(50);
         }
     }
 
-    /** Clients that are known, so that none is closed for saying nothing, and rest. */
-    private void rest(InetSocketAddress at, int clients) throws IOException {
+    /** Opens idle connections. Each has sent a request, since connections that never send one are closed sooner. */
+    private void openIdleClients(InetSocketAddress at, int clients) throws IOException {
         for (int i = 0; i < clients; i++) {
             Peer.Client c = new Peer.Client(at);
             c.socket.setSoTimeout(300);
@@ -101,55 +102,57 @@
             try {
                 c.send(READY).status();
             } catch (IOException e) {
-                // It waits at the door, or was closed for others that wait there.
+                // The connection waits in the accept queue, or was closed to make room for others that wait there.
             }
         }
     }
 
-    private void leave() throws IOException {
+    private void closeIdleClients() throws IOException {
         for (Peer.Client c : idle) {
             c.close();
         }
         idle.clear();
     }
 
-    private static String served(InetSocketAddress at, String id) throws IOException {
+    private static String get(InetSocketAddress at, String id) throws IOException {
         try (Peer.Client c = new Peer.Client(at)) {
             Peer.Message m = c.send(SidecarRig.get(id, 2_500)).answer();
             return m == null
-                    ? "nothing"
+                    ? "no response"
                     : m.head().startsWith("HTTP/1.1 200")
                             ? m.body()
                             : m.head().lines().findFirst().get();
         }
     }
 
-    private void awaitServed(InetSocketAddress at, String wanted) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        for (String now = ""; !now.equals(wanted); now = served(at, "b" + System.nanoTime())) {
-            String last = now;
-            assertTrue(System.nanoTime() < until, () -> "the news never came, but '" + last + "': " + log());
+    private void awaitBody(InetSocketAddress at, String expected) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        for (String body = ""; !body.equals(expected); body = get(at, "b" + System.nanoTime())) {
+            String last = body;
+            assertTrue(
+                    System.nanoTime() < deadlineNanos,
+                    () -> "the new list never took effect, last response '" + last + "': " + log());
         }
     }
 
-    private void ends(Process p) throws Exception {
+    private void assertStopsCleanly(Process p) throws Exception {
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, p.exitValue(), log());
     }
 
-    /** While discovery is silent clients come and rest, more than there are descriptors; all that is not theirs goes on. */
+    /** Guards against idle clients that take the descriptors needed for upstreams, for discovery and for the shutdown. */
     @Test
-    void restingClientsLeaveRoomForDiscoveryForUpstreamsAndForTheEnd() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryUpstreamsAndShutdown() throws Exception {
         try (Peer discovery = new Peer((m, line) -> {});
                 Peer before = new Peer((m, line) -> line.answer("200 OK", "", "before"));
                 Peer after = new Peer((m, line) -> line.answer("200 OK", "", "after"))) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", freePort());
             Process p = start(at.getPort(), discovery, before, 256, 256);
             try {
-                ready(p, at).close();
-                rest(at, 300);
-                assertEquals("before", served(at, "a1"), this::log);
+                connectWhenReady(p, at).close();
+                openIdleClients(at, 300);
+                assertEquals("before", get(at, "a1"), this::log);
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer(
@@ -158,29 +161,29 @@
                                 SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
-                awaitServed(at, "after");
-                ends(p);
+                awaitBody(at, "after");
+                assertStopsCleanly(p);
             } finally {
-                leave();
+                closeIdleClients();
                 p.destroyForcibly();
             }
         }
     }
 
-    /** Told of more than there are, it runs out of them: what can't be opened has failed, and nothing else is lost by that. */
+    /** The configured limit exceeds {@code ulimit}: connections that can't be opened fail in time, and all recovers afterwards. */
     @Test
-    void withoutDescriptorsConnectionsFailAndAreTriedAgain() throws Exception {
+    void recoversFromDescriptorExhaustion() throws Exception {
         try (Peer discovery = new Peer((m, line) -> line.socket().close());
                 Peer before = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "before"));
                 Peer after = new Peer((m, line) -> line.answer("200 OK", "", "after"))) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", freePort());
             Process p = start(at.getPort(), discovery, before, 2_048, 200);
-            try (Peer.Client known = ready(p, at)) {
-                assertEquals("before", served(at, "a1"), this::log);
-                rest(at, 200);
-                // No descriptor is left: the answer comes all the same, and in time.
-                known.send(SidecarRig.get("a2", 2_500));
-                assertTrue(List.of(502, 503).contains(known.status()), log());
+            try (Peer.Client connected = connectWhenReady(p, at)) {
+                assertEquals("before", get(at, "a1"), this::log);
+                openIdleClients(at, 200);
+                // No descriptor is left, but the request is still answered in time.
+                connected.send(SidecarRig.get("a2", 2_500));
+                assertTrue(List.of(502, 503).contains(connected.status()), log());
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer(
@@ -189,11 +192,11 @@
                                 SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
-                leave();
-                awaitServed(at, "after");
-                ends(p);
+                closeIdleClients();
+                awaitBody(at, "after");
+                assertStopsCleanly(p);
             } finally {
-                leave();
+                closeIdleClients();
                 p.destroyForcibly();
             }
         }
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -16,34 +16,34 @@
 import rushproxy.lab.node.SystemFaults;
 import rushproxy.lab.node.SystemFaults.Call;
 
-/** The event loop waits again and again while no call succeeds and clients do nothing, or nothing good. */
+/** The event loop must not spin while system calls fail and clients are idle or misbehave. */
 @Timeout(60)
 class IdleLoopIT {
     private static final int CLIENTS = 8;
-    /** By then all that can be read has been. */
+    /** Time for everything readable to be read. */
     private static final long SETTLED_MS = 500;
 
-    private static final long LOOKED_AT_MS = 1_000;
+    private static final long MEASURED_MS = 1_000;
 
     @TempDir
     Path folder;
 
     private final List<Peer.Client> clients = new ArrayList<>();
 
-    /** By the kernel: how long the thread has run, and how often it has waited. */
-    private record ThreadStats(long ranMs, long waits) {
+    /** The kernel's CPU time and number of voluntary context switches of a thread. */
+    private record ThreadStats(long cpuMs, long waits) {
         static ThreadStats of(Path thread) throws Exception {
-            long ranMs = ThreadSchedStats.parse(Files.readString(thread.resolve("schedstat")))
+            long cpuMs = ThreadSchedStats.parse(Files.readString(thread.resolve("schedstat")))
                     .cpuMs();
             String waits = Files.readAllLines(thread.resolve("status")).stream()
                     .filter(line -> line.startsWith("voluntary_ctxt_switches"))
                     .findFirst()
                     .orElseThrow();
-            return new ThreadStats(ranMs, Long.parseLong(waits.replaceAll("\\D", "")));
+            return new ThreadStats(cpuMs, Long.parseLong(waits.replaceAll("\\D", "")));
         }
     }
 
-    private static Path loopOf(SidecarProcess sidecar) throws Exception {
+    private static Path eventLoopThread(SidecarProcess sidecar) throws Exception {
         Path threads = Path.of("/proc", Long.toString(sidecar.process.pid()), "task");
         try (DirectoryStream<Path> all = Files.newDirectoryStream(threads)) {
             for (Path thread : all) {
@@ -52,11 +52,11 @@
                 }
             }
         }
-        throw new AssertionError("there is no loop");
+        throw new AssertionError("no event loop thread found");
     }
 
-    /** Of each four one waits, one has sent more than is kept, one ends its side with its request, and one resets all of that. */
-    private void clientsThatDoNothingGood(SidecarProcess sidecar) throws Exception {
+    /** Opens clients of four kinds: one waits, one sends more than is buffered, one shuts down its output, one sends too much and resets. */
+    private void openMisbehavingClients(SidecarProcess sidecar) throws Exception {
         for (int i = 0; i < CLIENTS; i++) {
             Peer.Client client = sidecar.client();
             clients.add(client);
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Guards against a thread that did not wait for anything: a read that was interrupted again and again was made in each turn of the loop. */
+    /** Guards against failing calls that are retried in every iteration of the loop, such as a read that is interrupted each time. */
     @ParameterizedTest
     @EnumSource(
             names = {
@@ -84,27 +84,27 @@
                 "SHUTDOWN_FAILS",
                 "CONNECT_FAILS"
             })
-    void theLoopWaitsWhileCallsFail(Call call) throws Exception {
+    void loopDoesNotSpinWhileCallsFail(Call call) throws Exception {
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
         SystemFaults faults = SystemFaults.with(library.get(), folder.resolve("control"), 7);
-        try (FakeServices standIns = new FakeServices()) {
-            standIns.addServers(2, (message, line) -> {});
-            SidecarProcess sidecar = standIns.start(folder, faults.environment());
-            clientsThatDoNothingGood(sidecar);
+        try (FakeServices services = new FakeServices()) {
+            services.addServers(2, (message, line) -> {});
+            SidecarProcess sidecar = services.start(folder, faults.environment());
+            openMisbehavingClients(sidecar);
             faults.set(call, 1);
-            clientsThatDoNothingGood(sidecar);
+            openMisbehavingClients(sidecar);
             Thread.sleep(SETTLED_MS);
-            Path loop = loopOf(sidecar);
+            Path loop = eventLoopThread(sidecar);
             ThreadStats before = ThreadStats.of(loop);
-            Thread.sleep(LOOKED_AT_MS);
+            Thread.sleep(MEASURED_MS);
             ThreadStats after = ThreadStats.of(loop);
-            long ranMs = after.ranMs - before.ranMs;
+            long cpuMs = after.cpuMs - before.cpuMs;
             long waits = after.waits - before.waits;
-            // Its heartbeat alone is a wait in each of these.
+            // The heartbeat alone makes the loop wait once in each interval.
             assertTrue(
-                    ranMs * 1000 <= waits * EventLoopDelay.HEARTBEAT_INTERVAL_US,
-                    () -> call + ": it ran for " + ranMs + " ms and waited " + waits + " times");
+                    cpuMs * 1000 <= waits * EventLoopDelay.HEARTBEAT_INTERVAL_US,
+                    () -> call + ": it ran for " + cpuMs + " ms and waited " + waits + " times");
         } finally {
             for (Peer.Client client : clients) {
                 client.close();
--- a/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
+++ b/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A second process takes clients from the socket that both have, and the first leaves without losing one. */
+/** Two processes share the listening socket during an upgrade: the new one takes over and the old one stops without losing a client. */
 @Timeout(60)
 class ListenerHandoverTest {
-    private static ServerSocketChannel socket() throws Exception {
+    private static ServerSocketChannel openListener() throws Exception {
         return ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
     }
 
@@ -34,20 +34,20 @@
     }
 
     @Test
-    void theOldLeavesTheListenerOpenAndClosesWhatIsQuiet() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket);
-                SidecarRig fresh = rig(socket)) {
+    void stoppingClosesIdleConnectionsButNotTheListener() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket);
+                SidecarRig newProcess = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-            old.start();
-            old.sidecar.warmUp();
+            oldProcess.start();
+            oldProcess.sidecar.warmUp();
             Peer.Client idle = new Peer.Client(address);
             idle.send(SidecarRig.get("a1", 20_000));
             assertEquals("a1", idle.answer().body());
-            fresh.start();
-            fresh.sidecar.warmUp();
+            newProcess.start();
+            newProcess.sidecar.warmUp();
             CountDownLatch stopped = new CountDownLatch(1);
-            old.sidecar.stop(stopped::countDown);
+            oldProcess.sidecar.stop(stopped::countDown);
             assertEquals(null, idle.answer());
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
             assertTrue(socket.isOpen());
@@ -57,108 +57,110 @@
                     assertEquals("n" + i, c.answer().body());
                 }
             }
-            assertTrue(old.events.stream().noneMatch(t -> t.startsWith("request n")), "the old one still took clients");
+            assertTrue(
+                    oldProcess.events.stream().noneMatch(t -> t.startsWith("request n")),
+                    "the old process still accepted clients");
         }
     }
 
-    private static String served(InetSocketAddress address, String id) throws Exception {
+    private static String get(InetSocketAddress address, String id) throws Exception {
         try (Peer.Client c = new Peer.Client(address)) {
             Peer.Message answer = c.send(SidecarRig.get(id, 20_000)).answer();
-            return answer == null ? "no answer" : answer.body();
+            return answer == null ? "no response" : answer.body();
         }
     }
 
-    /** Plays a stop of the old process, which is ready and alone unless {@code meanwhile} starts another, under clients that come for 0.4 s. */
-    private static void everybodyIsServedWhoComes(
-            SidecarRig old, ServerSocketChannel socket, SidecarRig.Action meanwhile) throws Exception {
+    /** Starts the old process, runs {@code beforeStop}, stops the process and checks that clients are served for the next 0.4 s. */
+    private static void assertClientsServedDuringStop(
+            SidecarRig oldProcess, ServerSocketChannel socket, SidecarRig.Action beforeStop) throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-        old.start();
-        old.sidecar.warmUp();
-        meanwhile.run();
+        oldProcess.start();
+        oldProcess.sidecar.warmUp();
+        beforeStop.run();
         CountDownLatch stopped = new CountDownLatch(1);
-        old.sidecar.stop(stopped::countDown);
+        oldProcess.sidecar.stop(stopped::countDown);
         for (int i = 0; i < 8; i++) {
-            assertEquals("after" + i, served(address, "after" + i));
+            assertEquals("after" + i, get(address, "after" + i));
             Thread.sleep(50);
         }
         assertTrue(stopped.await(20, TimeUnit.SECONDS));
         assertTrue(socket.isOpen());
     }
 
-    /** Guards against a process that leaves and takes nobody although no other is there: its clients waited for the next one's start. */
+    /** Guards against a stopping process that no longer accepts although it has no successor, so that clients wait for the next start. */
     @Test
-    void whoComesAfterTheStopIsServedWhereThereIsNoSuccessor() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket)) {
-            everybodyIsServedWhoComes(old, socket, () -> {});
+    void newClientsAreServedDuringStopWithoutSuccessor() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket)) {
+            assertClientsServedDuringStop(oldProcess, socket, () -> {});
         }
     }
 
-    /** Guards against leaving clients to a successor that has not taken the socket yet. */
+    /** Guards against leaving clients to a successor that does not accept from the socket yet. */
     @Test
-    void whoComesAfterTheStopIsServedWhileTheSuccessorStarts() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket);
-                SidecarRig fresh = rig(socket)) {
-            everybodyIsServedWhoComes(old, socket, fresh::start);
+    void newClientsAreServedDuringStopWhileSuccessorStarts() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket);
+                SidecarRig newProcess = rig(socket)) {
+            assertClientsServedDuringStop(oldProcess, socket, newProcess::start);
         }
     }
 
-    /** Guards against counting on a successor that is killed before it is ready. */
+    /** Guards against relying on a successor that is killed before it is ready. */
     @Test
-    void whoComesAfterTheStopIsServedWhereTheSuccessorWasKilledWhileItStarted() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket);
-                SidecarRig fresh = rig(socket)) {
-            everybodyIsServedWhoComes(old, socket, () -> {
-                fresh.start();
-                fresh.sidecar.shutdownNow();
+    void newClientsAreServedDuringStopIfSuccessorDiesWhileStarting() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket);
+                SidecarRig newProcess = rig(socket)) {
+            assertClientsServedDuringStop(oldProcess, socket, () -> {
+                newProcess.start();
+                newProcess.sidecar.shutdownNow();
             });
         }
     }
 
-    /** Guards against losing a client that the leaving process takes beside its successor. */
+    /** Guards against losing a client that the stopping process accepts while its successor accepts too. */
     @Test
-    void whoComesAfterTheStopIsServedByOneOfTheTwo() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket);
-                SidecarRig fresh = rig(socket)) {
-            everybodyIsServedWhoComes(old, socket, () -> {
-                fresh.start();
-                fresh.sidecar.warmUp();
+    void newClientsAreServedDuringStopByEitherProcess() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket);
+                SidecarRig newProcess = rig(socket)) {
+            assertClientsServedDuringStop(oldProcess, socket, () -> {
+                newProcess.start();
+                newProcess.sidecar.warmUp();
             });
         }
     }
 
-    /** Guards against a second signal that shortens the time in which clients are taken. */
+    /** Guards against a second signal that shortens the time during which clients are accepted. */
     @Test
-    void askedTwiceToLeaveItTakesClientsAllTheSame() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket)) {
+    void aSecondStopKeepsAcceptingClients() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-            old.start();
-            old.sidecar.warmUp();
+            oldProcess.start();
+            oldProcess.sidecar.warmUp();
             CountDownLatch stopped = new CountDownLatch(1);
-            old.sidecar.stop(stopped::countDown);
-            assertEquals("a1", served(address, "a1"));
-            old.sidecar.stop(() -> {
-                throw new IllegalStateException("it ended twice");
+            oldProcess.sidecar.stop(stopped::countDown);
+            assertEquals("a1", get(address, "a1"));
+            oldProcess.sidecar.stop(() -> {
+                throw new IllegalStateException("stopped twice");
             });
-            assertEquals("a2", served(address, "a2"));
+            assertEquals("a2", get(address, "a2"));
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
         }
     }
 
-    /** Guards against a stop that keeps clients waiting in the queue although places become free. */
+    /** Guards against a stop that leaves clients in the accept queue although connections become available. */
     @Test
-    void whoFoundNoPlaceIsTakenAfterTheStopOnceThereIsOne() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = new SidecarRig().withAdmin()) {
+    void clientsBeyondTheLimitAreAcceptedDuringStop() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
-            old.inheritedListener = socket;
-            old.maxSockets = 48 + 2 * 16;
-            old.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
-            old.upstream((m, line) -> {
+            oldProcess.inheritedListener = socket;
+            oldProcess.maxSockets = 48 + 2 * 16;
+            oldProcess.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
+            oldProcess.upstream((m, line) -> {
                 try {
                     answer.await();
                 } catch (InterruptedException e) {
@@ -167,15 +169,15 @@
                 line.answer("200 OK", "", m.header("X-Txn"));
             });
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-            old.start();
-            old.sidecar.warmUp();
+            oldProcess.start();
+            oldProcess.sidecar.warmUp();
             List<Peer.Client> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 clients.add(new Peer.Client(address).send(SidecarRig.get("c" + i, 20_000)));
             }
-            old.awaitEvent("request c0");
+            oldProcess.awaitEvent("request c0");
             CountDownLatch stopped = new CountDownLatch(1);
-            old.sidecar.stop(stopped::countDown);
+            oldProcess.sidecar.stop(stopped::countDown);
             answer.countDown();
             for (int i = 0; i < clients.size(); i++) {
                 assertNotNull(clients.get(i).answer(), "c" + i);
@@ -185,24 +187,24 @@
         }
     }
 
-    /** Guards against a crowd of idle connections that keeps a leaving process from taking requests, or from its end. */
+    /** Guards against a crowd of idle connections that keeps a stopping process from serving requests or from exiting. */
     @Test
-    void aCrowdKeepsNobodyFromBeingServedAfterTheStop() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket)) {
+    void idleConnectionsDoNotBlockRequestsDuringStop() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-            old.start();
-            old.sidecar.warmUp();
+            oldProcess.start();
+            oldProcess.sidecar.warmUp();
             CountDownLatch stopped = new CountDownLatch(1);
             List<Peer.Client> crowd = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 crowd.add(new Peer.Client(address));
             }
-            old.sidecar.stop(stopped::countDown);
+            oldProcess.sidecar.stop(stopped::countDown);
             for (int i = 0; i < 100; i++) {
                 crowd.add(new Peer.Client(address));
                 if (i % 20 == 0) {
-                    assertEquals("a" + i, served(address, "a" + i));
+                    assertEquals("a" + i, get(address, "a" + i));
                 }
             }
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
@@ -212,110 +214,116 @@
         }
     }
 
-    /** Stops the old process and lets a client come, behind whose back the time passes at which the process would leave. */
-    private static void theLastIsServed(SidecarRig old, ServerSocketChannel socket, SidecarRig.Action before)
-            throws Exception {
+    /** Stops the old process while its loop is stalled, and connects a client just before the time at which the process would exit. */
+    private static void assertLastClientServed(
+            SidecarRig oldProcess, ServerSocketChannel socket, SidecarRig.Action beforeStop) throws Exception {
         InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-        old.start();
-        old.sidecar.warmUp();
-        // Those of the warm-up go one by one.
-        while (old.sidecar.loop().submit(old.sidecar.clients()::open).get() > 0) {
+        oldProcess.start();
+        oldProcess.sidecar.warmUp();
+        // The connections of the warm-up close one by one.
+        while (oldProcess
+                        .sidecar
+                        .loop()
+                        .submit(oldProcess.sidecar.clients()::open)
+                        .get()
+                > 0) {
             Thread.sleep(1);
         }
-        old.clock.freeze();
-        before.run();
+        oldProcess.clock.freeze();
+        beforeStop.run();
         CountDownLatch stopped = new CountDownLatch(1);
         List<Peer.Client> last = new ArrayList<>();
-        old.stallLoop(() -> {
-            // Behind the hold-up, and so before the next look at the sockets.
-            old.sidecar.stop(stopped::countDown);
+        oldProcess.stallLoop(() -> {
+            // Queued behind the stalling task, and so run before the next poll of the sockets.
+            oldProcess.sidecar.stop(stopped::countDown);
             last.add(new Peer.Client(address).send(SidecarRig.get("last", 20_000)));
-            old.clock.advance(700);
+            oldProcess.clock.advance(700);
         });
         assertEquals("last", last.get(0).answer().body());
-        old.clock.resume();
+        oldProcess.clock.resume();
         assertTrue(stopped.await(20, TimeUnit.SECONDS));
         last.get(0).close();
     }
 
-    /** Guards against an end that is decided by a timer while a client lies in the queue. */
+    /** Guards against a timer that ends the process while a client waits in the accept queue. */
     @Test
-    void whoComesInTheLastMomentBeforeTheEndIsServed() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket)) {
-            theLastIsServed(old, socket, () -> {});
+    void aClientInTheAcceptQueueAtTheEndIsServed() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket)) {
+            assertLastClientServed(oldProcess, socket, () -> {});
         }
     }
 
-    /** Guards against an end whose last look passed over the listener, whose registration was being made anew. */
+    /** Guards against a last poll that misses the listener because its registration is being renewed. */
     @Test
-    void whoLiesBehindAWithdrawnRegistrationAtTheEndIsServed() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket)) {
-            theLastIsServed(
-                    old,
+    void aClientIsServedAtTheEndWhileTheListenerIsNotRegistered() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket)) {
+            assertLastClientServed(
+                    oldProcess,
                     socket,
-                    () -> old.sidecar
+                    () -> oldProcess
+                            .sidecar
                             .loop()
-                            .submit(old.sidecar.clients().listener()::withdrawInterest)
+                            .submit(oldProcess.sidecar.clients().listener()::withdrawInterest)
                             .sync());
         }
     }
 
-    /** Guards against a process that closes, or drops, what it finds in the queue at its start. */
+    /** Guards against a process that closes or drops the connections it finds in the accept queue at startup. */
     @Test
-    void whoComesAfterTheEndIsServedByTheNextProcess() throws Exception {
-        try (ServerSocketChannel socket = socket();
-                SidecarRig old = rig(socket);
+    void clientsQueuedWhileNoProcessRunsAreServedByTheNext() throws Exception {
+        try (ServerSocketChannel socket = openListener();
+                SidecarRig oldProcess = rig(socket);
                 SidecarRig next = rig(socket)) {
             InetSocketAddress address = (InetSocketAddress) socket.getLocalAddress();
-            old.start();
-            old.sidecar.warmUp();
+            oldProcess.start();
+            oldProcess.sidecar.warmUp();
             CountDownLatch stopped = new CountDownLatch(1);
-            old.sidecar.stop(stopped::countDown);
+            oldProcess.sidecar.stop(stopped::countDown);
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
-            try (Peer.Client waits = new Peer.Client(address)) {
-                waits.send(SidecarRig.get("waits", 20_000));
+            try (Peer.Client queued = new Peer.Client(address)) {
+                queued.send(SidecarRig.get("queued", 20_000));
                 next.start();
                 next.sidecar.warmUp();
-                assertEquals("waits", waits.answer().body());
+                assertEquals("queued", queued.answer().body());
             }
         }
     }
 
-    /** The other process would answer them, or its clients would find them in their way. */
+    /** Guards against warm-up requests that reach the other process by way of the shared socket. */
     @Test
-    void aWarmUpKeepsOffTheSharedSocket() throws Exception {
-        try (ServerSocketChannel socket = socket();
+    void warmUpDoesNotUseTheSharedSocket() throws Exception {
+        try (ServerSocketChannel socket = openListener();
                 SidecarRig rig = rig(socket)) {
             socket.configureBlocking(false);
-            AtomicInteger came = new AtomicInteger();
-            AtomicBoolean over = new AtomicBoolean();
+            AtomicInteger connections = new AtomicInteger();
+            AtomicBoolean warmedUp = new AtomicBoolean();
             Thread other = new Thread(() -> {
                 try {
-                    while (!over.get()) {
+                    while (!warmedUp.get()) {
                         SocketChannel c = socket.accept();
                         if (c != null) {
-                            came.incrementAndGet();
+                            connections.incrementAndGet();
                             c.close();
                         }
                     }
                 } catch (java.io.IOException e) {
-                    came.addAndGet(1_000);
+                    connections.addAndGet(1_000);
                 }
             });
             other.start();
             rig.start();
             rig.sidecar.warmUp();
-            over.set(true);
+            warmedUp.set(true);
             other.join();
-            assertEquals(0, came.get());
+            assertEquals(0, connections.get());
         }
     }
 
     @Test
-    void healthSaysNoUntilTheSharedSocketIsTaken() throws Exception {
-        try (ServerSocketChannel socket = socket();
+    void healthFailsUntilTheSharedSocketIsAccepting() throws Exception {
+        try (ServerSocketChannel socket = openListener();
                 SidecarRig rig = rig(socket)) {
             rig.start();
             Thread warmUp = new Thread(() -> {
@@ -338,14 +346,14 @@
     }
 
     @Test
-    void theAddressOfThePeersIsNoObstacle() throws Exception {
+    void startSucceedsWhileThePeerAddressIsInUse() throws Exception {
         try (DatagramSocket probe = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + probe.getLocalPort();
-            try (SidecarRig held = rig(null)) {
-                // Held by one that does not share: the start does not wait for it.
-                held.peerFields = "\"peer_listen\":\"" + address + "\",\"peers\":[\"" + address + "\"],";
-                held.start();
-                try (Peer.Client c = held.client()) {
+            try (SidecarRig rig = rig(null)) {
+                // The other socket does not allow sharing. Startup must not wait for it.
+                rig.peerFields = "\"peer_listen\":\"" + address + "\",\"peers\":[\"" + address + "\"],";
+                rig.start();
+                try (Peer.Client c = rig.client()) {
                     c.send(SidecarRig.get("a1", 20_000));
                     assertEquals("a1", c.answer().body());
                 }
@@ -354,7 +362,7 @@
     }
 
     @Test
-    void anotherDescriptorIsABrokenConfiguration() {
+    void descriptorsOtherThanZeroAreRejected() {
         assertThrows(
                 Config.InvalidConfigException.class,
                 () -> Config.read(
--- a/src/test/java/rushproxy/sidecar/LogTest.java
+++ b/src/test/java/rushproxy/sidecar/LogTest.java
@@ -18,39 +18,38 @@
 import rushproxy.sidecar.Log.Level;
 
 class LogTest {
-    private static String written(Format form, String text, Object... fields) {
+    private static String format(Format form, String text, Object... fields) {
         return Log.format(new Log.Options(form, Level.INFO, "n\"3"), 1_700_000_000_123L, Level.WARN, text, fields);
     }
 
     @Test
-    void thePlainFormIsTheWords() throws Exception {
-        assertEquals("rushproxy: it is late\n", written(Format.PLAIN, "it is late", "late_ms", 5));
+    void plainFormatIsTheTextAlone() throws Exception {
+        assertEquals("rushproxy: it is late\n", format(Format.PLAIN, "it is late", "late_ms", 5));
     }
 
     @Test
-    void theTextFormHasTimeLevelNodeAndFields() throws Exception {
+    void textFormatHasTimeLevelNodeAndFields() throws Exception {
         assertEquals(
                 "2023-11-14T22:13:20.123Z WARN n\"3 it is late late_ms=5 why=\"a \\\"pause\\\"\"\n",
-                written(Format.TEXT, "it is\nlate", "late_ms", 5, "why", "a \"pause\""));
+                format(Format.TEXT, "it is\nlate", "late_ms", 5, "why", "a \"pause\""));
     }
 
     @Test
-    void theJsonFormIsOneObjectALine() throws Exception {
-        String line = written(Format.JSON, "a \\ and\n\u0001 \"b\"", "n", 5, "x", 0.5, "nan", Double.NaN, "s", "t\tu");
+    void jsonFormatIsOneObjectPerLine() throws Exception {
+        String line = format(Format.JSON, "a \\ and\n\u0001 \"b\"", "n", 5, "x", 0.5, "nan", Double.NaN, "s", "t\tu");
         assertEquals(1, line.lines().count());
-        Map<String, Object> read = JSON.std.mapFrom(line);
-        assertEquals("n\"3", read.get("node"));
-        assertEquals("warn", read.get("level"));
-        assertEquals("a \\ and\n\u0001 \"b\"", read.get("text"));
-        assertEquals(5, read.get("n"));
-        assertEquals(0.5, read.get("x"));
-        assertEquals("NaN", read.get("nan"));
-        assertEquals("t\tu", read.get("s"));
+        Map<String, Object> parsed = JSON.std.mapFrom(line);
+        assertEquals("n\"3", parsed.get("node"));
+        assertEquals("warn", parsed.get("level"));
+        assertEquals("a \\ and\n\u0001 \"b\"", parsed.get("text"));
+        assertEquals(5, parsed.get("n"));
+        assertEquals(0.5, parsed.get("x"));
+        assertEquals("NaN", parsed.get("nan"));
+        assertEquals("t\tu", parsed.get("s"));
     }
 
-    /** An operator looks at one process's requests without another configuration. */
     @Test
-    void theEnvironmentsLevelGoesFirst() throws Exception {
+    void levelFromEnvironmentTakesPrecedence() throws Exception {
         String json =
                 "{\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,"
                         + "\"reset\":true,\"instances\":[]},\"log\":{\"level\":\"warn\"},\"settings\":"
@@ -74,7 +73,7 @@
     }
 
     @Test
-    void itsTableIsReadStrictly() throws Exception {
+    void logTableIsValidated() throws Exception {
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
                         + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
@@ -94,23 +93,23 @@
         }
     }
 
-    /** Guards against a log that is silent for good where memory lacks for the line that tells of a lost one. */
+    /** Guards against a log that stays silent because the report of dropped lines fails too, as when memory is short. */
     @Test
-    void aLogThatLostALineGoesOn() throws Exception {
-        AtomicInteger fails = new AtomicInteger(2);
+    void loggingContinuesAfterADroppedLine() throws Exception {
+        AtomicInteger remainingFailures = new AtomicInteger(2);
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         AsyncLogWriter writer = new AsyncLogWriter(new PrintStream(OutputStream.nullOutputStream()) {
             @Override
             public void write(byte[] bytes, int from, int length) {
-                if (fails.getAndDecrement() > 0) {
-                    throw new OutOfMemoryError("as the test wants");
+                if (remainingFailures.getAndDecrement() > 0) {
+                    throw new OutOfMemoryError("injected by the test");
                 }
                 lines.add(new String(bytes, from, length, StandardCharsets.UTF_8));
             }
         });
         writer.write("lost\n");
-        String told = lines.poll(20, TimeUnit.SECONDS);
-        assertTrue(told != null && told.contains("1 log lines were dropped"), told);
+        String report = lines.poll(20, TimeUnit.SECONDS);
+        assertTrue(report != null && report.contains("1 log lines were dropped"), report);
         writer.write("next\n");
         assertEquals("next\n", lines.poll(20, TimeUnit.SECONDS));
     }
--- a/src/test/java/rushproxy/sidecar/ProcessStallIT.java
+++ b/src/test/java/rushproxy/sidecar/ProcessStallIT.java
@@ -16,50 +16,49 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A sidecar that was stopped for 0.9 s serves whoever asks it right after, since its servers are idle and healthy. It did not: connections
- * that had come up meanwhile were taken for failed ones, because their time-out ran before the loop saw that they were up. The module
- * was told CONNECT_FAILED, left the servers out and refused. The log of such a run counted {@code attempts {CONNECT_FAILED=7,
- * NOT_SENT=14}} within 5 s, the servers had accepted every connection.
+ * A sidecar process that was paused for 0.9 s must serve requests right afterwards, since its servers are idle and healthy. Guards
+ * against connect timeouts that run before the loop sees that the connections were established during the pause: healthy servers were
+ * reported as CONNECT_FAILED, ejected, and requests refused, though the servers had accepted every connection.
  */
 @Timeout(120)
 class ProcessStallIT {
     private static final int SERVERS = 4;
-    private static final int HOLD_UPS = 12;
-    private static final long HOLD_UP_MS = 900;
+    private static final int STALL_COUNT = 12;
+    private static final long STALL_MS = 900;
     private static final int CLIENTS = 24;
     private static final long REMAINING_MS = 800;
-    private static final int REQUESTS_AFTER = 5;
+    private static final int REQUESTS_PER_STALL = 5;
     private static final long PAUSE_MS = 20;
 
     @TempDir
     Path folder;
 
     private final List<String> failed = new ArrayList<>();
-    private final AtomicBoolean over = new AtomicBoolean();
-    private FakeServices standIns;
+    private final AtomicBoolean finished = new AtomicBoolean();
+    private FakeServices services;
     private SidecarProcess sidecar;
 
     @BeforeEach
     void start() throws Exception {
-        standIns = new FakeServices();
-        standIns.addServers(SERVERS, (m, line) -> {
+        services = new FakeServices();
+        services.addServers(SERVERS, (m, line) -> {
             line.answer("200 OK", "Connection: close\r\n", m.header("X-Txn"));
             line.socket().close();
         });
-        sidecar = standIns.start(folder, Map.of());
+        sidecar = services.start(folder, Map.of());
     }
 
     @AfterEach
     void end() throws Exception {
-        over.set(true);
-        standIns.close();
+        finished.set(true);
+        services.close();
     }
 
-    /** Asks all the time, whatever becomes of it: these requests are in hand when the process is stopped. */
-    private void askOnAndOn(int client) {
-        while (!over.get()) {
+    /** Background load whose results are ignored: it keeps requests in progress while the process is paused. */
+    private void sendContinuously(int client) {
+        while (!finished.get()) {
             try (Peer.Client connection = sidecar.client()) {
-                for (int i = 0; !over.get(); i++) {
+                for (int i = 0; !finished.get(); i++) {
                     connection.send(SidecarProcess.get("load-" + client + "-" + i, "safe", REMAINING_MS));
                     if (connection.answer() == null) {
                         break;
@@ -71,14 +70,14 @@
         }
     }
 
-    /** Asks by this connection until one request is answered, so that the process runs again: what may be as old as the hold-up may be refused. */
-    private void awaitAnswer(Peer.Client connection, String id) throws Exception {
+    /** Sends a request so that the process runs again afterwards. It may be refused, since it may be as old as the stall. */
+    private void awaitResponse(Peer.Client connection, String id) throws Exception {
         connection.send(SidecarProcess.get(id, "unsafe", REMAINING_MS));
         connection.status();
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
     }
 
-    private void ask(Peer.Client connection, String id) throws Exception {
+    private void sendExpectingSuccess(Peer.Client connection, String id) throws Exception {
         long sentNanos = System.nanoTime();
         connection.send(SidecarProcess.get(id, "unsafe", REMAINING_MS));
         int status = connection.status();
@@ -88,22 +87,22 @@
         }
     }
 
-    private void holdUp() throws Exception {
+    private void stallProcess() throws Exception {
         TimeUnit.MILLISECONDS.sleep(100);
         sidecar.signal("STOP");
-        TimeUnit.MILLISECONDS.sleep(HOLD_UP_MS);
+        TimeUnit.MILLISECONDS.sleep(STALL_MS);
         sidecar.signal("CONT");
     }
 
-    /** The first request after a hold-up may be as old as that, but not the ones that follow on its connection. */
+    /** The first request after a stall may be as old as the stall, but not the ones that follow on its connection. */
     @Test
-    void whoGoesOnAskingOnAConnectionIsServed() throws Exception {
-        for (int round = 0; round < HOLD_UPS / 2; round++) {
-            holdUp();
+    void laterRequestsOnAConnectionSucceedAfterAStall() throws Exception {
+        for (int round = 0; round < STALL_COUNT / 2; round++) {
+            stallProcess();
             try (Peer.Client connection = sidecar.client()) {
-                awaitAnswer(connection, "first-" + round);
-                for (int i = 0; i < REQUESTS_AFTER; i++) {
-                    ask(connection, "next-" + round + "-" + i);
+                awaitResponse(connection, "first-" + round);
+                for (int i = 0; i < REQUESTS_PER_STALL; i++) {
+                    sendExpectingSuccess(connection, "next-" + round + "-" + i);
                 }
             }
         }
@@ -111,21 +110,21 @@
     }
 
     @Test
-    void whoAsksRightAfterAHoldUpIsServed() throws Exception {
+    void newConnectionsSucceedAfterAStallUnderLoad() throws Exception {
         for (int n = 0; n < CLIENTS; n++) {
             int client = n;
-            Thread thread = new Thread(() -> askOnAndOn(client));
+            Thread thread = new Thread(() -> sendContinuously(client));
             thread.setDaemon(true);
             thread.start();
         }
-        for (int round = 0; round < HOLD_UPS; round++) {
-            holdUp();
+        for (int round = 0; round < STALL_COUNT; round++) {
+            stallProcess();
             try (Peer.Client first = sidecar.client()) {
-                awaitAnswer(first, "first-" + round);
+                awaitResponse(first, "first-" + round);
             }
-            for (int i = 0; i < REQUESTS_AFTER; i++) {
+            for (int i = 0; i < REQUESTS_PER_STALL; i++) {
                 try (Peer.Client connection = sidecar.client()) {
-                    ask(connection, "after-" + round + "-" + i);
+                    sendExpectingSuccess(connection, "after-" + round + "-" + i);
                 }
             }
         }
