--- a/src/test/java/rushproxy/sidecar/FakeServices.java
+++ b/src/test/java/rushproxy/sidecar/FakeServices.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import rushproxy.lab.node.SharedSocket;
 
-/** What a real sidecar meets in a test: discovery that says nothing, and servers; closed together with the sidecar. */
+/** The fake services around a sidecar process: a discovery server that never responds, and upstream servers. Closed with the sidecar. */
 final class FakeServices implements AutoCloseable {
     final List<Peer> servers = new ArrayList<>();
     final Peer discovery = new Peer((message, line) -> {});
@@ -15,20 +15,20 @@
 
     FakeServices() throws IOException {}
 
-    /** So many more servers that answer so. */
+    /** Adds {@code count} servers that follow the script. */
     void addServers(int count, Peer.Script script) throws IOException {
         for (int i = 0; i < count; i++) {
             servers.add(new Peer(script));
         }
     }
 
-    /** The sidecar that is closed with these; one that was started before is the caller's to close. */
+    /** Starts a sidecar, which is closed with the services. One started before has to be closed by the caller. */
     SidecarProcess start(Path folder, Map<String, String> environment) throws Exception {
         sidecar = SidecarProcess.start(folder, discovery, servers, environment);
         return sidecar;
     }
 
-    /** As {@link #start}, on a socket that is held. */
+    /** As {@link #start}, but the sidecar inherits {@code socket}. */
     SidecarProcess startOn(SharedSocket socket, Path folder, Map<String, String> environment) throws Exception {
         sidecar = SidecarProcess.startOn(socket, folder, discovery, servers, environment);
         return sidecar;
--- a/src/test/java/rushproxy/sidecar/FreezableClock.java
+++ b/src/test/java/rushproxy/sidecar/FreezableClock.java
@@ -10,31 +10,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time of a clock and of the timers of loops. It runs until a test stops it; then it stands, however late the machine runs, and is
- * moved by the test.
+ * The time of a clock and of event loop timers. It runs until a test freezes it; then only the test advances it, so that results do
+ * not depend on the speed of the machine.
  */
 final class FreezableClock extends Clock implements Ticker {
     private final long startNanos = System.nanoTime();
     private final long startUnixUs = System.currentTimeMillis() * 1_000;
-    /** By which it is behind the system's time while it runs. */
+    /** How far it lags behind the system's clock while running. */
     private long lagNanos;
-    /** When it was stopped, or where it was moved to since. */
+    /** The current time while frozen. */
     private long frozenAtNanos;
 
     private boolean frozen;
 
-    /** From now on it stands. */
     synchronized void freeze() {
         frozenAtNanos = nanoTime();
         frozen = true;
     }
 
-    /** Timers that are due by then run. */
+    /** Advances the frozen clock, which makes timers due by then run. */
     synchronized void advance(long ms) {
         frozenAtNanos += TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    /** It runs again, from where it stands. */
+    /** Lets the clock run again, from the time at which it is frozen. */
     synchronized void resume() {
         lagNanos = System.nanoTime() - startNanos - frozenAtNanos;
         frozen = false;
@@ -60,11 +59,11 @@
         throw new UnsupportedOperationException();
     }
 
-    /** One loop whose timers go by this time. */
+    /** Creates a group of one event loop whose timers use this clock. */
     EventLoopGroup eventLoopGroup(IoHandlerFactory handlers) {
         return new MultiThreadIoEventLoopGroup(1, handlers) {
             @Override
-            protected IoEventLoop newChild(Executor executor, IoHandlerFactory factory, Object... none) {
+            protected IoEventLoop newChild(Executor executor, IoHandlerFactory factory, Object... args) {
                 return new Loop(this, executor, factory);
             }
         };
@@ -80,7 +79,7 @@
             return FreezableClock.this;
         }
 
-        /** Netty's selector asks by the system's time. */
+        /** Netty's selector passes the system's time, which is replaced by this clock's. */
         @Override
         protected long delayNanos(long systemNanos) {
             return super.delayNanos(startNanos + nanoTime());
--- a/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
+++ b/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
@@ -8,29 +8,29 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real sidecar whose native library can't be had. */
+/** Runs a sidecar process that can't load Netty's native library. */
 @Timeout(60)
 class MissingNativeLibraryIT {
     @TempDir
     Path folder;
 
-    /** Guards against a start that is silently without the kernel's figures, or fails, where the library is missing. */
+    /** Guards against a startup that fails, or silently does without TCP_INFO, if the library is missing. */
     @Test
-    void itServesAndTellsOnceWhatIsMissing() throws Exception {
-        // These come after those of the command line. Below a file no folder can be made to unpack the library to.
+    void servesAndLogsTheMissingLibraryOnce() throws Exception {
+        // Override the options of the command line. The work directory can't be created, since its parent is a file.
         String options =
                 "-Djava.library.path=" + folder + " -Dio.netty.native.workdir=" + folder.resolve("config.json/none");
-        try (FakeServices standIns = new FakeServices()) {
-            standIns.addServers(1, (message, line) -> line.answer("200 OK", "", "served"));
-            SidecarProcess sidecar = standIns.start(folder, Map.of("_JAVA_OPTIONS", options));
+        try (FakeServices services = new FakeServices()) {
+            services.addServers(1, (message, line) -> line.answer("200 OK", "", "served"));
+            SidecarProcess sidecar = services.start(folder, Map.of("_JAVA_OPTIONS", options));
             try (Peer.Client client = sidecar.client()) {
                 client.send(SidecarProcess.get("a", "safe", 800));
                 assertEquals(200, client.status());
             }
-            long told = sidecar.log.stream()
+            long logged = sidecar.log.stream()
                     .filter(line -> line.contains("TCP_INFO is unavailable"))
                     .count();
-            assertEquals(1, told, sidecar.log::toString);
+            assertEquals(1, logged, sidecar.log::toString);
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/PeriodicTaskTest.java
+++ b/src/test/java/rushproxy/sidecar/PeriodicTaskTest.java
@@ -13,23 +13,23 @@
 
 @Timeout(60)
 class PeriodicTaskTest {
-    /** The beat that ends tells of an ever later loop, by which every request is out of time. */
+    /** Guards against a heartbeat that stops after an error: the loop would seem ever later, and every request out of time. */
     @Test
-    void oneTimeThatFailsIsFollowedByTheNext() throws Exception {
+    void aFailedRunDoesNotCancelTheSchedule() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = group.next();
-            AtomicInteger times = new AtomicInteger();
-            CountDownLatch third = new CountDownLatch(3);
+            AtomicInteger runs = new AtomicInteger();
+            CountDownLatch thirdRun = new CountDownLatch(3);
             PeriodicTask.scheduleEvery(loop, 1, () -> {
-                third.countDown();
-                switch (times.incrementAndGet()) {
-                    case 1 -> throw new NoClassDefFoundError("as the test wants");
-                    case 2 -> throw new IllegalStateException("as the test wants");
+                thirdRun.countDown();
+                switch (runs.incrementAndGet()) {
+                    case 1 -> throw new NoClassDefFoundError("injected by the test");
+                    case 2 -> throw new IllegalStateException("injected by the test");
                     default -> {}
                 }
             });
-            assertTrue(third.await(20, TimeUnit.SECONDS), "it came " + times + " times");
+            assertTrue(thirdRun.await(20, TimeUnit.SECONDS), "ran " + runs + " times");
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
--- a/src/test/java/rushproxy/sidecar/ShutdownTest.java
+++ b/src/test/java/rushproxy/sidecar/ShutdownTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A planned stop loses nothing that a client has sent. */
+/** A graceful shutdown loses no request. */
 @Timeout(60)
 class ShutdownTest {
-    /** The longest deadline, and with it the time until the end that is not asked for, leaves room for a slow machine. */
+    /** Uses a longer deadline, and so a later forced end, to leave room for a slow machine. */
     private static SidecarRig rig() throws Exception {
         SidecarRig rig = new SidecarRig();
         rig.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void newConnectionsAndHalfReadRequestsAreServedAfterTheStopWasAskedFor() throws Exception {
+    void newConnectionsAndPartialRequestsAreServedDuringShutdown() throws Exception {
         try (SidecarRig rig = rig()) {
             CountDownLatch answer = new CountDownLatch(1);
             rig.upstream((m, line) -> {
@@ -44,22 +44,22 @@
                 String text = SidecarRig.get("half", 30_000);
                 half.send(text.substring(0, 30));
                 rig.sidecar.stop(stopped::countDown);
-                try (Peer.Client fresh = rig.client()) {
-                    fresh.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                    assertEquals(503, fresh.status());
+                try (Peer.Client newcomer = rig.client()) {
+                    newcomer.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                    assertEquals(503, newcomer.status());
                     for (int i = 0; i < 3; i++) {
-                        fresh.send(SidecarRig.get("fresh" + i, 30_000));
-                        assertEquals("fresh" + i, fresh.answer().body(), "clients have nowhere else to go");
+                        newcomer.send(SidecarRig.get("fresh" + i, 30_000));
+                        assertEquals("fresh" + i, newcomer.answer().body(), "new connections must still be served");
                         idle.send(SidecarRig.get("again" + i, 30_000));
                         assertEquals("again" + i, idle.answer().body());
                     }
                     half.send(text.substring(30));
                     assertEquals("half", half.answer().body());
-                    assertEquals(1, stopped.getCount(), "it stopped with a request held");
+                    assertEquals(1, stopped.getCount(), "stopped with a request pending");
                     answer.countDown();
                     assertEquals("held", held.answer().body());
-                    // Before the end they are told, or closed between requests.
-                    assertEquals(null, fresh.answer());
+                    // All connections are closed before the process ends.
+                    assertEquals(null, newcomer.answer());
                     assertEquals(null, idle.answer());
                     assertEquals(null, held.answer());
                 }
@@ -68,9 +68,9 @@
         }
     }
 
-    /** The end that is not asked for comes the longest deadline and 0.7 s after the stop: an answer comes before it. */
+    /** SIGKILL may follow the stop after the longest deadline plus 0.7 s: the response has to be sent before that. */
     @Test
-    void whatIsTakenAfterTheStopIsAnsweredBeforeTheEnd() throws Exception {
+    void requestsReceivedDuringShutdownAreAnsweredBeforeTheKill() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
@@ -86,9 +86,9 @@
         }
     }
 
-    /** Its class may give it more time than there is between the stop and the end: it gets an answer all the same. */
+    /** Guards against pending requests whose deadline lies after the kill: they must be answered before it. */
     @Test
-    void whatWasHeldBeforeTheStopIsAnsweredBeforeTheEnd() throws Exception {
+    void requestsPendingAtTheStopAreAnsweredBeforeTheKill() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> {});
             rig.start();
@@ -105,9 +105,9 @@
         }
     }
 
-    /** Only what ends by itself loses an answer that still flows: whoever is killed with one does not. */
+    /** Guards against a process that exits, before any kill, while a response is still being streamed. */
     @Test
-    void anAnswerThatFlowsIsWaitedFor() throws Exception {
+    void shutdownWaitsForAStreamingResponse() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             CountDownLatch more = new CountDownLatch(1);
             rig.upstream((m, line) -> {
@@ -127,8 +127,8 @@
                 reads.send(SidecarRig.get("long", 30_000));
                 rig.awaitEvent("begins long");
                 rig.sidecar.stop(stopped::countDown);
-                // The end would have come by now: 0.8 s, the longest deadline here, and 0.7 s.
-                assertTrue(!stopped.await(2, TimeUnit.SECONDS), "it left with half of an answer");
+                // Past the time of the kill, which is the longest deadline, 0.8 s here, plus 0.7 s.
+                assertTrue(!stopped.await(2, TimeUnit.SECONDS), "stopped in the middle of a response");
                 more.countDown();
                 assertTrue(reads.rest().endsWith("0\r\n\r\n"));
             }
@@ -136,9 +136,9 @@
         }
     }
 
-    /** One that stands still has an end that its client can recognise before the process may be killed. */
+    /** Guards against a stalled response that the client can't tell from a complete one when the process is killed. */
     @Test
-    void anAnswerThatStandsStillIsBrokenOffBeforeTheEnd() throws Exception {
+    void aStalledResponseIsAbortedBeforeTheKill() throws Exception {
         for (int bytes : new int[] {10_000, 100_000}) {
             try (SidecarRig rig = new SidecarRig()) {
                 rig.upstream((m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -153,16 +153,17 @@
                     assertTrue(!reads.rest().endsWith("0\r\n\r\n"));
                     long tookMs = (System.nanoTime() - sinceNanos) / 1_000_000;
                     assertTrue(
-                            tookMs < 1_500, bytes + " bytes that stand still were broken off after " + tookMs + " ms");
+                            tookMs < 1_500,
+                            bytes + " bytes of a stalled response were aborted after " + tookMs + " ms");
                 }
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
         }
     }
 
-    /** A close between requests may cross one: its client sends it once more, and finds a listener and an answer. */
+    /** A close between requests may cross a request, whose client repeats it: there must still be a listener to serve it. */
     @Test
-    void whatCrossedACloseIsServedOnANewConnection() throws Exception {
+    void aRequestThatCrossedACloseIsServedOnANewConnection() throws Exception {
         try (SidecarRig rig = rig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
@@ -172,8 +173,8 @@
                 assertEquals("before", idle.answer().body());
                 rig.sidecar.stop(stopped::countDown);
                 assertEquals(null, idle.answer());
-                // The loop looks every 20 ms: several looks are over before the client is back.
-                assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "it has left with the close");
+                // Shutdown checks its state every 20 ms, so several checks pass before the client returns.
+                assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "stopped right after the close");
                 try (Peer.Client again = rig.client()) {
                     again.send(SidecarRig.get("again", 30_000));
                     assertEquals("again", again.answer().body());
@@ -183,9 +184,9 @@
         }
     }
 
-    /** A body that is still coming belongs to a request that was begun before the stop. */
+    /** A body still being received belongs to a request that began before the stop. */
     @Test
-    void theRestOfABodyIsTakenAfterTheStopWasAskedFor() throws Exception {
+    void theRestOfABodyIsReceivedDuringShutdown() throws Exception {
         try (SidecarRig rig = rig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", m.body()));
             rig.start();
@@ -195,7 +196,7 @@
                 half.send(SidecarRig.get("half", 30_000)
                         .replace("GET", "POST")
                         .replace("\r\n\r\n", "\r\nContent-Length: 6\r\n\r\nabc"));
-                // Answered on the same loop: what was sent before has been read.
+                // Answered by the same event loop, so everything sent before has been read.
                 other.send(SidecarRig.get("other", 30_000));
                 assertEquals("", other.answer().body());
                 rig.sidecar.stop(stopped::countDown);
@@ -208,44 +209,44 @@
         }
     }
 
-    /** The platform may ask again: the time runs from the first call, and the end comes once. */
-    /** Half a request is left at the end: its connection has ended by then, so that the rest can't be lost with the process. */
+    /** Guards against a connection with a partial request that is still open at the end, so that the rest is lost with the process. */
     @Test
-    void atItsEndNoConnectionIsLeftThatCouldBringARequest() throws Exception {
+    void allConnectionsAreClosedWhenShutdownCompletes() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
-            CountDownLatch over = new CountDownLatch(1);
-            CountDownLatch looked = new CountDownLatch(1);
+            CountDownLatch stopped = new CountDownLatch(1);
+            CountDownLatch checked = new CountDownLatch(1);
             try (Peer.Client answered = rig.client();
                     Peer.Client half = rig.client()) {
                 answered.send(SidecarRig.get("a1", 9_000));
                 assertEquals(200, answered.status());
                 rig.sidecar.stop(() -> {
-                    over.countDown();
+                    stopped.countDown();
                     try {
-                        // Nothing that comes later may end the connections in its place.
-                        looked.await();
+                        // Blocks the loop, so that nothing can close the connections after this point.
+                        checked.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                // The end is 1.5 s after the stop; what is half here 0.35 s before it ends as well.
+                // The end is 1.5 s after the stop. From 0.35 s before it partial requests are closed as well.
                 Thread.sleep(700);
                 half.send("GET /api HTTP/1.1\r\nX-Slow: ");
-                over.await();
+                stopped.await();
                 half.socket.setSoTimeout(1_000);
                 answered.socket.setSoTimeout(1_000);
                 assertEquals(-1, half.status());
                 assertEquals(-1, answered.status());
             } finally {
-                looked.countDown();
+                checked.countDown();
             }
         }
     }
 
+    /** The platform may signal twice: the time runs from the first signal, and the process ends once. */
     @Test
-    void askedTwiceItStopsOnce() throws Exception {
+    void aSecondStopIsIgnored() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
@@ -253,13 +254,13 @@
             rig.sidecar.stop(stopped::countDown);
             rig.sidecar.stop(again::countDown);
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
-            assertTrue(!again.await(300, TimeUnit.MILLISECONDS), "it ended twice");
+            assertTrue(!again.await(300, TimeUnit.MILLISECONDS), "stopped twice");
         }
     }
 
-    /** Half a request whose client has fallen silent holds up the stop no longer than a client would wait. */
+    /** A partial request whose client sends nothing more delays the shutdown no longer than a client would wait. */
     @Test
-    void aClientThatFellSilentDoesNotKeepTheSidecarFromEnding() throws Exception {
+    void aSilentClientDoesNotBlockShutdown() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
@@ -272,9 +273,9 @@
         }
     }
 
-    /** Beyond the cap an idle connection makes room; otherwise new ones would wait for ever. */
+    /** Guards against new connections that wait for ever once idle ones have reached the limit. */
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
+    void idleConnectionsAreClosedToAdmitNewOnes() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.maxSockets = 48 + 2 * 16;
--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -19,9 +19,9 @@
 import rushproxy.lab.node.Build;
 import rushproxy.lab.node.SharedSocket;
 
-/** A real sidecar, started as the deploy file says, between stand-ins on loopback. */
+/** A sidecar process, started with the command of the deploy file, between fake services on loopback. */
 final class SidecarProcess implements AutoCloseable {
-    /** Two classes of 0.8 s; a server that starts is cold for 4 s. */
+    /** Two classes with deadlines of 0.8 s; a starting server is in slow start for 4 s. */
     static final String SETTINGS = """
             {"me":0,"balancers":1,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request","counted_by":"work",
              "profiles":[{"name":"safe","semantics":"safe","objective_us":300000,"give_up_us":800000},
@@ -32,7 +32,7 @@
                        "max_retry_after_us":1000000,"peers":false,"probing":false,"cancelling":true},
              "load_info":{"how":"off","fields":["busy_reqs","pending","cpu_share"]}}""";
 
-    /** The longest deadline of these settings and 0.7 s: SIGKILL may come so long after SIGTERM. */
+    /** When SIGKILL may follow SIGTERM: the longest deadline of these settings plus 0.7 s. */
     static final long KILL_AFTER_MS = 1_500;
 
     private static final Pattern READY_LINE = Pattern.compile("serves on /([0-9.]+):([0-9]+)");
@@ -45,21 +45,21 @@
 
     private SidecarProcess(Process process) throws Exception {
         this.process = process;
-        CompletableFuture<InetSocketAddress> serves = new CompletableFuture<>();
-        Thread reader = new Thread(() -> read(serves));
+        CompletableFuture<InetSocketAddress> ready = new CompletableFuture<>();
+        Thread reader = new Thread(() -> readLog(ready));
         reader.setDaemon(true);
         reader.start();
-        address = serves.get(30, TimeUnit.SECONDS);
+        address = ready.get(30, TimeUnit.SECONDS);
     }
 
-    /** {@code environment}: what it is started with besides, such as a library of faults. */
+    /** {@code environment}: additional variables, such as those of a fault injection library. */
     static SidecarProcess start(Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
             throws Exception {
         return new SidecarProcess(
                 command(folder, discovery, upstreams, environment).start());
     }
 
-    /** It takes its clients from {@code socket}, its descriptor 0. */
+    /** Starts a sidecar that inherits {@code socket} as its descriptor 0. */
     static SidecarProcess startOn(
             SharedSocket socket, Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
             throws Exception {
@@ -91,26 +91,26 @@
         return builder.redirectErrorStream(true);
     }
 
-    private void read(CompletableFuture<InetSocketAddress> serves) {
+    private void readLog(CompletableFuture<InetSocketAddress> ready) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line; readingLog && (line = in.readLine()) != null; ) {
                 log.add(line);
                 Matcher m = READY_LINE.matcher(line);
                 if (m.find()) {
-                    serves.complete(
+                    ready.complete(
                             new InetSocketAddress(InetAddress.getByName(m.group(1)), Integer.parseInt(m.group(2))));
                 }
             }
-            // A pipe whose reader has closed it is no full one.
+            // Keeps the pipe open: writes to a closed pipe would fail instead of blocking.
             process.onExit().join();
         } catch (IOException e) {
-            log.add("its log can't be read: " + e);
+            log.add("can't read its log: " + e);
         }
-        serves.completeExceptionally(new IOException("it did not start: " + log));
+        ready.completeExceptionally(new IOException("the sidecar did not start: " + log));
     }
 
-    /** One more line is read at most: what comes then fills the pipe. */
+    /** Stops reading after at most one more line, so that the pipe fills up. */
     void stopReadingLog() {
         readingLog = false;
     }
@@ -134,7 +134,7 @@
                 .waitFor();
     }
 
-    /** The sum of all that the process has told of broken invariants. */
+    /** The number of invariant violations that the process has logged. */
     long invariantViolations() {
         long sum = 0;
         for (String line : log) {
--- a/src/test/java/rushproxy/sidecar/SidecarRig.java
+++ b/src/test/java/rushproxy/sidecar/SidecarRig.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import rushproxy.Balancer;
 
-/** A sidecar in this process, with a module that does what the test says and writes down what it is told. */
+/** A sidecar in the test's process, with a load balancer that is scripted by the test and records its events. */
 final class SidecarRig implements AutoCloseable {
     static final String SETTINGS = """
             {"me":0,"balancers":2,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request",
@@ -25,14 +25,14 @@
              "load_info":{"how":"inline","fields":["busy_reqs","pending","cpu_share"]},
              "something_new":{"a":[{"b":null}]}}""";
 
-    /** What the module does with a request. */
+    /** The load balancer's reaction to a request. */
     interface OnRequest {
-        void take(long now, Balancer.Request request, Balancer.Actions out);
+        void handle(long now, Balancer.Request request, Balancer.Actions out);
     }
 
-    /** What the module does when an attempt has ended without success. */
+    /** The load balancer's reaction to the outcome of an attempt. */
     interface OnOutcome {
-        void take(String request, Balancer.Outcome outcome, boolean done, Balancer.Actions out);
+        void handle(String request, Balancer.Outcome outcome, boolean done, Balancer.Actions out);
     }
 
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
@@ -44,36 +44,36 @@
             out.fail(id);
         }
     };
-    /** Runs when the module is told a whole list. */
+    /** Runs when the load balancer receives a full list. */
     volatile Runnable onFullList = () -> {};
-    /** What the module says when a connection is up at last. */
+    /** The load balancer's decision whether an attempt may still be sent once its connection is established. */
     volatile boolean mayStartWrite = true;
 
     Sidecar sidecar;
     String peerFields = "";
     String adminFields = "";
     String settings = SETTINGS;
-    /** Whether the module asks for a watch. */
+    /** Whether the load balancer subscribes to discovery. */
     boolean subscribes = true;
-    /** Not again after a failure. */
+    /** Whether it does not subscribe again after a failure. */
     boolean subscribesOnce;
 
     int maxSockets = 1024;
-    /** The folder for what outlives the process. */
+    /** The directory for state that outlives the process; null if nothing is kept. */
     Path stateDirectory;
-    /** Listens for clients already; null where the sidecar is to. */
+    /** A listening socket to inherit; null if the sidecar opens its own. */
     java.nio.channels.ServerSocketChannel inheritedListener;
 
-    /** Running, until the test stops it. */
+    /** Runs until the test freezes it. */
     final FreezableClock clock = new FreezableClock();
 
     private volatile Balancer.Actions actions;
 
-    SidecarRig(Peer.Script discovers) throws IOException {
-        discovery = new Peer(discovers);
+    SidecarRig(Peer.Script discoveryScript) throws IOException {
+        discovery = new Peer(discoveryScript);
     }
 
-    /** Discovery that keeps every watch waiting. */
+    /** Uses a discovery server that never responds. */
     SidecarRig() throws IOException {
         this((m, line) -> {});
     }
@@ -89,8 +89,8 @@
                 + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMs + "}";
     }
 
-    static String list(long generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
+    static String list(long generation, boolean full, String... entries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + full + ",\"instances\":[" + String.join(",", entries)
                 + "]}";
     }
 
@@ -142,7 +142,7 @@
         return sidecar.listenAddress();
     }
 
-    /** Opens a second address and says how the operators' call was answered. */
+    /** Sends a command to the admin address and returns the response. */
     String callAdmin(String line) throws IOException {
         try (Peer.Client c = adminClient()) {
             return c.send(line + "\n").rest();
@@ -167,14 +167,14 @@
                 + remainingMs + "\r\n\r\n";
     }
 
-    /** What comes to lie in the sockets while the event loop is held up. */
+    /** A step of a test. */
     interface Action {
         void run() throws Exception;
     }
 
-    /** Holds the event loop up: it goes on {@code ms} after {@code meanwhile} has happened, by when its beat is late. */
+    /** Stalls the event loop until {@code ms} after {@code meanwhile} has run, long enough for a late heartbeat. */
     void stallLoop(long ms, Action meanwhile) throws Exception {
-        // Nothing is late before the first beat, and a connection counts as new until the next.
+        // No lag is measured before the first heartbeat, and a connection counts as new until the next one.
         Thread.sleep(2 * EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000);
         stallLoop(() -> {
             meanwhile.run();
@@ -182,39 +182,39 @@
         });
     }
 
-    /** Moves the time, which stands, between two pieces of the loop's work: none sets a timer by the time before. */
+    /** Advances the frozen clock on the event loop, so that no task sets a timer from the old time afterwards. */
     void advanceTime(long ms) throws InterruptedException {
         sidecar.loop().submit(() -> clock.advance(ms)).sync();
     }
 
-    /** Holds the event loop up until {@code meanwhile} has happened. */
+    /** Stalls the event loop until {@code meanwhile} has run. */
     void stallLoop(Action meanwhile) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         sidecar.loop().execute(() -> {
-            held.countDown();
+            stalled.countDown();
             try {
-                goOn.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        stalled.await();
         try {
             meanwhile.run();
         } finally {
-            goOn.countDown();
+            release.countDown();
         }
     }
 
-    /** Waits until the module was told something that starts so. */
-    String awaitEvent(String start) throws InterruptedException {
+    /** Waits for an event that starts with {@code prefix}. */
+    String awaitEvent(String prefix) throws InterruptedException {
         for (String line; (line = events.poll(20, TimeUnit.SECONDS)) != null; ) {
-            if (line.startsWith(start)) {
+            if (line.startsWith(prefix)) {
                 return line;
             }
         }
-        throw new AssertionError("the module was never told '" + start + "'");
+        throw new AssertionError("no event '" + prefix + "'");
     }
 
     @Override
@@ -251,7 +251,7 @@
         @Override
         public void onRequest(long now, Request request) {
             events.add("request " + request.id() + " " + request.remainingUs());
-            onRequest.take(now, request, actions);
+            onRequest.handle(now, request, actions);
         }
 
         @Override
@@ -266,7 +266,7 @@
                 LoadReport report) {
             events.add("outcome " + request + " " + attempt + " " + outcome + " " + done + " "
                     + (report == null ? "-" : report.inFlight()));
-            onOutcome.take(request, outcome, done, actions);
+            onOutcome.handle(request, outcome, done, actions);
         }
 
         @Override
@@ -339,7 +339,7 @@
         public void onTimer(long now, String mark) {
             events.add("timer " + mark);
             if (mark.equals("break")) {
-                throw new IllegalStateException("as the test wants");
+                throw new IllegalStateException("injected by the test");
             }
         }
     }
--- a/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
+++ b/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
@@ -15,24 +15,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What ends a connection is told apart from what this machine fails for a moment. */
+/** Errors that mean a lost connection are distinguished from transient local errors. */
 class SocketErrorsTest {
     @ParameterizedTest
     @ValueSource(strings = {"Connection reset by peer", "Broken pipe", "Connection timed out", "No route to host"})
-    void thePeersEndIsFinal(String words) {
-        assertTrue(SocketErrors.isConnectionLost(new IOException(words)));
-        assertFalse(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
+    void systemMessagesOfLostConnectionsAreFinal(String message) {
+        assertTrue(SocketErrors.isConnectionLost(new IOException(message)));
+        assertFalse(new FailureSpell(() -> 0).mayTryAgain(new IOException(message)));
     }
 
     @Test
-    void whatTheRuntimeHasTypesForIsFinal() {
+    void jdkErrorsOfLostConnectionsAreFinal() {
         assertTrue(SocketErrors.isConnectionLost(new SocketException("Connection reset")));
         assertTrue(SocketErrors.isConnectionLost(new ClosedChannelException()));
     }
 
-    /** As Netty hands on what a dial failed by. */
+    /** Netty appends the address to the message of a connect error and keeps the original as the cause. */
     @Test
-    void theAddressInTheWordsChangesNothing() {
+    void addressesInConnectErrorsAreIgnored() {
         IOException reset = new SocketException("Connection reset by peer: /127.0.0.1:80");
         reset.initCause(new SocketException("Connection reset by peer"));
         assertTrue(SocketErrors.isRemoteConnectFailure(reset));
@@ -52,20 +52,20 @@
                 "Input/output error",
                 "an error of another system"
             })
-    void whateverElseIsForAMoment(String words) {
-        assertFalse(SocketErrors.isConnectionLost(new IOException(words)));
-        assertTrue(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
+    void allOtherErrorsAreTransient(String message) {
+        assertFalse(SocketErrors.isConnectionLost(new IOException(message)));
+        assertTrue(new FailureSpell(() -> 0).mayTryAgain(new IOException(message)));
     }
 
     @Test
-    void noErrorIsNoEnd() {
+    void missingMessagesAndOtherExceptionsAreNotLostConnections() {
         assertFalse(SocketErrors.isConnectionLost(null));
         assertFalse(SocketErrors.isConnectionLost(new IOException()));
         assertFalse(SocketErrors.isConnectionLost(new IllegalStateException("Broken pipe")));
     }
 
     @Test
-    void aDialIsFailedByThePeerOrByThisMachine() {
+    void remoteAndLocalConnectFailuresAreDistinguished() {
         assertTrue(SocketErrors.isRemoteConnectFailure(new ConnectException("Connection refused")));
         assertTrue(SocketErrors.isRemoteConnectFailure(new NoRouteToHostException("No route to host")));
         assertFalse(SocketErrors.isRemoteConnectFailure(new BindException("Cannot assign requested address")));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whatFailsWithoutABreakEnds() {
+    void persistentFailuresAreNotRetriedForever() {
         long[] now = {0};
         FailureSpell spell = new FailureSpell(() -> now[0]);
         IOException error = new IOException("Cannot allocate memory");
@@ -86,7 +86,7 @@
         spell.over();
         assertEquals(0, spell.lastsMs());
         now[0] = TimeUnit.SECONDS.toNanos(30);
-        assertTrue(spell.mayTryAgain(error), "a new spell");
+        assertTrue(spell.mayTryAgain(error), "failures after a success start anew");
         now[0] = TimeUnit.SECONDS.toNanos(51);
         assertFalse(spell.mayTryAgain(error));
     }
--- a/src/test/java/rushproxy/sidecar/StallAwareClockTest.java
+++ b/src/test/java/rushproxy/sidecar/StallAwareClockTest.java
@@ -4,40 +4,40 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much of a span the loop was held up, by its heartbeats. */
+/** Stalls are derived from the heartbeats of the loop. */
 class StallAwareClockTest {
-    private static final long BEAT = EventLoopDelay.HEARTBEAT_INTERVAL_US;
+    private static final long HEARTBEAT_US = EventLoopDelay.HEARTBEAT_INTERVAL_US;
     private final EventLoopDelay loopDelay = new EventLoopDelay();
 
     @Test
-    void beatsInTimeAreNoHoldUp() {
+    void heartbeatsInTimeAreNoStall() {
         for (int beat = 1; beat <= 20; beat++) {
-            loopDelay.recordHeartbeat(beat * BEAT + (beat % 2) * (EventLoopDelay.STALL_THRESHOLD_US - 1));
+            loopDelay.recordHeartbeat(beat * HEARTBEAT_US + (beat % 2) * (EventLoopDelay.STALL_THRESHOLD_US - 1));
         }
-        assertEquals(0, loopDelay.totalStallUs(21 * BEAT));
+        assertEquals(0, loopDelay.totalStallUs(21 * HEARTBEAT_US));
     }
 
     @Test
-    void aHoldUpIsSeenBeforeItsBeatAndCountedOnce() {
-        loopDelay.recordHeartbeat(BEAT);
-        assertEquals(0, loopDelay.totalStallUs(2 * BEAT + EventLoopDelay.STALL_THRESHOLD_US - 1));
-        assertEquals(900_000, loopDelay.totalStallUs(2 * BEAT + 900_000));
-        loopDelay.recordHeartbeat(2 * BEAT + 901_000);
-        assertEquals(901_000, loopDelay.totalStallUs(2 * BEAT + 901_000));
-        loopDelay.recordHeartbeat(3 * BEAT + 901_000);
-        assertEquals(901_000, loopDelay.totalStallUs(4 * BEAT + 901_000));
+    void aStallIsVisibleBeforeTheHeartbeatAndCountedOnce() {
+        loopDelay.recordHeartbeat(HEARTBEAT_US);
+        assertEquals(0, loopDelay.totalStallUs(2 * HEARTBEAT_US + EventLoopDelay.STALL_THRESHOLD_US - 1));
+        assertEquals(900_000, loopDelay.totalStallUs(2 * HEARTBEAT_US + 900_000));
+        loopDelay.recordHeartbeat(2 * HEARTBEAT_US + 901_000);
+        assertEquals(901_000, loopDelay.totalStallUs(2 * HEARTBEAT_US + 901_000));
+        loopDelay.recordHeartbeat(3 * HEARTBEAT_US + 901_000);
+        assertEquals(901_000, loopDelay.totalStallUs(4 * HEARTBEAT_US + 901_000));
     }
 
     @Test
-    void twoHoldUpsAddUp() {
-        loopDelay.recordHeartbeat(BEAT);
-        loopDelay.recordHeartbeat(2 * BEAT + 100_000);
-        loopDelay.recordHeartbeat(3 * BEAT + 300_000);
-        assertEquals(300_000, loopDelay.totalStallUs(3 * BEAT + 300_000));
+    void stallsAddUp() {
+        loopDelay.recordHeartbeat(HEARTBEAT_US);
+        loopDelay.recordHeartbeat(2 * HEARTBEAT_US + 100_000);
+        loopDelay.recordHeartbeat(3 * HEARTBEAT_US + 300_000);
+        assertEquals(300_000, loopDelay.totalStallUs(3 * HEARTBEAT_US + 300_000));
     }
 
     @Test
-    void beforeTheFirstBeatNothingIsLate() {
+    void nothingIsLateBeforeTheFirstHeartbeat() {
         assertEquals(0, loopDelay.totalStallUs(5_000_000));
     }
 }
--- a/src/test/java/rushproxy/sidecar/ThreadSchedStatsTest.java
+++ b/src/test/java/rushproxy/sidecar/ThreadSchedStatsTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Processor time and waits as the kernel writes them. */
+/** Parsing of the kernel's schedstat file. */
 class ThreadSchedStatsTest {
     @Test
-    void aLineIsReadAndCompared() {
+    void parsesALineAndComputesTheDifference() {
         ThreadSchedStats before = ThreadSchedStats.parse("1000000 2000000 5\n");
         assertEquals(
                 new ThreadSchedStats(3, 40),
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void theCallingThreadHasFiguresWhereTheKernelTells() {
-        ThreadSchedStats.ofCurrentThread().ifPresent(figures -> assertTrue(figures.cpuMs() > 0));
+    void currentThreadHasStatsIfTheKernelProvidesThem() {
+        ThreadSchedStats.ofCurrentThread().ifPresent(stats -> assertTrue(stats.cpuMs() > 0));
     }
 }
--- a/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
@@ -28,23 +28,23 @@
 import rushproxy.lab.node.SystemFaults.Call;
 
 /**
- * A real sidecar whose system calls fail for a moment: that is no end of a connection, so each request gets its final answer in its
- * time, and none runs twice that must not.
+ * Runs a sidecar process whose system calls fail transiently. Such failures must not end connections: each request gets its final
+ * response in time, and no unsafe request runs twice.
  */
 @Timeout(120)
 class TransientFailuresIT {
-    /** Six calls in a hundred, as in incident-2. */
-    private static final double CHANCE = 0.06;
+    /** The failure rate of incident-2. */
+    private static final double FAILURE_RATE = 0.06;
 
     private static final int SERVERS = 4;
     private static final int CLIENTS = 8;
     private static final int REQUESTS_EACH = 50;
-    /** For calls of which each request makes few. */
-    private static final double OFTEN = 0.3;
+    /** For calls that each request makes only a few times. */
+    private static final double HIGH_FAILURE_RATE = 0.3;
 
-    private static final int STARTS = 4;
+    private static final int START_COUNT = 4;
     private static final long REMAINING_MS = 800;
-    /** What a client waits beyond its time before it counts an answer as missing. */
+    /** How long past its deadline a client waits before it counts the response as missing. */
     private static final int SLACK_MS = 70;
 
     private static final long SEED = 11;
@@ -53,33 +53,33 @@
     Path folder;
 
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-    private final ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
-    private FakeServices standIns;
+    private final ConcurrentLinkedQueue<String> problems = new ConcurrentLinkedQueue<>();
+    private FakeServices services;
     private SidecarProcess sidecar;
     private SystemFaults faults;
 
     @BeforeEach
     void prepare() throws Exception {
-        standIns = new FakeServices();
+        services = new FakeServices();
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
         faults = SystemFaults.with(library.get(), folder.resolve("control"), SEED);
-        standIns.addServers(SERVERS, (m, line) -> {
+        services.addServers(SERVERS, (m, line) -> {
             runs.merge(m.header("X-Txn"), 1, Integer::sum);
             line.answer("200 OK", "", m.header("X-Txn"));
         });
     }
 
     private void start() throws Exception {
-        sidecar = standIns.start(folder, faults.environment());
+        sidecar = services.start(folder, faults.environment());
     }
 
     @AfterEach
     void end() throws Exception {
-        standIns.close();
+        services.close();
     }
 
-    /** Each request comes on a connection of its own. */
+    /** Each request uses its own connection. */
     @ParameterizedTest
     @EnumSource(
             names = {
@@ -92,80 +92,80 @@
                 "READ_SHORT",
                 "WRITE_SHORT"
             })
-    void newConnectionsAreAnswered(Call call) throws Exception {
+    void requestsOnNewConnectionsAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
-        play(client -> {
+        faults.set(call, FAILURE_RATE);
+        runClients(client -> {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 try (Peer.Client connection = sidecar.client()) {
-                    request(connection, id(client, i));
+                    sendRequest(connection, id(client, i));
                 }
             }
         });
-        check(call);
+        assertNoProblems(call);
     }
 
-    /** All requests of a client come on one connection, one after the other. */
+    /** All requests of a client use one connection, one after the other. */
     @ParameterizedTest
     @EnumSource(names = {"OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS", "READ_FAILS", "SEND_FAILS"})
-    void connectionsThatStayOpenAreAnswered(Call call) throws Exception {
+    void requestsOnPersistentConnectionsAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
-        play(client -> {
+        faults.set(call, FAILURE_RATE);
+        runClients(client -> {
             try (Peer.Client connection = sidecar.client()) {
                 for (int i = 0; i < REQUESTS_EACH; i++) {
-                    request(connection, id(client, i));
+                    sendRequest(connection, id(client, i));
                 }
             }
         });
-        check(call);
+        assertNoProblems(call);
     }
 
-    /** A process that starts while calls fail is ready all the same. */
+    /** Guards against startup failing because of a transient error. */
     @ParameterizedTest
     @EnumSource(names = {"SOCKET_FAILS", "OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS"})
-    void aProcessStarts(Call call) throws Exception {
-        for (int i = 0; i < STARTS; i++) {
-            faults.set(call, OFTEN);
+    void processStarts(Call call) throws Exception {
+        for (int i = 0; i < START_COUNT; i++) {
+            faults.set(call, HIGH_FAILURE_RATE);
             start();
             faults.clear();
             try (Peer.Client connection = sidecar.client()) {
-                request(connection, id(0, i));
+                sendRequest(connection, id(0, i));
             }
-            assertEquals(List.of(), List.copyOf(wrong));
+            assertEquals(List.of(), List.copyOf(problems));
             sidecar.close();
         }
     }
 
-    /** Guards against a successor that ends at its start since its held socket's address can't be told for a moment. */
+    /** Guards against a startup that fails because the address of the inherited socket can't be read for a moment. */
     @Test
-    void aProcessTakesAHeldSocket() throws Exception {
+    void processAcceptsFromAnInheritedSocket() throws Exception {
         try (SharedSocket socket = new SharedSocket(new InetSocketAddress("127.0.0.1", 0))) {
-            for (int i = 0; i < STARTS; i++) {
-                faults.set(Call.NAME_FAILS, OFTEN);
-                SidecarProcess process = standIns.startOn(socket, folder, faults.environment());
+            for (int i = 0; i < START_COUNT; i++) {
+                faults.set(Call.NAME_FAILS, HIGH_FAILURE_RATE);
+                SidecarProcess process = services.startOn(socket, folder, faults.environment());
                 faults.clear();
                 try (Peer.Client connection = new Peer.Client(socket.address())) {
-                    request(connection, id(0, i));
+                    sendRequest(connection, id(0, i));
                 }
-                assertEquals(List.of(), List.copyOf(wrong));
+                assertEquals(List.of(), List.copyOf(problems));
                 process.close();
             }
         }
     }
 
-    /** A connection to a server that this machine can't open for a moment is no fault of the server's. */
+    /** Guards against transient local connect failures that are blamed on the server. */
     @ParameterizedTest
     @EnumSource(names = {"CONNECT_FAILS", "SOCKET_FAILS", "NAME_FAILS"})
-    void whatCanNotBeDialledForAMomentIsDialledAgain(Call call) throws Exception {
+    void transientConnectFailuresAreRetried(Call call) throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (Peer server : services.servers) {
             server.script = (m, line) -> {
                 line.answer("200 OK", "Connection: close\r\n", m.header("X-Txn"));
                 line.socket().close();
             };
         }
-        faults.set(call, OFTEN);
+        faults.set(call, HIGH_FAILURE_RATE);
         List<String> failed = new ArrayList<>();
         try (Peer.Client connection = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
@@ -185,12 +185,12 @@
         });
     }
 
-    /** A first byte that could not be written while its client was there is not written once it has gone. */
+    /** Guards against a delayed first write that is sent after its client has disconnected. */
     @Test
-    void nothingIsSentForAClientThatLeftMeanwhile() throws Exception {
+    void nothingIsSentForADisconnectedClient() throws Exception {
         start();
         try (Peer.Client connection = sidecar.client()) {
-            request(connection, "safe-first");
+            sendRequest(connection, "safe-first");
         }
         faults.set(Call.SEND_FAILS, 1);
         for (int i = 0; i < CLIENTS; i++) {
@@ -201,46 +201,46 @@
         }
         faults.clear();
         try (Peer.Client connection = sidecar.client()) {
-            request(connection, "safe-last");
+            sendRequest(connection, "safe-last");
         }
         pause();
-        assertEquals(List.of(), List.copyOf(wrong));
+        assertEquals(List.of(), List.copyOf(problems));
         assertEquals(Set.of("safe-first", "safe-last"), runs.keySet());
         assertEquals(0, sidecar.invariantViolations());
     }
 
-    /** The end of such an answer is the end of its connection. */
+    /** Guards against a failed shutdown of the output that leaves a response without framing unfinished. */
     @Test
-    void theEndOfAnAnswerIsToldInTime() throws Exception {
+    void unframedResponsesEndInTime() throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (Peer server : services.servers) {
             server.script = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nwhole");
                 line.socket().close();
             };
         }
-        faults.set(Call.SHUTDOWN_FAILS, OFTEN);
+        faults.set(Call.SHUTDOWN_FAILS, HIGH_FAILURE_RATE);
         List<String> late = new ArrayList<>();
         for (int i = 0; i < REQUESTS_EACH; i++) {
             try (Peer.Client connection = sidecar.client()) {
                 connection.socket.setSoTimeout((int) REMAINING_MS);
                 connection.send(SidecarProcess.request("GET", "1.0", id(0, i), "safe", REMAINING_MS));
                 if (!connection.rest().endsWith("whole")) {
-                    late.add(i + " was not whole");
+                    late.add(i + " was incomplete");
                 }
             } catch (SocketTimeoutException e) {
-                late.add(i + " has no end");
+                late.add(i + " did not end");
             }
         }
         faults.clear();
         assertEquals(List.of(), late);
     }
 
-    /** An answer that breaks off half way is never taken for a whole one. */
+    /** Guards against a truncated response that looks complete to its client. */
     @Test
-    void aBrokenAnswerIsRecognised() throws Exception {
+    void truncatedResponsesAreDetectable() throws Exception {
         start();
-        for (Peer server : standIns.servers) {
+        for (Peer server : services.servers) {
             server.script = (m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\n\r\nhalf");
                 pause();
@@ -249,7 +249,7 @@
                 line.reset();
             };
         }
-        faults.set(Call.OPTION_FAILS, OFTEN);
+        faults.set(Call.OPTION_FAILS, HIGH_FAILURE_RATE);
         List<String> whole = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             try (Peer.Client connection = sidecar.client()) {
@@ -259,7 +259,7 @@
                     whole.add(text);
                 }
             } catch (SocketException e) {
-                // A reset, as it should be.
+                // The expected reset.
             }
         }
         faults.clear();
@@ -274,24 +274,24 @@
         }
     }
 
-    /** Clients send on the connections they hold until the process ends. */
+    /** Clients keep sending on their open connections until the process ends. */
     @ParameterizedTest
     @EnumSource(names = {"READ_FAILS", "SEND_FAILS", "REGISTER_FAILS", "SHUTDOWN_FAILS", "OPTION_FAILS"})
-    void aStopLosesNothing(Call call) throws Exception {
+    void shutdownLosesNoRequest(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
-        Thread signal = new Thread(() -> {
+        faults.set(call, FAILURE_RATE);
+        Thread signaller = new Thread(() -> {
             pause();
             try {
                 sidecar.signal("TERM");
                 pause();
                 sidecar.signal("TERM");
             } catch (Exception e) {
-                wrong.add("the signal: " + e);
+                problems.add("sending the signal: " + e);
             }
         });
-        signal.start();
-        play(client -> {
+        signaller.start();
+        runClients(client -> {
             try (Peer.Client connection = sidecar.client()) {
                 for (int i = 0; ; i++) {
                     if (!requestUntilClosed(connection, id(client, i))) {
@@ -300,20 +300,20 @@
                 }
             }
         });
-        signal.join();
-        check(call);
+        signaller.join();
+        assertNoProblems(call);
     }
 
-    /** False where the connection had ended between requests, or ends after this answer. */
+    /** Returns false if the connection was closed between requests, or ends after this response. */
     private boolean requestUntilClosed(Peer.Client connection, String id) throws IOException {
         connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
         try {
             connection.send(SidecarProcess.get(id, id.startsWith("unsafe") ? "unsafe" : "safe", REMAINING_MS));
             Peer.Message answer = connection.answer();
-            // An end between requests may cross one, which its client sends again elsewhere.
+            // A close between requests may cross a request, which its client sends again elsewhere.
             return answer != null && !"close".equalsIgnoreCase(answer.header("Connection"));
         } catch (SocketTimeoutException e) {
-            wrong.add(id + " has no answer");
+            problems.add(id + " got no response");
             return false;
         } catch (SocketException e) {
             return false;
@@ -324,20 +324,20 @@
         return (number % 2 == 0 ? "unsafe" : "safe") + client + "-" + number;
     }
 
-    private void request(Peer.Client connection, String id) {
+    private void sendRequest(Peer.Client connection, String id) {
         String requestClass = id.startsWith("unsafe") ? "unsafe" : "safe";
         try {
             connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
             connection.send(SidecarProcess.get(id, requestClass, REMAINING_MS));
             Peer.Message answer = connection.answer();
             if (answer == null) {
-                wrong.add(id + " was closed with no answer");
+                problems.add(id + " was closed without a response");
             } else if (answer.head().startsWith("HTTP/1.1 200")
                     && !answer.body().equals(id)) {
-                wrong.add(id + " got the answer of another: " + answer.body());
+                problems.add(id + " got the response to another request: " + answer.body());
             }
         } catch (IOException e) {
-            wrong.add(id + ": " + e);
+            problems.add(id + ": " + e);
         }
     }
 
@@ -345,7 +345,7 @@
         void run(int number) throws IOException;
     }
 
-    private void play(ClientAction client) throws InterruptedException {
+    private void runClients(ClientAction client) throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
         for (int n = 0; n < CLIENTS; n++) {
             int number = n;
@@ -353,7 +353,7 @@
                 try {
                     client.run(number);
                 } catch (IOException e) {
-                    wrong.add("client " + number + ": " + e);
+                    problems.add("client " + number + ": " + e);
                 }
             });
             threads.add(thread);
@@ -364,9 +364,9 @@
         }
     }
 
-    private void check(Call call) {
+    private void assertNoProblems(Call call) {
         faults.clear();
-        assertEquals(List.of(), List.copyOf(wrong), () -> call + ": " + wrong.size() + " wrong");
+        assertEquals(List.of(), List.copyOf(problems), () -> call + ": " + problems.size() + " problems");
         assertEquals(
                 List.of(),
                 runs.entrySet().stream()
--- a/src/test/java/rushproxy/sidecar/WarmUpTest.java
+++ b/src/test/java/rushproxy/sidecar/WarmUpTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Before it is ready the sidecar serves itself, from a client's connection to an upstream's answer. It only asked itself for its
- * readiness before: its first real requests then ran code that had never run, 34 to 47 ms for the first of them on a free core, and
- * eight sidecars that had started at once on busy cores answered next to nothing in their first three seconds.
+ * The warm-up exercises the whole path of a request, from the client's connection to the response of an upstream. Guards against
+ * first requests that run cold code: with only the readiness check exercised, the first request took 34 to 47 ms on an idle core, and
+ * eight sidecars started together on busy cores answered almost nothing in their first three seconds.
  */
 @Timeout(60)
 class WarmUpTest {
     @Test
-    void allOfItsRequestsAreServedAndNoneReachesTheModule() throws Exception {
+    void allWarmUpRequestsSucceedWithoutReachingTheBalancerOrUpstreams() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             Peer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
@@ -40,9 +40,9 @@
         }
     }
 
-    /** What bears its name but was not sent by it is a request like any other. */
+    /** Guards against client requests with the path of the warm-up being taken for its own. */
     @Test
-    void nobodyElseIsServedByIt() throws Exception {
+    void clientRequestsWithTheWarmUpPathAreProxied() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
