--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -33,10 +33,10 @@
     private static final long HEARTBEAT_INTERVAL_MS = EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000;
     private static final int HEARTBEATS_PER_REPORT = 100;
     /** Lag from which a warning is logged: the smallest margin kept between a response and its deadline. */
-    private static final long REPORTED_LAG_US = 15_000;
+    private static final long MIN_REPORTED_LAG_US = 15_000;
 
     private final Config config;
-    private final ServerSocketChannel inherited;
+    private final ServerSocketChannel inheritedListener;
     private final BalancerFactory balancerFactory;
     private final Clock clock;
     private final EventLoopDelay loopDelay = new EventLoopDelay();
@@ -79,15 +79,20 @@
         Balancer create(Config config, long nowUs, Balancer.Actions actions);
     }
 
-    /** {@code inherited}: a listening socket passed in by the parent process; null if the sidecar opens its own. */
-    Sidecar(Config config, ServerSocketChannel inherited, BalancerFactory balancerFactory) {
-        this(config, inherited, balancerFactory, new Clock(), handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
+    /** {@code inheritedListener}: a listening socket passed in by the parent process; null if the sidecar opens its own. */
+    Sidecar(Config config, ServerSocketChannel inheritedListener, BalancerFactory balancerFactory) {
+        this(
+                config,
+                inheritedListener,
+                balancerFactory,
+                new Clock(),
+                handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
     }
 
     /** {@code groupFactory} creates a group of one event loop, whose timers must use {@code clock}. */
     Sidecar(
             Config config,
-            ServerSocketChannel inherited,
+            ServerSocketChannel inheritedListener,
             BalancerFactory balancerFactory,
             Clock clock,
             Function<IoHandlerFactory, EventLoopGroup> groupFactory) {
@@ -95,7 +100,7 @@
         group = groupFactory.apply(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
         loop = group.next();
         this.config = config;
-        this.inherited = inherited;
+        this.inheritedListener = inheritedListener;
         this.balancerFactory = balancerFactory;
         Balancer.Settings settings = config.settings();
         Budget budget = new Budget((long) config.memoryMb() << 20 >> BUFFER_BUDGET_SHIFT);
@@ -176,9 +181,9 @@
         TcpInfo.loadEagerly();
         Sidecar sidecar;
         try {
-            ServerSocketChannel inherited = config.inheritsListener() ? InheritedListener.open() : null;
+            ServerSocketChannel inheritedListener = config.inheritsListener() ? InheritedListener.open() : null;
             sidecar = new Sidecar(
-                    config, inherited, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
+                    config, inheritedListener, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
             // Before the listeners open, so that no health check succeeds early.
             sidecar.clients.notReady();
             EventLoopWatchdog.start(sidecar.loop, Sidecar::haltAfterLoopExit);
@@ -241,7 +246,7 @@
         if (fleetPlane != null) {
             loop.execute(fleetPlane::start);
         }
-        if (inherited == null) {
+        if (inheritedListener == null) {
             listenAddress = clients.listen(config.listen());
         } else {
             // A private port for the warm-up: a connection to the shared address could reach the other process.
@@ -291,7 +296,7 @@
     private void reportLag() {
         ThreadSchedStats before = lastSchedStats;
         lastSchedStats = ThreadSchedStats.ofCurrentThread().orElse(null);
-        if (maxLagUs >= REPORTED_LAG_US) {
+        if (maxLagUs >= MIN_REPORTED_LAG_US) {
             String text = "the event loop was late by up to " + maxLagUs / 1000 + " ms in "
                     + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
             if (before == null || lastSchedStats == null) {
@@ -339,9 +344,9 @@
             });
         });
         done.await();
-        if (inherited != null) {
+        if (inheritedListener != null) {
             clients.closeListener();
-            clients.take(inherited);
+            clients.take(inheritedListener);
             listenAddress = config.listen();
         }
         // Ready only after discovery's first response, so that the first clients are served from a current list.
--- a/src/main/java/rushproxy/sidecar/TcpInfo.java
+++ b/src/main/java/rushproxy/sidecar/TcpInfo.java
@@ -40,22 +40,22 @@
     private final Method getTcpInfo;
     private final EpollTcpInfo info = new EpollTcpInfo();
 
-    private TcpInfo(Field descriptor, Constructor<?> socket, Method read) {
-        this.descriptorField = descriptor;
-        this.socketConstructor = socket;
-        this.getTcpInfo = read;
+    private TcpInfo(Field descriptorField, Constructor<?> socketConstructor, Method getTcpInfo) {
+        this.descriptorField = descriptorField;
+        this.socketConstructor = socketConstructor;
+        this.getTcpInfo = getTcpInfo;
     }
 
     private static TcpInfo lookUp() throws ReflectiveOperationException {
         Epoll.ensureAvailability();
         Class<?> linuxSocket = Class.forName("io.netty.channel.epoll.LinuxSocket");
-        Field descriptor = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
-        Constructor<?> socket = linuxSocket.getDeclaredConstructor(int.class);
-        Method read = linuxSocket.getDeclaredMethod("getTcpInfo", EpollTcpInfo.class);
-        for (AccessibleObject part : new AccessibleObject[] {descriptor, socket, read}) {
+        Field descriptorField = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
+        Constructor<?> socketConstructor = linuxSocket.getDeclaredConstructor(int.class);
+        Method getTcpInfo = linuxSocket.getDeclaredMethod("getTcpInfo", EpollTcpInfo.class);
+        for (AccessibleObject part : new AccessibleObject[] {descriptorField, socketConstructor, getTcpInfo}) {
             part.setAccessible(true);
         }
-        return new TcpInfo(descriptor, socket, read);
+        return new TcpInfo(descriptorField, socketConstructor, getTcpInfo);
     }
 
     private static Throwable rootCause(Throwable e) {
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -141,9 +141,9 @@
         clients.update(new UpstreamList(0, true, List.of(new UpstreamList.Entry(upstream(CLIENT_SIDE_ID), self))));
         decisions.start(
                 actions -> {
-                    Balancer module = new Policy(settings, SEED, clock.nowUs(), actions);
-                    module.onList(clock.nowUs(), ListKind.FULL, list);
-                    return module;
+                    Balancer balancer = new Policy(settings, SEED, clock.nowUs(), actions);
+                    balancer.onList(clock.nowUs(), ListKind.FULL, list);
+                    return balancer;
                 },
                 new ModuleActions());
         for (int i = 0; i < CONCURRENCY; i++) {
--- a/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
+++ b/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
@@ -31,7 +31,7 @@
         long previousBusyUs;
 
         /** Whether it timed out too late, although accepted in time and delayed no longer than the loop had just been. */
-        boolean isFault() {
+        boolean isTooLate() {
             long marginUs = Math.min(CLIENT_TIMEOUT_MS * 1000 / 4, previousBusyUs + AnswerDeadlines.LEAST_MARGIN_US);
             long deadlineUs = sentUs + CLIENT_TIMEOUT_MS * 1000;
             return timedOutUs > deadlineUs && acceptedUs <= deadlineUs - marginUs && timedOutUs - dueUs <= marginUs;
@@ -120,7 +120,7 @@
                     .mapToObj(i -> timelines.get("a" + i))
                     .toList();
             assertEquals(
-                    List.of(), all.stream().filter(RequestTimeline::isFault).toList());
+                    List.of(), all.stream().filter(RequestTimeline::isTooLate).toList());
         }
     }
 
--- a/src/test/java/rushproxy/sidecar/DrainTest.java
+++ b/src/test/java/rushproxy/sidecar/DrainTest.java
@@ -40,7 +40,7 @@
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
             rig.upstream((m, line) -> {
-                if (m.header("X-Txn").equals("held")) {
+                if (m.header("X-Txn").equals("pending")) {
                     try {
                         answer.await();
                     } catch (InterruptedException e) {
@@ -50,15 +50,15 @@
                 line.answer("200 OK", "", m.header("X-Txn"));
             });
             rig.start();
-            try (Peer.Client held = rig.client();
+            try (Peer.Client pending = rig.client();
                     Peer.Client used = rig.client();
                     Peer.Client idle = rig.client()) {
                 for (Peer.Client c : new Peer.Client[] {used, idle}) {
                     c.send(SidecarRig.get("w" + c.socket.getLocalPort(), 30_000));
                     assertEquals(200, c.status());
                 }
-                held.send(SidecarRig.get("held", 30_000));
-                rig.awaitEvent("request held");
+                pending.send(SidecarRig.get("pending", 30_000));
+                rig.awaitEvent("request pending");
                 assertEquals("ACK\n", rig.callAdmin("quiesce"));
                 used.send(SidecarRig.get("after", 30_000));
                 Peer.Message m = used.answer();
@@ -67,8 +67,8 @@
                 assertEquals(null, used.answer());
                 assertEquals(null, idle.answer());
                 answer.countDown();
-                Peer.Message late = held.answer();
-                assertEquals("held", late.body());
+                Peer.Message late = pending.answer();
+                assertEquals("pending", late.body());
                 assertEquals("close", late.header("Connection"));
             }
         }
--- a/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
+++ b/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
@@ -77,11 +77,11 @@
         }
     }
 
-    private Peer.Client connectWhenReady(Process p, InetSocketAddress at) throws Exception {
+    private Peer.Client connectWhenReady(Process p, InetSocketAddress address) throws Exception {
         while (true) {
             assertTrue(p.isAlive(), log());
             try {
-                Peer.Client c = new Peer.Client(at);
+                Peer.Client c = new Peer.Client(address);
                 if (c.send(READY).status() == 200) {
                     return c;
                 }
@@ -94,9 +94,9 @@
     }
 
     /** Opens idle connections. Each has sent a request, since connections that never send one are closed sooner. */
-    private void openIdleClients(InetSocketAddress at, int clients) throws IOException {
+    private void openIdleClients(InetSocketAddress address, int clients) throws IOException {
         for (int i = 0; i < clients; i++) {
-            Peer.Client c = new Peer.Client(at);
+            Peer.Client c = new Peer.Client(address);
             c.socket.setSoTimeout(300);
             idle.add(c);
             try {
@@ -114,8 +114,8 @@
         idle.clear();
     }
 
-    private static String get(InetSocketAddress at, String id) throws IOException {
-        try (Peer.Client c = new Peer.Client(at)) {
+    private static String get(InetSocketAddress address, String id) throws IOException {
+        try (Peer.Client c = new Peer.Client(address)) {
             Peer.Message m = c.send(SidecarRig.get(id, 2_500)).answer();
             return m == null
                     ? "no response"
@@ -125,9 +125,9 @@
         }
     }
 
-    private void awaitBody(InetSocketAddress at, String expected) throws Exception {
+    private void awaitBody(InetSocketAddress address, String expected) throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        for (String body = ""; !body.equals(expected); body = get(at, "b" + System.nanoTime())) {
+        for (String body = ""; !body.equals(expected); body = get(address, "b" + System.nanoTime())) {
             String last = body;
             assertTrue(
                     System.nanoTime() < deadlineNanos,
@@ -147,12 +147,12 @@
         try (Peer discovery = new Peer((m, line) -> {});
                 Peer before = new Peer((m, line) -> line.answer("200 OK", "", "before"));
                 Peer after = new Peer((m, line) -> line.answer("200 OK", "", "after"))) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", freePort());
-            Process p = start(at.getPort(), discovery, before, 256, 256);
+            InetSocketAddress address = new InetSocketAddress("127.0.0.1", freePort());
+            Process p = start(address.getPort(), discovery, before, 256, 256);
             try {
-                connectWhenReady(p, at).close();
-                openIdleClients(at, 300);
-                assertEquals("before", get(at, "a1"), this::log);
+                connectWhenReady(p, address).close();
+                openIdleClients(address, 300);
+                assertEquals("before", get(address, "a1"), this::log);
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer(
@@ -161,7 +161,7 @@
                                 SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
                     }
                 };
-                awaitBody(at, "after");
+                awaitBody(address, "after");
                 assertStopsCleanly(p);
             } finally {
                 closeIdleClients();
@@ -176,11 +176,11 @@
         try (Peer discovery = new Peer((m, line) -> line.socket().close());
                 Peer before = new Peer((m, line) -> line.answer("200 OK", "Connection: close\r\n", "before"));
                 Peer after = new Peer((m, line) -> line.answer("200 OK", "", "after"))) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", freePort());
-            Process p = start(at.getPort(), discovery, before, 2_048, 200);
-            try (Peer.Client connected = connectWhenReady(p, at)) {
-                assertEquals("before", get(at, "a1"), this::log);
-                openIdleClients(at, 200);
+            InetSocketAddress address = new InetSocketAddress("127.0.0.1", freePort());
+            Process p = start(address.getPort(), discovery, before, 2_048, 200);
+            try (Peer.Client connected = connectWhenReady(p, address)) {
+                assertEquals("before", get(address, "a1"), this::log);
+                openIdleClients(address, 200);
                 // No descriptor is left, but the request is still answered in time.
                 connected.send(SidecarRig.get("a2", 2_500));
                 assertTrue(List.of(502, 503).contains(connected.status()), log());
@@ -193,7 +193,7 @@
                     }
                 };
                 closeIdleClients();
-                awaitBody(at, "after");
+                awaitBody(address, "after");
                 assertStopsCleanly(p);
             } finally {
                 closeIdleClients();
--- a/src/test/java/rushproxy/sidecar/ShutdownTest.java
+++ b/src/test/java/rushproxy/sidecar/ShutdownTest.java
@@ -23,7 +23,7 @@
         try (SidecarRig rig = rig()) {
             CountDownLatch answer = new CountDownLatch(1);
             rig.upstream((m, line) -> {
-                if (m.header("X-Txn").equals("held")) {
+                if (m.header("X-Txn").equals("pending")) {
                     try {
                         answer.await();
                     } catch (InterruptedException e) {
@@ -34,11 +34,11 @@
             });
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client();
+            try (Peer.Client pending = rig.client();
                     Peer.Client half = rig.client();
                     Peer.Client idle = rig.client()) {
-                held.send(SidecarRig.get("held", 30_000));
-                rig.awaitEvent("request held");
+                pending.send(SidecarRig.get("pending", 30_000));
+                rig.awaitEvent("request pending");
                 idle.send(SidecarRig.get("before", 30_000));
                 assertEquals("before", idle.answer().body());
                 String text = SidecarRig.get("half", 30_000);
@@ -57,11 +57,11 @@
                     assertEquals("half", half.answer().body());
                     assertEquals(1, stopped.getCount(), "stopped with a request pending");
                     answer.countDown();
-                    assertEquals("held", held.answer().body());
+                    assertEquals("pending", pending.answer().body());
                     // All connections are closed before the process ends.
                     assertEquals(null, newcomer.answer());
                     assertEquals(null, idle.answer());
-                    assertEquals(null, held.answer());
+                    assertEquals(null, pending.answer());
                 }
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
@@ -93,13 +93,13 @@
             rig.upstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client()) {
-                held.send(SidecarRig.get("held", 30_000));
-                rig.awaitEvent("request held");
+            try (Peer.Client pending = rig.client()) {
+                pending.send(SidecarRig.get("pending", 30_000));
+                rig.awaitEvent("request pending");
                 rig.sidecar.stop(stopped::countDown);
-                Peer.Message m = held.answer();
+                Peer.Message m = pending.answer();
                 assertTrue(m != null && m.head().startsWith("HTTP/1.1 502 "), () -> "" + m);
-                rig.awaitEvent("outcome held 0 TIMEOUT");
+                rig.awaitEvent("outcome pending 0 TIMEOUT");
             }
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
         }
--- a/src/test/java/rushproxy/sidecar/StallAwareClockTest.java
+++ b/src/test/java/rushproxy/sidecar/StallAwareClockTest.java
@@ -11,8 +11,8 @@
 
     @Test
     void heartbeatsInTimeAreNoStall() {
-        for (int beat = 1; beat <= 20; beat++) {
-            loopDelay.recordHeartbeat(beat * HEARTBEAT_US + (beat % 2) * (EventLoopDelay.STALL_THRESHOLD_US - 1));
+        for (int i = 1; i <= 20; i++) {
+            loopDelay.recordHeartbeat(i * HEARTBEAT_US + (i % 2) * (EventLoopDelay.STALL_THRESHOLD_US - 1));
         }
         assertEquals(0, loopDelay.totalStallUs(21 * HEARTBEAT_US));
     }
