--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnection.java
@@ -223,7 +223,7 @@
                 go(content, atUs);
             }
         } catch (RuntimeException e) {
-            Log.exception("a handler failed", e);
+            Log.error("a handler failed", e);
             if (busy && !answered && current == null) {
                 reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
             }
@@ -786,7 +786,7 @@
             return;
         }
         channel.history().recordFailure(ConnectionHistory.SocketOperation.HANDLER, cause);
-        Log.exception("a client's connection failed", cause);
+        Log.error("a client's connection failed", cause);
         if (busy && !answered && current == null) {
             last = true;
             reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
--- a/src/main/java/rushproxy/sidecar/CordonStore.java
+++ b/src/main/java/rushproxy/sidecar/CordonStore.java
@@ -78,7 +78,7 @@
         try {
             worker.submit(this::look).get();
         } catch (java.util.concurrent.ExecutionException e) {
-            Log.exception("what was called out can't be read", e.getCause());
+            Log.error("what was called out can't be read", e.getCause());
         }
         if (folder != null) {
             worker.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
@@ -166,7 +166,7 @@
             }
         } catch (RuntimeException e) {
             // The look that fails must not be the last one.
-            Log.exception("a look at what was called out failed", e);
+            Log.error("a look at what was called out failed", e);
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/Decisions.java
+++ b/src/main/java/rushproxy/sidecar/Decisions.java
@@ -29,7 +29,7 @@
             try {
                 call.accept(module);
             } catch (RuntimeException e) {
-                Log.exception("the module failed", e);
+                Log.error("the module failed", e);
                 actions.add(broken);
             }
         });
@@ -43,7 +43,7 @@
         try {
             return question.test(module);
         } catch (RuntimeException e) {
-            Log.exception("the module failed", e);
+            Log.error("the module failed", e);
             return false;
         }
     }
@@ -57,7 +57,7 @@
                     try {
                         action.run();
                     } catch (RuntimeException e) {
-                        Log.exception("an action failed", e);
+                        Log.error("an action failed", e);
                     }
                 }
             }
--- a/src/main/java/rushproxy/sidecar/Log.java
+++ b/src/main/java/rushproxy/sidecar/Log.java
@@ -197,7 +197,7 @@
     }
 
     /** Logs an internal error with the top of its stack trace. */
-    static void exception(String message, Throwable e) {
+    static void error(String message, Throwable e) {
         StringBuilder text = new StringBuilder(message).append(": ").append(e);
         StackTraceElement[] trace = e.getStackTrace();
         for (int i = 0; i < Math.min(MAX_STACK_FRAMES, trace.length); i++) {
--- a/src/main/java/rushproxy/sidecar/PeriodicTask.java
+++ b/src/main/java/rushproxy/sidecar/PeriodicTask.java
@@ -28,7 +28,7 @@
 
     private static void logFailure(Throwable e) {
         try {
-            Log.exception("recurring work failed", e);
+            Log.error("recurring work failed", e);
         } catch (Throwable logFailure) {
             // Logging may fail for the same reason as the task. The next run matters more than the message.
         }
--- a/src/main/java/rushproxy/sidecar/TcpListener.java
+++ b/src/main/java/rushproxy/sidecar/TcpListener.java
@@ -60,7 +60,7 @@
                 return 1;
             } catch (IOException | RuntimeException e) {
                 if (tries == MOST_TRIES || !socket.isOpen()) {
-                    Log.exception("an accepted connection can't be used", e);
+                    Log.error("an accepted connection can't be used", e);
                     close(socket);
                     return 0;
                 }
@@ -81,7 +81,7 @@
             if (tries < MOST_TRIES) {
                 eventLoop().schedule(() -> takeUp(next, tries + 1), FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
             } else {
-                Log.exception("an accepted connection has no address", e);
+                Log.error("an accepted connection has no address", e);
                 close(next::close);
             }
             return;
@@ -94,7 +94,7 @@
         try {
             accepted.close();
         } catch (IOException e) {
-            Log.exception("an accepted connection can't be closed", e);
+            Log.error("an accepted connection can't be closed", e);
         }
     }
 
--- a/src/test/java/rushproxy/sidecar/AnswerDeadlinesTest.java
+++ b/src/test/java/rushproxy/sidecar/AnswerDeadlinesTest.java
@@ -14,9 +14,9 @@
 
     private static List<RequestClass> classes() {
         try {
-            return SidecarRig.config(
+            return SidecarRig.parseConfig(
                             "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\",\"known\":"
-                                    + SidecarRig.list(1, true) + ",\"settings\":"
+                                    + SidecarRig.listJson(1, true) + ",\"settings\":"
                                     + SidecarRig.SETTINGS.replace(
                                             "\"profiles\":[",
                                             "\"profiles\":["
--- a/src/test/java/rushproxy/sidecar/BadInputTest.java
+++ b/src/test/java/rushproxy/sidecar/BadInputTest.java
@@ -14,7 +14,7 @@
 class BadInputTest {
     @Test
     void whatIsNoRequestOfTheProtocolIsSaidSo() throws Exception {
-        String good = SidecarRig.get("a1", 9000);
+        String good = SidecarRig.getRequest("a1", 9000);
         Map<String, Integer> cases = new LinkedHashMap<>();
         cases.put("RUBBISH\r\n\r\n", 400);
         cases.put("GET /api HTTP/1.1\r\n: : :\r\nbad header\r\n\r\n", 400);
@@ -37,7 +37,7 @@
                         + "x".repeat(65_536),
                 200);
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             for (Map.Entry<String, Integer> c : cases.entrySet()) {
                 try (Peer.Client client = rig.client()) {
@@ -67,7 +67,7 @@
     @Test
     void readyOnlyOnceItHasWarmedUp() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             Thread warmUp = new Thread(() -> {
                 try {
@@ -97,13 +97,13 @@
     @Test
     void peersThatNeverFinishARequestAreClosed() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             try (Peer.Client good = rig.client();
                     Peer.Client silent = rig.client();
                     Peer.Client half = rig.client();
                     Peer.Client slow = rig.client()) {
-                good.send(SidecarRig.get("a1", 9_000));
+                good.send(SidecarRig.getRequest("a1", 9_000));
                 assertEquals(200, good.status());
                 half.send("POST /api HTTP/1.1\r\nX-Txn: a2\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\n"
                         + "Content-Length: 9\r\n\r\nhalf");
@@ -123,7 +123,7 @@
                 assertFalse(open, "one that sends byte by byte is still open");
                 assertEquals(-1, silent.status());
                 assertEquals(-1, half.status());
-                good.send(SidecarRig.get("a3", 9_000));
+                good.send(SidecarRig.getRequest("a3", 9_000));
                 assertEquals(200, good.status());
                 assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request a2")));
             }
@@ -132,7 +132,7 @@
 
     private static void broken(String json, String... named) {
         Config.InvalidConfigException e =
-                assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(json));
+                assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.parseConfig(json));
         for (String name : named) {
             assertTrue(e.getMessage().contains(name), e.getMessage());
         }
@@ -144,17 +144,17 @@
         String good =
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"8c1f30d27a5be964\","
                         + "\"peers\":[\"127.0.0.1:7\"],\"known\":"
-                        + SidecarRig.list(1, true, SidecarRig.entry("u", "127.0.0.1:8", "Ready", 7))
+                        + SidecarRig.listJson(1, true, SidecarRig.entryJson("u", "127.0.0.1:8", "Ready", 7))
                         + ",\"settings\":" + SidecarRig.SETTINGS + ",\"new\":{\"x\":[1]}}";
         assertEquals(
                 7000,
-                SidecarRig.config(good)
+                SidecarRig.parseConfig(good)
                         .knownUpstreams()
                         .entries()
                         .get(0)
                         .upstream()
                         .startedUs());
-        assertEquals(0x8c1f30d27a5be964L, SidecarRig.config(good).seed());
+        assertEquals(0x8c1f30d27a5be964L, SidecarRig.parseConfig(good).seed());
         broken("", "JSON");
         broken("[]", "JSON");
         broken("{\n\n", "JSON");
--- a/src/test/java/rushproxy/sidecar/BlockedLogReaderIT.java
+++ b/src/test/java/rushproxy/sidecar/BlockedLogReaderIT.java
@@ -27,7 +27,7 @@
             sidecar.stopReadingLog();
             try (Peer.Client client = sidecar.client()) {
                 for (int i = 0; i < REQUEST_COUNT; i++) {
-                    client.send(SidecarProcess.get("unread-" + i, "safe", REMAINING_MS));
+                    client.send(SidecarProcess.getRequest("unread-" + i, "safe", REMAINING_MS));
                     assertEquals(200, client.status(), "request " + i);
                 }
             }
--- a/src/test/java/rushproxy/sidecar/BulkTest.java
+++ b/src/test/java/rushproxy/sidecar/BulkTest.java
@@ -85,7 +85,7 @@
 
     /** An upstream that answers a body with what it was; requests come whole or in chunks. */
     private static void echo(SidecarRig rig, List<byte[]> got) throws Exception {
-        rig.upstream((m, line) -> {
+        rig.addUpstream((m, line) -> {
             try {
                 InputStream in = line.socket().getInputStream();
                 byte[] body = m.body().getBytes(StandardCharsets.ISO_8859_1);
@@ -139,7 +139,7 @@
                                 body, answer(c.socket.getInputStream()), name);
                         sender.join();
                         // The connection goes on.
-                        c.send(SidecarRig.get(name + "x", 20_000));
+                        c.send(SidecarRig.getRequest(name + "x", 20_000));
                         assertEquals(200, c.status());
                     }
                 }
@@ -163,11 +163,11 @@
                         + "HTTP/1.1 200 OK\r\nContent-Length: 500000\r\n\r\n" + text));
         for (Peer.Script form : forms) {
             try (SidecarRig rig = new SidecarRig()) {
-                rig.upstream(form);
+                rig.addUpstream(form);
                 rig.start();
                 try (Peer.Client c = rig.client()) {
                     for (int i = 0; i < 2; i++) {
-                        c.send(SidecarRig.get("a" + i, 20_000));
+                        c.send(SidecarRig.getRequest("a" + i, 20_000));
                         org.junit.jupiter.api.Assertions.assertArrayEquals(body, answer(c.socket.getInputStream()));
                         assertEquals("begins a" + i + " 0", rig.awaitEvent("begins"));
                         assertEquals("outcome a" + i + " 0 OK true -", rig.awaitEvent("outcome"));
@@ -185,13 +185,13 @@
             "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + "x".repeat(200_000) + "\r\n30d40\r\nhalf"
         }) {
             try (SidecarRig rig = new SidecarRig()) {
-                rig.upstream((m, line) -> {
+                rig.addUpstream((m, line) -> {
                     line.raw("HTTP/1.1 200 OK\r\n" + head);
                     line.socket().close();
                 });
                 rig.start();
                 try (Peer.Client c = rig.client()) {
-                    c.send(SidecarRig.get("a1", 20_000));
+                    c.send(SidecarRig.getRequest("a1", 20_000));
                     assertEquals(null, answer(c.socket.getInputStream()));
                     assertEquals("outcome a1 0 RESET true -", rig.awaitEvent("outcome"));
                 }
@@ -216,14 +216,14 @@
     @Test
     void whatAnUpstreamGivesSlowlyIsPassedOnAsItComes() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 40, 1_000, 30);
                 line.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("a1", 500));
+                c.send(SidecarRig.getRequest("a1", 500));
                 rig.awaitEvent("begins a1");
                 assertEquals(40_004, answer(c.socket.getInputStream()).length);
             }
@@ -234,14 +234,14 @@
     @Test
     void aLongAnswerMayRestPastItsDeadline() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 1, 70_000, 900);
                 line.raw("4\r\nlast\r\n0\r\n\r\n");
             });
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("a1", 500));
+                c.send(SidecarRig.getRequest("a1", 500));
                 assertEquals(70_004, answer(c.socket.getInputStream()).length);
             }
         }
@@ -252,7 +252,7 @@
     void aShortAnswerThatStopsIsAnsweredAsFailed() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             Semaphore stopped = new Semaphore(0);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
                 stopped.release();
             });
@@ -262,12 +262,12 @@
             rig.clock.freeze();
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("a1", 20_000));
+                c.send(SidecarRig.getRequest("a1", 20_000));
                 stopped.acquire();
                 rig.clock.advance(20_000);
                 assertEquals(502, c.status());
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome a1"));
-                c.send(SidecarRig.get("a2", 20_000));
+                c.send(SidecarRig.getRequest("a2", 20_000));
                 stopped.acquire();
                 rig.clock.advance(20_000);
                 assertEquals(502, c.status());
@@ -279,14 +279,14 @@
     @Test
     void aShortAnswerThatWasPassedOnAndStopsIsBrokenOff() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 chunksApart(line, 10, 1_000, 10);
             });
             rig.start();
             try (Peer.Client c = rig.client()) {
                 long sent = System.nanoTime();
-                c.send(SidecarRig.get("a1", 800));
+                c.send(SidecarRig.getRequest("a1", 800));
                 rig.awaitEvent("begins a1");
                 assertEquals(null, answer(c.socket.getInputStream()));
                 long tookMs = (System.nanoTime() - sent) / 1_000_000;
@@ -302,7 +302,7 @@
         try (SidecarRig rig = new SidecarRig()) {
             long[] written = new long[1];
             CountDownLatch ended = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nContent-Length: " + (32 << 20) + "\r\n\r\n");
                 byte[] piece = new byte[1 << 16];
                 try {
@@ -319,7 +319,7 @@
             rig.start();
             try (Peer.Client c = rig.client()) {
                 c.socket.setReceiveBufferSize(64 << 10);
-                c.send(SidecarRig.get("a1", 20_000));
+                c.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("begins");
                 long before = -1;
                 for (long now = 0; now != before || now == 0; ) {
@@ -340,11 +340,11 @@
     @Test
     void aClientThatLeavesWithinItsAnswerEndsTheAttempt() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream(
+            rig.addUpstream(
                     (m, line) -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000)));
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("a1", 20_000));
+                c.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("begins a1");
             }
             assertEquals("outcome a1 0 CANCELLED true -", rig.awaitEvent("outcome"));
@@ -355,7 +355,7 @@
     @Test
     void aBodyThatHasBegunToFlowIsNotSentAgain() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.reset());
+            Peer up = rig.addUpstream((m, line) -> line.reset());
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == rushproxy.Balancer.Outcome.NOT_SENT) {
                     out.refuse(id, 0);
@@ -400,7 +400,7 @@
     @Test
     void framingThatCanBeReadInTwoWaysIsRefused() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
             for (String framing : new String[] {
                 "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -444,7 +444,7 @@
     void aClientThatLeavesWithinItsBodyEndsTheAttempt() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             BlockingQueue<Integer> ends = new LinkedBlockingQueue<>();
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 InputStream in = line.socket().getInputStream();
                 try {
                     while (in.read() >= 0) {}
@@ -466,10 +466,10 @@
     @Test
     void aBodyThatRestsTooLongEndsItsAttemptAtOnce() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", ""));
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("a0", 20_000));
+                c.send(SidecarRig.getRequest("a0", 20_000));
                 assertEquals(200, c.status());
                 BlockingQueue<Long> ends = new LinkedBlockingQueue<>();
                 up.script = (m, line) -> {
@@ -493,7 +493,7 @@
     void aShortBodyIsSentAgainWhole() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             List<byte[]> got = new ArrayList<>();
-            rig.upstream((m, line) -> line.reset());
+            rig.addUpstream((m, line) -> line.reset());
             echo(rig, got);
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (!done) {
--- a/src/test/java/rushproxy/sidecar/ClientRoomTest.java
+++ b/src/test/java/rushproxy/sidecar/ClientRoomTest.java
@@ -57,7 +57,7 @@
         // One more than the upstreams' half; whether it is sent or finds no place is the sidecar's choice.
         CountDownLatch attempts = new CountDownLatch(PLACES + 1);
         try (SidecarRig rig = rig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 attempts.countDown();
                 awaitUnchecked(attempts);
                 line.answer("200 OK", "", "fine");
@@ -80,9 +80,9 @@
             }
             List<Peer.Client> asking = clients.subList(0, PLACES / 2);
             for (int i = 0; i < asking.size(); i++) {
-                asking.get(i).send(SidecarRig.get("a" + i, 40_000));
+                asking.get(i).send(SidecarRig.getRequest("a" + i, 40_000));
             }
-            Peer.Client last = clients.get(PLACES / 2).send(SidecarRig.get("last", 40_000));
+            Peer.Client last = clients.get(PLACES / 2).send(SidecarRig.getRequest("last", 40_000));
             for (Peer.Client c : asking) {
                 assertEquals(200, c.status());
             }
@@ -98,13 +98,13 @@
     void roomIsMadeForAsManyAsWereAcceptedInOneTurn() throws Exception {
         CountDownLatch answers = new CountDownLatch(1);
         try (SidecarRig rig = rig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 awaitUnchecked(answers);
                 line.answer("200 OK", "", "fine");
             });
             rig.start();
             for (int i = 0; i < PLACES - 1; i++) {
-                comes(rig.address()).send(SidecarRig.get("busy" + i, 40_000));
+                comes(rig.address()).send(SidecarRig.getRequest("busy" + i, 40_000));
                 rig.awaitEvent("request busy" + i);
             }
             rig.stallLoop(20, () -> {
@@ -130,23 +130,24 @@
     void connectionsToUpstreamsThatRestGiveWayToClients() throws Exception {
         CountDownLatch asking = new CountDownLatch(PLACES - 1);
         try (SidecarRig rig = rig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 asking.countDown();
                 awaitUnchecked(asking);
                 line.answer("200 OK", "", "fine");
             });
             for (int i = 1; i < 2 * PLACES; i++) {
-                rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+                rig.addUpstream((m, line) -> line.answer("200 OK", "", "fine"));
             }
             rig.onRequest = (now, r, out) -> out.send(r.id(), r.id().startsWith("u") ? r.id() : "u0", 0);
             rig.start();
             Peer.Client first = comes(rig.address());
             for (int i = 1; i < 2 * PLACES; i++) {
-                assertEquals(200, first.send(SidecarRig.get("u" + i, 40_000)).status());
+                assertEquals(
+                        200, first.send(SidecarRig.getRequest("u" + i, 40_000)).status());
             }
             List<Peer.Client> all = new ArrayList<>();
             for (int i = 0; i < PLACES - 1; i++) {
-                all.add(comes(rig.address()).send(SidecarRig.get("busy" + i, 40_000)));
+                all.add(comes(rig.address()).send(SidecarRig.getRequest("busy" + i, 40_000)));
                 rig.awaitEvent("request busy" + i);
             }
             for (Peer.Client c : all) {
--- a/src/test/java/rushproxy/sidecar/CordonTest.java
+++ b/src/test/java/rushproxy/sidecar/CordonTest.java
@@ -20,13 +20,13 @@
     private SidecarRig rig() throws Exception {
         SidecarRig rig = new SidecarRig().withAdmin();
         rig.stateDirectory = folder;
-        rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+        rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
         return rig;
     }
 
     private static int serve(SidecarRig rig, String id) throws Exception {
         try (Peer.Client c = rig.client()) {
-            return c.send(SidecarRig.get(id, 20_000)).status();
+            return c.send(SidecarRig.getRequest(id, 20_000)).status();
         }
     }
 
@@ -146,11 +146,11 @@
                         line.answer(
                                 "200 OK",
                                 "",
-                                SidecarRig.list(42, true, SidecarRig.entry("u0", address[0], "Ready", 5_000)));
+                                SidecarRig.listJson(42, true, SidecarRig.entryJson("u0", address[0], "Ready", 5_000)));
                     }
                 })
                 .withAdmin()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             address[0] = rig.upstreams.get(0).address();
             rig.start();
             assertEquals("ACK\n", rig.callAdmin("cordon u0"));
--- a/src/test/java/rushproxy/sidecar/CrowdTest.java
+++ b/src/test/java/rushproxy/sidecar/CrowdTest.java
@@ -20,7 +20,7 @@
 class CrowdTest {
     private static SidecarRig rig() throws Exception {
         SidecarRig rig = new SidecarRig().withAdmin();
-        rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+        rig.addUpstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
         // Sixteen connections for clients.
         rig.maxSockets = 48 + 2 * 16;
         return rig;
@@ -42,7 +42,7 @@
                 assertEquals("ACK\n", rig.callAdmin("health"), "the operators wait for no client");
             }
             try (Peer.Client real = rig.client()) {
-                real.send(SidecarRig.get("real", 20_000));
+                real.send(SidecarRig.getRequest("real", 20_000));
                 assertEquals("real", real.answer().body());
             }
             for (Peer.Client c : half) {
@@ -56,18 +56,18 @@
     @Test
     void whoHasJustComeMakesNoRoom() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.maxSockets = 48 + 2 * 16;
             rig.start();
             List<Peer.Client> clients = new ArrayList<>();
             try {
                 for (int i = 0; i < 14; i++) {
-                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
+                    clients.add(rig.client().send(SidecarRig.getRequest("busy" + i, 20_000)));
                     rig.awaitEvent("request busy" + i);
                 }
                 rig.stallLoop(20, () -> {
-                    clients.add(rig.client().send(SidecarRig.get("first", 20_000)));
-                    clients.add(rig.client().send(SidecarRig.get("second", 20_000)));
+                    clients.add(rig.client().send(SidecarRig.getRequest("first", 20_000)));
+                    clients.add(rig.client().send(SidecarRig.getRequest("second", 20_000)));
                 });
                 // Neither has an answer yet, and neither is closed.
                 for (Peer.Client c : clients.subList(14, 16)) {
@@ -86,7 +86,7 @@
     @Test
     void whoLeftBeforeItWasLetInIsSentNothingFor() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer upstream = rig.upstream((m, line) -> {
+            Peer upstream = rig.addUpstream((m, line) -> {
                 if (m.header("X-Txn").startsWith("warm")) {
                     line.answer("200 OK", "", "fine");
                 }
@@ -102,13 +102,13 @@
                 }
                 // Connections to the upstream that rest: a call on one of them begins at once.
                 for (int i = 0; i < 12; i++) {
-                    clients.get(i).send(SidecarRig.get("warm" + i, 20_000));
+                    clients.get(i).send(SidecarRig.getRequest("warm" + i, 20_000));
                 }
                 for (Peer.Client c : clients) {
                     assertEquals(200, c.status());
                 }
                 for (int i = 0; i < 4; i++) {
-                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
+                    clients.add(rig.client().send(SidecarRig.getRequest("busy" + i, 20_000)));
                     rig.awaitEvent("request busy" + i);
                 }
                 for (int i = 0; i < 12; i++) {
@@ -116,7 +116,7 @@
                 }
                 for (int i = 0; i < 10; i++) {
                     try (Peer.Client leaves = rig.client()) {
-                        leaves.send(SidecarRig.get("left" + i, 20_000));
+                        leaves.send(SidecarRig.getRequest("left" + i, 20_000));
                     }
                 }
                 Thread.sleep(150);
@@ -142,7 +142,7 @@
     void aHeadThatIsWrittenSlowlyHasItsWholeTime() throws Exception {
         try (SidecarRig rig = rig().start();
                 Peer.Client slow = rig.client()) {
-            String text = SidecarRig.get("a1", 500);
+            String text = SidecarRig.getRequest("a1", 500);
             slow.send(text.substring(0, 40));
             Thread.sleep(800);
             slow.send(text.substring(40));
@@ -155,7 +155,7 @@
     @Test
     void whatFindsNoRoomIsRefusedWithinItsTime() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             List<Peer.Client> filling = new ArrayList<>();
             try {
--- a/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
+++ b/src/test/java/rushproxy/sidecar/DelayedEventLoopTest.java
@@ -66,7 +66,7 @@
     private Thread sendInBackground(SidecarRig rig, String id, long timeoutMs) {
         Thread client = new Thread(() -> {
             try (Peer.Client connection = rig.client()) {
-                connection.send(SidecarRig.get(id, timeoutMs));
+                connection.send(SidecarRig.getRequest(id, timeoutMs));
                 long sentUs = nowUs();
                 assertEquals(502, connection.status());
                 timelines.get(id).sentUs = sentUs;
@@ -83,7 +83,7 @@
     void deadlinesAllowForTheDelayOfTheLoop() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             rig.settings = SidecarRig.SETTINGS.replace("\"objective_us\":300000", "\"objective_us\":800000");
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
                 RequestTimeline timeline = new RequestTimeline();
                 timeline.acceptedUs = nowUs();
@@ -129,10 +129,10 @@
     void aResponseReceivedDuringAStallIsNotTimedOut() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             BlockingQueue<Peer.Line> lines = new LinkedBlockingQueue<>();
-            rig.upstream((m, line) -> lines.add(line));
+            rig.addUpstream((m, line) -> lines.add(line));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 800));
+                client.send(SidecarRig.getRequest("a1", 800));
                 Peer.Line line = lines.take();
                 rig.stallLoop(900, () -> line.answer("200 OK", "", "in time"));
                 assertEquals(200, client.status());
--- a/src/test/java/rushproxy/sidecar/DepartureTest.java
+++ b/src/test/java/rushproxy/sidecar/DepartureTest.java
@@ -69,17 +69,17 @@
     @Test
     void aResetAndAHalfCloseAreDeparturesToo() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client resets = rig.client()) {
-                resets.send(SidecarRig.get("a1", 3_000));
+                resets.send(SidecarRig.getRequest("a1", 3_000));
                 rig.awaitEvent("request a1");
                 resets.socket.setSoLinger(true, 0);
             }
             assertEquals("expired a1", rig.awaitEvent("expired"));
             try (Peer.Client halfCloses = rig.client()) {
-                halfCloses.send(SidecarRig.get("a2", 3_000));
+                halfCloses.send(SidecarRig.getRequest("a2", 3_000));
                 rig.awaitEvent("request a2");
                 halfCloses.socket.shutdownOutput();
                 // Its end, not an answer: the time of the request is not over by far.
@@ -95,12 +95,14 @@
         try (SlowDoor door = new SlowDoor();
                 SidecarRig rig = new SidecarRig((m, line) -> {})) {
             rig.discovery.script = (m, line) -> line.answer(
-                    "200 OK", "", SidecarRig.list(50, true, SidecarRig.entry("u0", door.address(), "Ready", 0)));
-            rig.upstream((m, line) -> {});
+                    "200 OK",
+                    "",
+                    SidecarRig.listJson(50, true, SidecarRig.entryJson("u0", door.address(), "Ready", 0)));
+            rig.addUpstream((m, line) -> {});
             rig.start();
             rig.awaitEvent("list FULL u0=READY");
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("request a1");
             }
             assertEquals("expired a1", rig.awaitEvent("expired"));
@@ -112,11 +114,11 @@
     @Test
     void theModuleHasTheLastWordOnceTheConnectionIsUp() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.mayStartWrite = false;
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("outcome a1 0 NOT_SENT false -", rig.awaitEvent("outcome"));
                 assertEquals(502, client.status());
                 assertEquals(-1, up.accepted.take().getInputStream().read());
@@ -129,13 +131,13 @@
     @Test
     void nothingIsSentForAClientThatLeftWhileTheLoopWasHeldUp() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a0", 20_000));
+                client.send(SidecarRig.getRequest("a0", 20_000));
                 assertEquals(200, client.status());
                 rig.stallLoop(200, () -> {
-                    client.send(SidecarRig.get("a1", 20_000));
+                    client.send(SidecarRig.getRequest("a1", 20_000));
                     client.close();
                 });
                 rig.awaitEvent("request a1");
@@ -152,23 +154,24 @@
             BlockingQueue<Peer.Line> watches = new LinkedBlockingQueue<>();
             try (SidecarRig rig = new SidecarRig((m, line) -> {
                 if (m.path().contains("wait=0")) {
-                    line.answer("200 OK", "", SidecarRig.list(41, false));
+                    line.answer("200 OK", "", SidecarRig.listJson(41, false));
                 } else {
                     watches.add(line);
                 }
             })) {
-                Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+                Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
                 rig.start();
                 Peer.Line watch = watches.take();
                 try (Peer.Client client = rig.client()) {
-                    client.send(SidecarRig.get("a0", 20_000));
+                    client.send(SidecarRig.getRequest("a0", 20_000));
                     assertEquals(200, client.status());
                     rig.stallLoop(200, () -> {
-                        client.send(SidecarRig.get("a1", 20_000));
+                        client.send(SidecarRig.getRequest("a1", 20_000));
                         watch.answer(
                                 "200 OK",
                                 "",
-                                SidecarRig.list(42, false, SidecarRig.entry("u0", up.address(), "Terminating", 0)));
+                                SidecarRig.listJson(
+                                        42, false, SidecarRig.entryJson("u0", up.address(), "Terminating", 0)));
                     });
                     rig.awaitEvent("outcome a0");
                     assertEquals("outcome a1 0 NOT_SENT false -", rig.awaitEvent("outcome"));
@@ -183,15 +186,15 @@
     void aCopyWhoseConnectionStillComesUpIsNotSentOnceAnotherHasServed() throws Exception {
         try (SlowDoor door = new SlowDoor();
                 SidecarRig rig = new SidecarRig((m, line) -> {})) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.discovery.script = (m, line) -> line.answer(
                     "200 OK",
                     "",
-                    SidecarRig.list(
+                    SidecarRig.listJson(
                             50,
                             true,
-                            SidecarRig.entry("u0", door.address(), "Ready", 0),
-                            SidecarRig.entry("u1", up.address(), "Ready", 0)));
+                            SidecarRig.entryJson("u0", door.address(), "Ready", 0),
+                            SidecarRig.entryJson("u1", up.address(), "Ready", 0)));
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
                 out.send(r.id(), "u1", 0);
@@ -199,7 +202,7 @@
             rig.start();
             rig.awaitEvent("list FULL u0=READY,u1=READY");
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("served", client.answer().body());
             }
             assertEquals("", door.firstSent());
@@ -210,13 +213,13 @@
     @Test
     void aClientThatSendsManyRequestsAndGoesIsSeenToHaveGone() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 400; i++) {
-                    all.append(SidecarRig.get("a" + i, 20_000));
+                    all.append(SidecarRig.getRequest("a" + i, 20_000));
                 }
                 client.send(all.toString());
             }
@@ -230,7 +233,7 @@
     @Test
     void aClientThatGoesWithinALongBodyThatWaitsIsSeenToHaveGone() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
@@ -245,7 +248,7 @@
     @Test
     void whatWaitsForAClientThatCannotBeWatchedIsRefusedAndNeverBegun() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
@@ -260,13 +263,13 @@
     @Test
     void aClientThatSendsMoreAheadThanIsKeptGetsAnAnswerToAllThatWasRead() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 2_000; i++) {
-                    all.append(SidecarRig.get("a" + i, 20_000));
+                    all.append(SidecarRig.getRequest("a" + i, 20_000));
                 }
                 client.send(all.toString());
                 int refused = 0;
@@ -284,7 +287,7 @@
     @Test
     void aClientThatLeftWhileItsBodyWaitedForRoomIsSentNothingFor() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             java.util.List<Peer.Client> filling = new ArrayList<>();
             try {
--- a/src/test/java/rushproxy/sidecar/DiscoveryTest.java
+++ b/src/test/java/rushproxy/sidecar/DiscoveryTest.java
@@ -9,7 +9,7 @@
 
 @Timeout(60)
 class DiscoveryTest {
-    private static final String UP = SidecarRig.entry("u0", "127.0.0.1:9", "Ready", 0);
+    private static final String UP = SidecarRig.entryJson("u0", "127.0.0.1:9", "Ready", 0);
     /** The call after a bad answer is made by then, and the one after that is not given up. */
     private static final long NEXT_CALL_MS = 300;
 
@@ -18,13 +18,13 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
-                case 2 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
-                case 3 -> line.answer("200 OK", "Connection: close\r\n", SidecarRig.list(44, true, UP));
+                case 1 -> line.answer("200 OK", "", SidecarRig.listJson(41, false));
+                case 2 -> line.answer("200 OK", "", SidecarRig.listJson(42, false, UP.replace("Ready", "Terminating")));
+                case 3 -> line.answer("200 OK", "Connection: close\r\n", SidecarRig.listJson(44, true, UP));
                 default -> {}
             }
         })) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             assertEquals("list CACHED u0=READY", rig.awaitEvent("list"));
             // The first answer tells the module that it is subscribed, even without a change.
@@ -44,7 +44,7 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = new SidecarRig((m, line) -> {
             if (calls.incrementAndGet() <= 2) {
-                line.answer("200 OK", "", SidecarRig.list(41 + calls.get(), true, UP));
+                line.answer("200 OK", "", SidecarRig.listJson(41 + calls.get(), true, UP));
             }
         })) {
             AtomicInteger lists = new AtomicInteger();
@@ -53,7 +53,7 @@
                     throw new OutOfMemoryError("as the test wants");
                 }
             };
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             assertEquals("list FULL u0=READY", rig.awaitEvent("list FULL"));
             assertEquals("list FULL u0=READY", rig.awaitEvent("list FULL"));
@@ -73,9 +73,9 @@
             "null",
             "{\"generation\":50,\"reset\":true,\"instances\":[]}",
             "{\"generation\":50,\"reset\":true}",
-            SidecarRig.list(40, false, UP),
-            SidecarRig.list(50, false, UP.replace("Ready", "?")),
-            SidecarRig.list(50, true, UP.replace("127.0.0.1:9", "nowhere")),
+            SidecarRig.listJson(40, false, UP),
+            SidecarRig.listJson(50, false, UP.replace("Ready", "?")),
+            SidecarRig.listJson(50, true, UP.replace("127.0.0.1:9", "nowhere")),
             "{\"generation\":50,\"reset\":true,\"instances\":[7]}"
         };
         for (String answer : bad) {
@@ -83,11 +83,11 @@
             try (SidecarRig rig = new SidecarRig((m, line) -> {
                 switch (calls.incrementAndGet()) {
                     case 1 -> line.answer("200 OK", "", answer);
-                    case 2 -> line.answer("200 OK", "", SidecarRig.list(60, true, UP));
+                    case 2 -> line.answer("200 OK", "", SidecarRig.listJson(60, true, UP));
                     default -> {}
                 }
             })) {
-                rig.upstream((m, line) -> {});
+                rig.addUpstream((m, line) -> {});
                 // However late the answer comes here, the call that it answers is not given up.
                 rig.clock.freeze();
                 rig.start();
@@ -111,11 +111,11 @@
                 case 1 -> line.answer("503 Down", "", "");
                 case 2 -> line.reset();
                 case 3 -> line.raw("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n");
-                case 4 -> line.answer("200 OK", "", SidecarRig.list(43, false, UP));
+                case 4 -> line.answer("200 OK", "", SidecarRig.listJson(43, false, UP));
                 default -> {}
             }
         })) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             rig.awaitEvent("list CACHED");
             for (int i = 0; i < 3; i++) {
@@ -132,15 +132,15 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
+                case 1 -> line.answer("200 OK", "", SidecarRig.listJson(41, false));
                 case 2 -> line.answer("503 Down", "", "");
-                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP));
+                case 3 -> line.answer("200 OK", "", SidecarRig.listJson(42, false, UP));
                 default -> {}
             }
         })) {
             rig.settings = rig.settings.replace("on_request", "pushed");
             rig.subscribes = false;
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             rig.awaitEvent("list CACHED");
             assertEquals(
@@ -156,7 +156,7 @@
         SidecarRig rig = new SidecarRig(discovery);
         rig.settings = rig.settings.replace("on_request", "pushed");
         rig.subscribes = false;
-        rig.upstream((m, line) -> {});
+        rig.addUpstream((m, line) -> {});
         rig.start();
         rig.awaitEvent("list CACHED");
         return rig;
@@ -171,8 +171,8 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = pushed((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
-                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
+                case 1 -> line.answer("200 OK", "", SidecarRig.listJson(41, false));
+                case 3 -> line.answer("200 OK", "", SidecarRig.listJson(42, false, UP.replace("Ready", "Terminating")));
                 default -> {}
             }
         })) {
@@ -201,9 +201,10 @@
             AtomicInteger calls = new AtomicInteger();
             try (SidecarRig rig = pushed((m, line) -> {
                 switch (calls.incrementAndGet()) {
-                    case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
+                    case 1 -> line.answer("200 OK", "", SidecarRig.listJson(41, false));
                     case 2 -> broken.getValue().handle(m, line);
-                    case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
+                    case 3 ->
+                        line.answer("200 OK", "", SidecarRig.listJson(42, false, UP.replace("Ready", "Terminating")));
                     default -> {}
                 }
             })) {
@@ -223,9 +224,9 @@
         try (SidecarRig rig = pushed((m, line) -> {
             int call = calls.incrementAndGet();
             if (call == 1 || call == 6) {
-                line.answer("200 OK", "", SidecarRig.list(call + 40, false));
+                line.answer("200 OK", "", SidecarRig.listJson(call + 40, false));
             } else if (call == 5) {
-                line.answer("200 OK", "", SidecarRig.list(45, false, UP.replace("Ready", "Terminating")));
+                line.answer("200 OK", "", SidecarRig.listJson(45, false, UP.replace("Ready", "Terminating")));
             }
         })) {
             assertEquals("list DELTA u0=DRAINING", rig.awaitEvent("list"));
@@ -245,13 +246,13 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = new SidecarRig((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", SidecarRig.list(41, false));
+                case 1 -> line.answer("200 OK", "", SidecarRig.listJson(41, false));
                 case 2 -> line.reset();
-                case 3 -> line.answer("200 OK", "", SidecarRig.list(42, false, UP.replace("Ready", "Terminating")));
+                case 3 -> line.answer("200 OK", "", SidecarRig.listJson(42, false, UP.replace("Ready", "Terminating")));
                 default -> {}
             }
         })) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.subscribesOnce = true;
             rig.start();
             rig.awaitEvent("list CACHED");
@@ -263,7 +264,7 @@
 
     private static String many(int from, int to, String state) {
         return java.util.stream.IntStream.range(from, to)
-                .mapToObj(i -> SidecarRig.entry("s" + i, "127.0.0.1:" + (1_000 + i), state, 0))
+                .mapToObj(i -> SidecarRig.entryJson("s" + i, "127.0.0.1:" + (1_000 + i), state, 0))
                 .collect(java.util.stream.Collectors.joining(","));
     }
 
@@ -281,15 +282,15 @@
         AtomicInteger calls = new AtomicInteger();
         try (SidecarRig rig = pushed((m, line) -> {
             switch (calls.incrementAndGet()) {
-                case 1 -> line.answer("200 OK", "", indented(SidecarRig.list(42, true, many(0, servers, "Ready"))));
-                case 2 -> line.answer("200 OK", "", SidecarRig.list(43, false, many(0, 1_024, "Terminating")));
-                case 3 -> line.answer("200 OK", "", SidecarRig.list(44, true, many(0, 40_000, "Ready")));
+                case 1 -> line.answer("200 OK", "", indented(SidecarRig.listJson(42, true, many(0, servers, "Ready"))));
+                case 2 -> line.answer("200 OK", "", SidecarRig.listJson(43, false, many(0, 1_024, "Terminating")));
+                case 3 -> line.answer("200 OK", "", SidecarRig.listJson(44, true, many(0, 40_000, "Ready")));
                 case 4 ->
                     line.answer(
                             "200 OK",
                             "",
                             "{\"generation\":45,\"reset\":true,\"instances\":[" + many(0, 1_024, "Ready"));
-                case 5 -> line.answer("200 OK", "", SidecarRig.list(46, true, many(5, 6, "Ready")));
+                case 5 -> line.answer("200 OK", "", SidecarRig.listJson(46, true, many(5, 6, "Ready")));
                 default -> {}
             }
         })) {
--- a/src/test/java/rushproxy/sidecar/DrainTest.java
+++ b/src/test/java/rushproxy/sidecar/DrainTest.java
@@ -20,7 +20,7 @@
     @Test
     void readinessFailsWhileQuiescedAndRecoversOnResume() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             assertEquals(200, readinessStatus(rig));
             for (int i = 0; i < 2; i++) {
@@ -39,7 +39,7 @@
     void quiesceClosesBusyConnectionsAfterTheirResponsesAndIdleOnesToo() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
             CountDownLatch answer = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 if (m.header("X-Txn").equals("pending")) {
                     try {
                         answer.await();
@@ -54,13 +54,13 @@
                     Peer.Client used = rig.client();
                     Peer.Client idle = rig.client()) {
                 for (Peer.Client c : new Peer.Client[] {used, idle}) {
-                    c.send(SidecarRig.get("w" + c.socket.getLocalPort(), 30_000));
+                    c.send(SidecarRig.getRequest("w" + c.socket.getLocalPort(), 30_000));
                     assertEquals(200, c.status());
                 }
-                pending.send(SidecarRig.get("pending", 30_000));
+                pending.send(SidecarRig.getRequest("pending", 30_000));
                 rig.awaitEvent("request pending");
                 assertEquals("ACK\n", rig.callAdmin("quiesce"));
-                used.send(SidecarRig.get("after", 30_000));
+                used.send(SidecarRig.getRequest("after", 30_000));
                 Peer.Message m = used.answer();
                 assertEquals("after", m.body());
                 assertEquals("close", m.header("Connection"));
@@ -77,7 +77,7 @@
     @Test
     void resumeKeepsConnectionsOpen() throws Exception {
         try (SidecarRig rig = new SidecarRig().withAdmin()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             try (Peer.Client c = rig.client()) {
                 rig.callAdmin("quiesce");
@@ -85,7 +85,7 @@
                 rig.callAdmin("quiesce");
                 rig.callAdmin("resume");
                 for (int i = 0; i < 3; i++) {
-                    c.send(SidecarRig.get("r" + i, 30_000));
+                    c.send(SidecarRig.getRequest("r" + i, 30_000));
                     assertEquals(null, c.answer().header("Connection"));
                 }
             }
--- a/src/test/java/rushproxy/sidecar/FakeServices.java
+++ b/src/test/java/rushproxy/sidecar/FakeServices.java
@@ -29,8 +29,8 @@
     }
 
     /** As {@link #start}, but the sidecar inherits {@code socket}. */
-    SidecarProcess startOn(SharedSocket socket, Path folder, Map<String, String> environment) throws Exception {
-        sidecar = SidecarProcess.startOn(socket, folder, discovery, servers, environment);
+    SidecarProcess startInheriting(SharedSocket socket, Path folder, Map<String, String> environment) throws Exception {
+        sidecar = SidecarProcess.startInheriting(socket, folder, discovery, servers, environment);
         return sidecar;
     }
 
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -176,10 +176,11 @@
             services.servers.add(restarted);
             long generation = 41 + services.servers.size();
             publishList(
-                    SidecarRig.list(
+                    SidecarRig.listJson(
                             generation,
                             false,
-                            SidecarRig.entry("u0", restarted.address(), "Ready", System.currentTimeMillis() + stepMs)),
+                            SidecarRig.entryJson(
+                                    "u0", restarted.address(), "Ready", System.currentTimeMillis() + stepMs)),
                     generation);
             double first = share(restarted, 500);
             assertTrue(first < 0.15, "share in its first half second, clock stepped by " + stepMs + " ms: " + first);
@@ -228,7 +229,7 @@
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMs);
         try (Peer.Client c = sidecar.client()) {
             while (System.nanoTime() < deadlineNanos) {
-                c.send(SidecarProcess.get("s" + System.nanoTime(), "safe", 800));
+                c.send(SidecarProcess.getRequest("s" + System.nanoTime(), "safe", 800));
                 assertEquals(200, c.status());
                 sent++;
                 Thread.sleep(1);
@@ -264,8 +265,8 @@
         List<String> wrong = new ArrayList<>();
         try (Peer.Client safe = sidecar.client();
                 Peer.Client unsafe = sidecar.client()) {
-            safe.send(SidecarProcess.get("safe", "safe", 10_000));
-            unsafe.send(SidecarProcess.get("unsafe", "unsafe", 10_000));
+            safe.send(SidecarProcess.getRequest("safe", "safe", 10_000));
+            unsafe.send(SidecarProcess.getRequest("unsafe", "unsafe", 10_000));
             // Both requests have reached an upstream, which does not answer.
             assertTrue(arrived.tryAcquire(2, 20, TimeUnit.SECONDS));
             long termAt = System.nanoTime();
@@ -390,7 +391,7 @@
             for (int i = 0; i < 100; i++) {
                 String requestClass = i % 2 == 0 ? "unsafe" : "safe";
                 String id = requestClass + client + "-" + i;
-                c.send(SidecarProcess.get(id, requestClass, 800));
+                c.send(SidecarProcess.getRequest(id, requestClass, 800));
                 Peer.Message answer = c.answer();
                 if (answer == null) {
                     wrong.add(id + " got no response");
--- a/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
+++ b/src/test/java/rushproxy/sidecar/FileDescriptorLimitTest.java
@@ -33,7 +33,7 @@
 
     private Process start(int port, Peer discovery, Peer upstream, int configuredSockets, int descriptorLimit)
             throws Exception {
-        String knownList = SidecarRig.list(41, true, SidecarRig.entry("u0", upstream.address(), "Ready", 0));
+        String knownList = SidecarRig.listJson(41, true, SidecarRig.entryJson("u0", upstream.address(), "Ready", 0));
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -116,7 +116,7 @@
 
     private static String get(InetSocketAddress address, String id) throws IOException {
         try (Peer.Client c = new Peer.Client(address)) {
-            Peer.Message m = c.send(SidecarRig.get(id, 2_500)).answer();
+            Peer.Message m = c.send(SidecarRig.getRequest(id, 2_500)).answer();
             return m == null
                     ? "no response"
                     : m.head().startsWith("HTTP/1.1 200")
@@ -158,7 +158,7 @@
                         line.answer(
                                 "200 OK",
                                 "",
-                                SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
+                                SidecarRig.listJson(43, true, SidecarRig.entryJson("u1", after.address(), "Ready", 0)));
                     }
                 };
                 awaitBody(address, "after");
@@ -182,14 +182,14 @@
                 assertEquals("before", get(address, "a1"), this::log);
                 openIdleClients(address, 200);
                 // No descriptor is left, but the request is still answered in time.
-                connected.send(SidecarRig.get("a2", 2_500));
+                connected.send(SidecarRig.getRequest("a2", 2_500));
                 assertTrue(List.of(502, 503).contains(connected.status()), log());
                 discovery.script = (m, line) -> {
                     if (!m.path().contains("index=43")) {
                         line.answer(
                                 "200 OK",
                                 "",
-                                SidecarRig.list(43, true, SidecarRig.entry("u1", after.address(), "Ready", 0)));
+                                SidecarRig.listJson(43, true, SidecarRig.entryJson("u1", after.address(), "Ready", 0)));
                     }
                 };
                 closeIdleClients();
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -102,7 +102,7 @@
         try (DatagramSocket one = socket();
                 DatagramSocket two = socket();
                 SidecarRig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
             next(one, got);
@@ -155,8 +155,8 @@
     void whatAReleaseOrdersComesToTheModuleAndAnOlderControllerIsRefused() throws Exception {
         try (DatagramSocket peer = socket();
                 SidecarRig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
-            rig.upstream((m, line) -> {});
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             assertEquals("ACK\n", rig.callAdmin("order r1 2 0 on 0.25 0.05 ids=u1"));
             assertEquals("weights {u1=0.25}", rig.awaitEvent("weights"));
@@ -213,12 +213,12 @@
                         + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
         assertTrue(assertThrows(
                         Config.InvalidConfigException.class,
-                        () -> SidecarRig.config("{\"fleet\":{\"memberz\":true}," + rest))
+                        () -> SidecarRig.parseConfig("{\"fleet\":{\"memberz\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.memberz' is unknown"));
         assertTrue(assertThrows(
                         Config.InvalidConfigException.class,
-                        () -> SidecarRig.config("{\"fleet\":{\"members\":true}," + rest))
+                        () -> SidecarRig.parseConfig("{\"fleet\":{\"members\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.members' needs 'peer_listen'"));
         for (String[] bad : new String[][] {
@@ -228,7 +228,7 @@
             assertTrue(
                     assertThrows(
                                     Config.InvalidConfigException.class,
-                                    () -> SidecarRig.config("{\"fleet\":{" + bad[0] + "}," + rest))
+                                    () -> SidecarRig.parseConfig("{\"fleet\":{" + bad[0] + "}," + rest))
                             .getMessage()
                             .contains(bad[1]),
                     bad[1]);
@@ -245,7 +245,9 @@
             {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is no name"}
         }) {
             assertTrue(
-                    assertThrows(Config.InvalidConfigException.class, () -> SidecarRig.config(on.formatted(bad[0])))
+                    assertThrows(
+                                    Config.InvalidConfigException.class,
+                                    () -> SidecarRig.parseConfig(on.formatted(bad[0])))
                             .getMessage()
                             .contains(bad[1]),
                     bad[1]);
--- a/src/test/java/rushproxy/sidecar/GuardedCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/GuardedCloseTest.java
@@ -37,9 +37,9 @@
         for (CloseReason reason :
                 new CloseReason[] {CloseReason.ROOM_NEEDED, CloseReason.STOPPING, CloseReason.DRAINING}) {
             try (SidecarRig rig = new SidecarRig()) {
-                rig.upstream((m, line) -> {});
+                rig.addUpstream((m, line) -> {});
                 rig.start();
-                try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
+                try (Peer.Client client = rig.client().send(SidecarRig.getRequest("a1", 20_000))) {
                     rig.awaitEvent("request a1");
                     onLoop(rig, connection -> connection.close(reason));
                     assertEquals(502, client.status(), reason.words());
@@ -55,15 +55,15 @@
     @Test
     void aRequestInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 if (m.header("X-Txn").equals("a0")) {
                     line.answer("200 OK", "", "fine");
                 }
             });
             rig.start();
-            try (Peer.Client client = rig.client().send(SidecarRig.get("a0", 20_000))) {
+            try (Peer.Client client = rig.client().send(SidecarRig.getRequest("a0", 20_000))) {
                 assertEquals(200, client.status());
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("request a1");
                 onLoop(rig, connection -> connection.end(CloseReason.STOPPING));
                 assertEquals(502, client.status());
@@ -74,7 +74,7 @@
     @Test
     void aNewConnectionIsNotClosedForOthers() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "fine"));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 awaitOpen(rig);
@@ -86,7 +86,7 @@
                                 rig.sidecar.invariants().counts());
                     }
                 });
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(200, client.status());
             }
         }
@@ -153,9 +153,9 @@
     @Test
     void aHandlerThatThrowsLosesNoRequest() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
-            try (Peer.Client whole = rig.client().send(SidecarRig.get("a1", 20_000))) {
+            try (Peer.Client whole = rig.client().send(SidecarRig.getRequest("a1", 20_000))) {
                 rig.awaitEvent("request a1");
                 onLoop(
                         rig,
@@ -167,7 +167,7 @@
             }
         }
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             try (Peer.Client half = rig.client()
                     .send("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: a2\r\nX-Lane: c\r\nX-Remaining-Ms: 20000\r\n"
@@ -196,7 +196,7 @@
         try (SidecarRig rig = new SidecarRig()) {
             rig.onRequest = (now, r, out) -> {};
             rig.start();
-            try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
+            try (Peer.Client client = rig.client().send(SidecarRig.getRequest("a1", 20_000))) {
                 rig.awaitEvent("request a1");
                 onLoop(
                         rig,
@@ -213,9 +213,9 @@
     @Test
     void whatLiesUnreadOnAQuietConnectionIsReadBeforeItCloses() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "fine"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "fine"));
             rig.start();
-            try (Peer.Client client = rig.client().send(SidecarRig.get("a1", 20_000))) {
+            try (Peer.Client client = rig.client().send(SidecarRig.getRequest("a1", 20_000))) {
                 assertEquals(200, client.status());
                 rig.stallLoop(20, () -> {
                     // Runs before the loop's next look at its sockets.
@@ -223,7 +223,7 @@
                         boolean closed = only(rig).closeUnlessItBrings(CloseReason.ROOM_NEEDED);
                         assertNotEquals(true, closed);
                     });
-                    client.send(SidecarRig.get("a2", 20_000));
+                    client.send(SidecarRig.getRequest("a2", 20_000));
                 });
                 assertEquals(200, client.status());
                 assertTrue(rig.sidecar.invariants().counts().isEmpty());
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -60,7 +60,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             Peer.Client client = sidecar.client();
             clients.add(client);
-            client.send(SidecarProcess.get("hangs" + clients.size(), "safe", 20_000));
+            client.send(SidecarProcess.getRequest("hangs" + clients.size(), "safe", 20_000));
             switch (i % 4) {
                 case 1 -> client.send("x".repeat(2 * ClientInput.MOST_KEPT));
                 case 2 -> client.socket.shutdownOutput();
--- a/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
+++ b/src/test/java/rushproxy/sidecar/LingeringCloseTest.java
@@ -33,7 +33,7 @@
 
     private static SidecarRig rig() throws Exception {
         SidecarRig rig = new SidecarRig();
-        rig.upstream((m, line) -> line.answer("200 OK", "", LONG));
+        rig.addUpstream((m, line) -> line.answer("200 OK", "", LONG));
         return rig;
     }
 
@@ -44,14 +44,14 @@
     }
 
     private static String lastRequest(String id) {
-        return SidecarRig.get(id, 20_000).replace("Host: a\r\n", "Host: a\r\nConnection: close\r\n");
+        return SidecarRig.getRequest(id, 20_000).replace("Host: a\r\n", "Host: a\r\nConnection: close\r\n");
     }
 
     @Test
     void afterItsLastAnswerAClientThatSendsOnStillReadsAll() throws Exception {
         try (SidecarRig rig = rig().start();
                 Peer.Client client = slow(rig, lastRequest("a1"))) {
-            client.send(SidecarRig.get("a2", 20_000));
+            client.send(SidecarRig.getRequest("a2", 20_000));
             Thread.sleep(200);
             assertWhole(client);
             assertNull(client.answer());
@@ -76,7 +76,7 @@
     @Test
     void afterBadInputTheAnswerBeforeIsStillRead() throws Exception {
         try (SidecarRig rig = rig().start();
-                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+                Peer.Client client = slow(rig, SidecarRig.getRequest("a1", 20_000))) {
             client.send("RUBBISH\r\n\r\n");
             Thread.sleep(100);
             client.send("RUBBISH\r\n\r\n");
@@ -94,7 +94,7 @@
         List<Peer.Client> crowd = new ArrayList<>();
         try (rig) {
             rig.start();
-            try (Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+            try (Peer.Client client = slow(rig, SidecarRig.getRequest("a1", 20_000))) {
                 for (int i = 0; i < 40; i++) {
                     crowd.add(rig.client());
                 }
@@ -111,7 +111,7 @@
     @Test
     void atTheStopWhatCrossesTheCloseDoesNotCutTheAnswerOff() throws Exception {
         try (SidecarRig rig = rig().start();
-                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+                Peer.Client client = slow(rig, SidecarRig.getRequest("a1", 20_000))) {
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
             // Quiet connections are closed from 0.8 s on, 0.7 s before the end that is not asked for.
@@ -128,7 +128,7 @@
     @Test
     void inADrainToo() throws Exception {
         try (SidecarRig rig = rig().withAdmin().start();
-                Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
+                Peer.Client client = slow(rig, SidecarRig.getRequest("a1", 20_000))) {
             assertEquals("ACK", rig.callAdmin("quiesce").substring(0, 3));
             // What has been quiet for half a second is closed from 0.6 s on.
             Thread.sleep(800);
@@ -161,13 +161,13 @@
     @Test
     void whatCameOfABrokenAnswerIsSeenAndThenItsEnd() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "y".repeat(100_000));
                 line.socket().close();
             });
             rig.start();
-            try (Peer.Client client = slow(rig, SidecarRig.get("a1", 20_000))) {
-                client.send(SidecarRig.get("a2", 20_000));
+            try (Peer.Client client = slow(rig, SidecarRig.getRequest("a1", 20_000))) {
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 Thread.sleep(100);
                 String all = client.rest();
                 assertTrue(all.startsWith("HTTP/1.1 200 OK"), all.substring(0, 20));
--- a/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
+++ b/src/test/java/rushproxy/sidecar/ListenerHandoverTest.java
@@ -29,7 +29,7 @@
     private static SidecarRig rig(ServerSocketChannel socket) throws Exception {
         SidecarRig rig = new SidecarRig().withAdmin();
         rig.inheritedListener = socket;
-        rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+        rig.addUpstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
         return rig;
     }
 
@@ -42,7 +42,7 @@
             oldProcess.start();
             oldProcess.sidecar.warmUp();
             Peer.Client idle = new Peer.Client(address);
-            idle.send(SidecarRig.get("a1", 20_000));
+            idle.send(SidecarRig.getRequest("a1", 20_000));
             assertEquals("a1", idle.answer().body());
             newProcess.start();
             newProcess.sidecar.warmUp();
@@ -53,7 +53,7 @@
             assertTrue(socket.isOpen());
             for (int i = 0; i < 20; i++) {
                 try (Peer.Client c = new Peer.Client(address)) {
-                    c.send(SidecarRig.get("n" + i, 20_000));
+                    c.send(SidecarRig.getRequest("n" + i, 20_000));
                     assertEquals("n" + i, c.answer().body());
                 }
             }
@@ -65,7 +65,7 @@
 
     private static String get(InetSocketAddress address, String id) throws Exception {
         try (Peer.Client c = new Peer.Client(address)) {
-            Peer.Message answer = c.send(SidecarRig.get(id, 20_000)).answer();
+            Peer.Message answer = c.send(SidecarRig.getRequest(id, 20_000)).answer();
             return answer == null ? "no response" : answer.body();
         }
     }
@@ -160,7 +160,7 @@
             oldProcess.inheritedListener = socket;
             oldProcess.maxSockets = 48 + 2 * 16;
             oldProcess.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
-            oldProcess.upstream((m, line) -> {
+            oldProcess.addUpstream((m, line) -> {
                 try {
                     answer.await();
                 } catch (InterruptedException e) {
@@ -173,7 +173,7 @@
             oldProcess.sidecar.warmUp();
             List<Peer.Client> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                clients.add(new Peer.Client(address).send(SidecarRig.get("c" + i, 20_000)));
+                clients.add(new Peer.Client(address).send(SidecarRig.getRequest("c" + i, 20_000)));
             }
             oldProcess.awaitEvent("request c0");
             CountDownLatch stopped = new CountDownLatch(1);
@@ -236,7 +236,7 @@
         oldProcess.stallLoop(() -> {
             // Queued behind the stalling task, and so run before the next poll of the sockets.
             oldProcess.sidecar.stop(stopped::countDown);
-            last.add(new Peer.Client(address).send(SidecarRig.get("last", 20_000)));
+            last.add(new Peer.Client(address).send(SidecarRig.getRequest("last", 20_000)));
             oldProcess.clock.advance(700);
         });
         assertEquals("last", last.get(0).answer().body());
@@ -283,7 +283,7 @@
             oldProcess.sidecar.stop(stopped::countDown);
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
             try (Peer.Client queued = new Peer.Client(address)) {
-                queued.send(SidecarRig.get("queued", 20_000));
+                queued.send(SidecarRig.getRequest("queued", 20_000));
                 next.start();
                 next.sidecar.warmUp();
                 assertEquals("queued", queued.answer().body());
@@ -338,7 +338,7 @@
                 Thread.sleep(1);
             }
             try (Peer.Client c = new Peer.Client((InetSocketAddress) socket.getLocalAddress())) {
-                c.send(SidecarRig.get("a1", 20_000));
+                c.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("a1", c.answer().body());
             }
             warmUp.join();
@@ -354,7 +354,7 @@
                 rig.peerFields = "\"peer_listen\":\"" + address + "\",\"peers\":[\"" + address + "\"],";
                 rig.start();
                 try (Peer.Client c = rig.client()) {
-                    c.send(SidecarRig.get("a1", 20_000));
+                    c.send(SidecarRig.getRequest("a1", 20_000));
                     assertEquals("a1", c.answer().body());
                 }
             }
--- a/src/test/java/rushproxy/sidecar/LogTest.java
+++ b/src/test/java/rushproxy/sidecar/LogTest.java
@@ -57,17 +57,17 @@
                         + "}";
         assertEquals(
                 Level.DEBUG,
-                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "debug"))
+                SidecarRig.parseConfig(json, Map.of("BALANCER_LOG_LEVEL", "debug"))
                         .logOptions()
                         .minLevel());
         assertEquals(
                 Level.WARN,
-                SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", ""))
+                SidecarRig.parseConfig(json, Map.of("BALANCER_LOG_LEVEL", ""))
                         .logOptions()
                         .minLevel());
         assertTrue(assertThrows(
                         Config.InvalidConfigException.class,
-                        () -> SidecarRig.config(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
+                        () -> SidecarRig.parseConfig(json, Map.of("BALANCER_LOG_LEVEL", "loud")))
                 .getMessage()
                 .contains("BALANCER_LOG_LEVEL"));
     }
@@ -79,14 +79,15 @@
                         + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
         assertEquals(
                 new Log.Options(Format.JSON, Level.WARN, "n7"),
-                SidecarRig.config("{\"name\":\"n7\",\"log\":{\"form\":\"json\",\"level\":\"warn\"}," + rest)
+                SidecarRig.parseConfig("{\"name\":\"n7\",\"log\":{\"form\":\"json\",\"level\":\"warn\"}," + rest)
                         .logOptions());
-        assertEquals(Format.PLAIN, SidecarRig.config("{" + rest).logOptions().format());
+        assertEquals(
+                Format.PLAIN, SidecarRig.parseConfig("{" + rest).logOptions().format());
         for (String bad : new String[] {"{\"form\":\"xml\"}", "{\"level\":\"loud\"}", "{\"file\":\"x\"}"}) {
             assertTrue(
                     assertThrows(
                                     Config.InvalidConfigException.class,
-                                    () -> SidecarRig.config("{\"log\":" + bad + "," + rest))
+                                    () -> SidecarRig.parseConfig("{\"log\":" + bad + "," + rest))
                             .getMessage()
                             .contains("'log."),
                     bad);
--- a/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
+++ b/src/test/java/rushproxy/sidecar/MissingNativeLibraryIT.java
@@ -24,7 +24,7 @@
             services.addServers(1, (message, line) -> line.answer("200 OK", "", "served"));
             SidecarProcess sidecar = services.start(folder, Map.of("_JAVA_OPTIONS", options));
             try (Peer.Client client = sidecar.client()) {
-                client.send(SidecarProcess.get("a", "safe", 800));
+                client.send(SidecarProcess.getRequest("a", "safe", 800));
                 assertEquals(200, client.status());
             }
             long logged = sidecar.log.stream()
--- a/src/test/java/rushproxy/sidecar/OutcomesTest.java
+++ b/src/test/java/rushproxy/sidecar/OutcomesTest.java
@@ -13,10 +13,10 @@
 class OutcomesTest {
     private static void outcome(String expected, int status, Peer.Script script) throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream(script);
+            rig.addUpstream(script);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("outcome a1 0 " + expected, rig.awaitEvent("outcome"));
                 assertEquals(status, client.status());
             }
@@ -75,10 +75,10 @@
     @Test
     void aRefusedConnectionCouldNotConnect() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {}).close();
+            rig.addUpstream((m, line) -> {}).close();
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.awaitEvent("outcome"));
             }
         }
@@ -88,17 +88,17 @@
     @Test
     void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> {});
+            Peer up = rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome"));
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
                 up.script = (m, line) -> line.answer("200 OK", "", "fresh");
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
-                client.send(SidecarRig.get("a2", 20_000));
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
                 assertNotNull(up.accepted.poll(20, TimeUnit.SECONDS));
             }
@@ -108,14 +108,14 @@
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
                 out.cancel(r.id(), 0);
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals("outcome a1 0 CANCELLED false -", rig.awaitEvent("outcome"));
             }
         }
@@ -125,16 +125,16 @@
     @Test
     void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "one"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(200, client.status());
                 rig.awaitEvent("outcome a1");
                 // Before it has rested another one is opened.
                 Thread.sleep(2 * Upstreams.REST_US / 1000);
                 up.script = (m, line) -> line.reset();
-                client.send(SidecarRig.get("a2", 20_000));
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals("outcome a2 0 RESET false -", rig.awaitEvent("outcome"));
                 assertEquals(502, client.status());
                 assertEquals(2, up.messages.size());
@@ -147,11 +147,11 @@
     @Test
     void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 for (String id : new String[] {"a1", "a2"}) {
-                    client.send(SidecarRig.get(id, 20_000));
+                    client.send(SidecarRig.getRequest(id, 20_000));
                     assertEquals(200, client.status());
                 }
                 assertEquals(2, up.accepted.size());
@@ -162,7 +162,7 @@
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+            Peer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 client.send(
@@ -249,7 +249,7 @@
 
     private static void nextRequestGetsItsOwnAnswer(Peer.Script script) throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream(new Peer.Script() {
+            rig.addUpstream(new Peer.Script() {
                 private java.net.Socket first;
 
                 @Override
@@ -275,9 +275,9 @@
             rig.start();
             try (Peer.Client one = rig.client();
                     Peer.Client two = rig.client()) {
-                one.send(SidecarRig.get("a1", 20_000));
+                one.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("request a1");
-                two.send(SidecarRig.get("a2", 20_000));
+                two.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals("a1", one.answer().body());
                 assertEquals("a2", two.answer().body());
             }
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -40,7 +40,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(502, client.status());
             }
             DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
--- a/src/test/java/rushproxy/sidecar/ProcessStallIT.java
+++ b/src/test/java/rushproxy/sidecar/ProcessStallIT.java
@@ -59,7 +59,7 @@
         while (!finished.get()) {
             try (Peer.Client connection = sidecar.client()) {
                 for (int i = 0; !finished.get(); i++) {
-                    connection.send(SidecarProcess.get("load-" + client + "-" + i, "safe", REMAINING_MS));
+                    connection.send(SidecarProcess.getRequest("load-" + client + "-" + i, "safe", REMAINING_MS));
                     if (connection.answer() == null) {
                         break;
                     }
@@ -72,14 +72,14 @@
 
     /** Sends a request so that the process runs again afterwards. It may be refused, since it may be as old as the stall. */
     private void awaitResponse(Peer.Client connection, String id) throws Exception {
-        connection.send(SidecarProcess.get(id, "unsafe", REMAINING_MS));
+        connection.send(SidecarProcess.getRequest(id, "unsafe", REMAINING_MS));
         connection.status();
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
     }
 
     private void sendExpectingSuccess(Peer.Client connection, String id) throws Exception {
         long sentNanos = System.nanoTime();
-        connection.send(SidecarProcess.get(id, "unsafe", REMAINING_MS));
+        connection.send(SidecarProcess.getRequest(id, "unsafe", REMAINING_MS));
         int status = connection.status();
         if (status != 200) {
             failed.add(id + ": " + status + " after " + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos)
--- a/src/test/java/rushproxy/sidecar/RequestLifeTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLifeTest.java
@@ -20,7 +20,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 Peer.Message answer = client.answer();
                 assertTrue(answer.head().startsWith("HTTP/1.1 503 "), answer.head());
                 assertEquals("0.165", answer.header("Retry-After"));
@@ -38,7 +38,7 @@
             rig.onRequest = (now, r, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 300));
+                client.send(SidecarRig.getRequest("a1", 300));
                 assertEquals(502, client.status());
                 assertEquals("expired a1", rig.awaitEvent("expired"));
             }
@@ -48,11 +48,11 @@
     @Test
     void attemptsAreGivenUpAtTheDeadlineAndTheModuleAnswers() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 60_000_000);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 300));
+                client.send(SidecarRig.getRequest("a1", 300));
                 assertEquals(502, client.status());
                 assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome"));
             }
@@ -66,12 +66,12 @@
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a0", 20_000));
+                client.send(SidecarRig.getRequest("a0", 20_000));
                 assertEquals(503, client.status());
                 Peer.Client[] fresh = new Peer.Client[1];
                 rig.stallLoop(500, () -> {
-                    client.send(SidecarRig.get("a1", 300));
-                    fresh[0] = rig.client().send(SidecarRig.get("a2", 300));
+                    client.send(SidecarRig.getRequest("a1", 300));
+                    fresh[0] = rig.client().send(SidecarRig.getRequest("a2", 300));
                 });
                 assertEquals("request a1 1", rig.awaitEvent("request a1"));
                 assertEquals("request a2 1", rig.awaitEvent("request a2"));
@@ -92,12 +92,12 @@
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             Peer.Client[] fresh = new Peer.Client[1];
-            rig.stallLoop(500, () -> fresh[0] = rig.client().send(SidecarRig.get("a1", 300)));
+            rig.stallLoop(500, () -> fresh[0] = rig.client().send(SidecarRig.getRequest("a1", 300)));
             try (Peer.Client client = fresh[0]) {
                 assertEquals(503, client.status());
                 assertEquals(1, remaining(rig, "a1"));
                 Thread.sleep(15);
-                client.send(SidecarRig.get("a2", 300));
+                client.send(SidecarRig.getRequest("a2", 300));
                 assertEquals(503, client.status());
                 long given = remaining(rig, "a2");
                 assertTrue(given > 100_000, given + " us");
@@ -112,27 +112,27 @@
             rig.onRequest = (now, r, out) -> out.refuse(r.id(), 0);
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a0", 2_000));
+                client.send(SidecarRig.getRequest("a0", 2_000));
                 assertEquals(503, client.status());
                 long before = remaining(rig, "a0");
                 rig.stallLoop(500, () -> {});
                 // By now a beat has come: what is read does not count as old itself.
                 Thread.sleep(100);
-                client.send(SidecarRig.get("a1", 2_000));
+                client.send(SidecarRig.getRequest("a1", 2_000));
                 assertEquals(503, client.status());
                 long given = remaining(rig, "a1");
                 assertTrue(given < before - 300_000, given + " us");
                 for (int i = 0; given < before - 50_000; i++) {
                     assertTrue(i < 1_000, given + " us, and not as before");
                     Thread.sleep(20);
-                    client.send(SidecarRig.get("b" + i, 2_000));
+                    client.send(SidecarRig.getRequest("b" + i, 2_000));
                     assertEquals(503, client.status());
                     given = remaining(rig, "b" + i);
                 }
                 // No more than a quarter of a short time is taken away.
                 rig.stallLoop(500, () -> {});
                 Thread.sleep(100);
-                client.send(SidecarRig.get("c1", 100));
+                client.send(SidecarRig.getRequest("c1", 100));
                 assertEquals(503, client.status());
                 assertTrue(remaining(rig, "c1") > 60_000);
             }
@@ -143,11 +143,11 @@
     @Test
     void afterAHoldUpWhatIsHeldIsDueEarlierToo() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             try (Peer.Client client = rig.client()) {
                 long sent = System.nanoTime();
-                client.send(SidecarRig.get("a1", 4_000));
+                client.send(SidecarRig.getRequest("a1", 4_000));
                 rig.upstreams.get(0).next();
                 rig.stallLoop(900, () -> {});
                 assertEquals(502, client.status());
@@ -165,22 +165,22 @@
     @Test
     void anExceptionInTheModuleAnswersWhatItMet() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("500 No", "", ""));
+            rig.addUpstream((m, line) -> line.answer("500 No", "", ""));
             rig.onRequest = (now, r, out) -> {
                 throw new IllegalStateException("as the test wants");
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(502, client.status());
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
                 rig.onOutcome = (id, outcome, done, out) -> {
                     throw new IllegalStateException("as the test wants");
                 };
-                client.send(SidecarRig.get("a2", 20_000));
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals(502, client.status());
                 rig.onRequest = (now, r, out) -> out.timer("break", 1);
-                client.send(SidecarRig.get("a3", 20_000));
+                client.send(SidecarRig.getRequest("a3", 20_000));
                 assertEquals(502, client.status());
             }
         }
@@ -189,16 +189,16 @@
     @Test
     void aClientThatLeavesEndsItsRequestAndNoOther() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 rig.awaitEvent("request");
             }
             assertEquals("expired a1", rig.awaitEvent("expired"));
             rig.onRequest = (now, r, out) -> out.fail(r.id());
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a2", 20_000));
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals(502, client.status());
             }
         }
@@ -209,24 +209,24 @@
     void theFirstAnswerCountsAndALaterOneIsOnlyTold() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             Object[] held = new Object[1];
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 synchronized (held) {
                     held[0] = line;
                 }
             });
-            rig.upstream((m, line) -> line.answer("200 OK", "", "second"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "second"));
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
             rig.onOutcome = (id, outcome, done, out) -> {};
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 rig.upstreams.get(0).next();
                 rig.onRequest = (now, r, out) -> {
                     out.send("a1", "u1", 0);
                     out.fail(r.id());
                 };
                 try (Peer.Client other = rig.client()) {
-                    other.send(SidecarRig.get("a2", 20_000));
+                    other.send(SidecarRig.getRequest("a2", 20_000));
                     assertEquals(502, other.status());
                 }
                 assertEquals("second", client.answer().body());
@@ -244,7 +244,7 @@
     @Test
     void attemptsBeyondWhatIsAllowedAreNotSent() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("500 No", "", ""));
+            Peer up = rig.addUpstream((m, line) -> line.answer("500 No", "", ""));
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == Outcome.NOT_SENT) {
                     out.fail(id);
@@ -254,7 +254,7 @@
             };
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000));
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(502, client.status());
                 assertEquals(4, up.messages.size());
             }
@@ -264,12 +264,12 @@
     @Test
     void requestsSentAheadAreAnsweredInTheirTurn() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
             try (Peer.Client client = rig.client()) {
                 StringBuilder all = new StringBuilder();
                 for (int i = 0; i < 40; i++) {
-                    all.append(SidecarRig.get("p" + i, 20_000));
+                    all.append(SidecarRig.getRequest("p" + i, 20_000));
                 }
                 client.send(all.toString());
                 for (int i = 0; i < 40; i++) {
--- a/src/test/java/rushproxy/sidecar/RequestLogTest.java
+++ b/src/test/java/rushproxy/sidecar/RequestLogTest.java
@@ -44,8 +44,8 @@
 
     private void play() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.reset());
-            rig.upstream((m, line) -> line.answer("200 OK", "", ""));
+            rig.addUpstream((m, line) -> line.reset());
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", ""));
             rig.onOutcome = (id, outcome, done, out) -> {
                 if (outcome == Outcome.RESET) {
                     out.send(id, "u1", 0);
@@ -53,11 +53,11 @@
             };
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("followed", 20_000));
+                c.send(SidecarRig.getRequest("followed", 20_000));
                 assertEquals(200, c.status());
                 rig.awaitEvent("outcome followed 1 OK");
                 rig.onRequest = (now, r, out) -> out.refuse(r.id(), 1_000);
-                c.send(SidecarRig.get("refused", 20_000));
+                c.send(SidecarRig.getRequest("refused", 20_000));
                 assertEquals(503, c.status());
                 c.send("no HTTP\r\n\r\n");
                 assertEquals(400, c.status());
@@ -92,13 +92,13 @@
     @Test
     void theCountsTellReasonAndAgeOfEachThatWasNotServed() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.reset());
+            rig.addUpstream((m, line) -> line.reset());
             rig.start();
             try (Peer.Client c = rig.client()) {
-                c.send(SidecarRig.get("failed", 20_000));
+                c.send(SidecarRig.getRequest("failed", 20_000));
                 assertEquals(502, c.status());
                 rig.onRequest = (now, r, out) -> out.refuse(r.id(), 1_000);
-                c.send(SidecarRig.get("refused", 20_000));
+                c.send(SidecarRig.getRequest("refused", 20_000));
                 assertEquals(503, c.status());
             }
             Peer.await(() -> any(".*not served.*"));
--- a/src/test/java/rushproxy/sidecar/ShutdownTest.java
+++ b/src/test/java/rushproxy/sidecar/ShutdownTest.java
@@ -22,7 +22,7 @@
     void newConnectionsAndPartialRequestsAreServedDuringShutdown() throws Exception {
         try (SidecarRig rig = rig()) {
             CountDownLatch answer = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 if (m.header("X-Txn").equals("pending")) {
                     try {
                         answer.await();
@@ -37,20 +37,20 @@
             try (Peer.Client pending = rig.client();
                     Peer.Client half = rig.client();
                     Peer.Client idle = rig.client()) {
-                pending.send(SidecarRig.get("pending", 30_000));
+                pending.send(SidecarRig.getRequest("pending", 30_000));
                 rig.awaitEvent("request pending");
-                idle.send(SidecarRig.get("before", 30_000));
+                idle.send(SidecarRig.getRequest("before", 30_000));
                 assertEquals("before", idle.answer().body());
-                String text = SidecarRig.get("half", 30_000);
+                String text = SidecarRig.getRequest("half", 30_000);
                 half.send(text.substring(0, 30));
                 rig.sidecar.stop(stopped::countDown);
                 try (Peer.Client newcomer = rig.client()) {
                     newcomer.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                     assertEquals(503, newcomer.status());
                     for (int i = 0; i < 3; i++) {
-                        newcomer.send(SidecarRig.get("fresh" + i, 30_000));
+                        newcomer.send(SidecarRig.getRequest("fresh" + i, 30_000));
                         assertEquals("fresh" + i, newcomer.answer().body(), "new connections must still be served");
-                        idle.send(SidecarRig.get("again" + i, 30_000));
+                        idle.send(SidecarRig.getRequest("again" + i, 30_000));
                         assertEquals("again" + i, idle.answer().body());
                     }
                     half.send(text.substring(30));
@@ -72,12 +72,12 @@
     @Test
     void requestsReceivedDuringShutdownAreAnsweredBeforeTheKill() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
             try (Peer.Client late = rig.client()) {
-                late.send(SidecarRig.get("late", 30_000));
+                late.send(SidecarRig.getRequest("late", 30_000));
                 Peer.Message m = late.answer();
                 assertTrue(m.head().startsWith("HTTP/1.1 502 "), m.head());
                 assertEquals("close", m.header("Connection"));
@@ -90,11 +90,11 @@
     @Test
     void requestsPendingAtTheStopAreAnsweredBeforeTheKill() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (Peer.Client pending = rig.client()) {
-                pending.send(SidecarRig.get("pending", 30_000));
+                pending.send(SidecarRig.getRequest("pending", 30_000));
                 rig.awaitEvent("request pending");
                 rig.sidecar.stop(stopped::countDown);
                 Peer.Message m = pending.answer();
@@ -110,7 +110,7 @@
     void shutdownWaitsForAStreamingResponse() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
             CountDownLatch more = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
                     do {
@@ -124,7 +124,7 @@
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (Peer.Client reads = rig.client()) {
-                reads.send(SidecarRig.get("long", 30_000));
+                reads.send(SidecarRig.getRequest("long", 30_000));
                 rig.awaitEvent("begins long");
                 rig.sidecar.stop(stopped::countDown);
                 // Past the time of the kill, which is the longest deadline, 0.8 s here, plus 0.7 s.
@@ -141,12 +141,12 @@
     void aStalledResponseIsAbortedBeforeTheKill() throws Exception {
         for (int bytes : new int[] {10_000, 100_000}) {
             try (SidecarRig rig = new SidecarRig()) {
-                rig.upstream((m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                rig.addUpstream((m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n"));
                 rig.start();
                 CountDownLatch stopped = new CountDownLatch(1);
                 try (Peer.Client reads = rig.client()) {
-                    reads.send(SidecarRig.get("long", 30_000));
+                    reads.send(SidecarRig.getRequest("long", 30_000));
                     rig.upstreams.get(0).next();
                     long sinceNanos = System.nanoTime();
                     rig.sidecar.stop(stopped::countDown);
@@ -165,18 +165,18 @@
     @Test
     void aRequestThatCrossedACloseIsServedOnANewConnection() throws Exception {
         try (SidecarRig rig = rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (Peer.Client idle = rig.client()) {
-                idle.send(SidecarRig.get("before", 30_000));
+                idle.send(SidecarRig.getRequest("before", 30_000));
                 assertEquals("before", idle.answer().body());
                 rig.sidecar.stop(stopped::countDown);
                 assertEquals(null, idle.answer());
                 // Shutdown checks its state every 20 ms, so several checks pass before the client returns.
                 assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "stopped right after the close");
                 try (Peer.Client again = rig.client()) {
-                    again.send(SidecarRig.get("again", 30_000));
+                    again.send(SidecarRig.getRequest("again", 30_000));
                     assertEquals("again", again.answer().body());
                 }
             }
@@ -188,19 +188,19 @@
     @Test
     void theRestOfABodyIsReceivedDuringShutdown() throws Exception {
         try (SidecarRig rig = rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.body()));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", m.body()));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             try (Peer.Client half = rig.client();
                     Peer.Client other = rig.client()) {
-                half.send(SidecarRig.get("half", 30_000)
+                half.send(SidecarRig.getRequest("half", 30_000)
                         .replace("GET", "POST")
                         .replace("\r\n\r\n", "\r\nContent-Length: 6\r\n\r\nabc"));
                 // Answered by the same event loop, so everything sent before has been read.
-                other.send(SidecarRig.get("other", 30_000));
+                other.send(SidecarRig.getRequest("other", 30_000));
                 assertEquals("", other.answer().body());
                 rig.sidecar.stop(stopped::countDown);
-                other.send(SidecarRig.get("again", 30_000));
+                other.send(SidecarRig.getRequest("again", 30_000));
                 assertEquals("", other.answer().body());
                 half.send("def");
                 assertEquals("abcdef", half.answer().body());
@@ -213,13 +213,13 @@
     @Test
     void allConnectionsAreClosedWhenShutdownCompletes() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             CountDownLatch checked = new CountDownLatch(1);
             try (Peer.Client answered = rig.client();
                     Peer.Client half = rig.client()) {
-                answered.send(SidecarRig.get("a1", 9_000));
+                answered.send(SidecarRig.getRequest("a1", 9_000));
                 assertEquals(200, answered.status());
                 rig.sidecar.stop(() -> {
                     stopped.countDown();
@@ -277,13 +277,13 @@
     @Test
     void idleConnectionsAreClosedToAdmitNewOnes() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.maxSockets = 48 + 2 * 16;
             rig.start();
             Peer.Client[] clients = new Peer.Client[40];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = rig.client();
-                clients[i].send(SidecarRig.get("c" + i, 30_000));
+                clients[i].send(SidecarRig.getRequest("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
             assertEquals(null, clients[0].answer());
--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -60,7 +60,7 @@
     }
 
     /** Starts a sidecar that inherits {@code socket} as its descriptor 0. */
-    static SidecarProcess startOn(
+    static SidecarProcess startInheriting(
             SharedSocket socket, Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
             throws Exception {
         ProcessBuilder command = command(folder, discovery, upstreams, environment);
@@ -72,14 +72,14 @@
             Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < upstreams.size(); i++) {
-            entries.add(SidecarRig.entry("u" + i, upstreams.get(i).address(), "Ready", 0));
+            entries.add(SidecarRig.entryJson("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
         Path config = folder.resolve("config.json");
         Files.writeString(
                 config,
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"known\":"
-                        + SidecarRig.list(41, true, entries.toArray(String[]::new))
+                        + SidecarRig.listJson(41, true, entries.toArray(String[]::new))
                         + ",\"limits\":{\"sockets\":512},\"settings\":" + SETTINGS + "}");
         Build build = Build.of(Path.of("").toAbsolutePath());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.command())
@@ -124,7 +124,7 @@
                 + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n\r\n";
     }
 
-    static String get(String id, String requestClass, long remainingMs) {
+    static String getRequest(String id, String requestClass, long remainingMs) {
         return request("GET", "1.1", id, requestClass, remainingMs);
     }
 
--- a/src/test/java/rushproxy/sidecar/SidecarRig.java
+++ b/src/test/java/rushproxy/sidecar/SidecarRig.java
@@ -78,18 +78,18 @@
         this((m, line) -> {});
     }
 
-    Peer upstream(Peer.Script script) throws IOException {
+    Peer addUpstream(Peer.Script script) throws IOException {
         Peer p = new Peer(script);
         upstreams.add(p);
         return p;
     }
 
-    static String entry(String id, String address, String lifecycle, long startedAtMs) {
+    static String entryJson(String id, String address, String lifecycle, long startedAtMs) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"za\",\"machineType\":\"k\","
                 + "\"cell\":1,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":" + startedAtMs + "}";
     }
 
-    static String list(long generation, boolean full, String... entries) {
+    static String listJson(long generation, boolean full, String... entries) {
         return "{\"generation\":" + generation + ",\"reset\":" + full + ",\"instances\":[" + String.join(",", entries)
                 + "]}";
     }
@@ -97,20 +97,20 @@
     String knownList() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < upstreams.size(); i++) {
-            entries.add(entry("u" + i, upstreams.get(i).address(), "Ready", 0));
+            entries.add(entryJson("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
-        return list(41, true, entries.toArray(String[]::new));
+        return listJson(41, true, entries.toArray(String[]::new));
     }
 
-    static Config config(String json) throws IOException, Config.InvalidConfigException {
-        return config(json, Map.of());
+    static Config parseConfig(String json) throws IOException, Config.InvalidConfigException {
+        return parseConfig(json, Map.of());
     }
 
-    static Config config(String json, Path kept) throws IOException, Config.InvalidConfigException {
-        return config(json, Map.of("TMPDIR", kept == null ? "" : kept.toString()));
+    static Config parseConfig(String json, Path kept) throws IOException, Config.InvalidConfigException {
+        return parseConfig(json, Map.of("TMPDIR", kept == null ? "" : kept.toString()));
     }
 
-    static Config config(String json, Map<String, String> environment)
+    static Config parseConfig(String json, Map<String, String> environment)
             throws IOException, Config.InvalidConfigException {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -124,7 +124,7 @@
     }
 
     SidecarRig start() throws Exception {
-        Config config = config(
+        Config config = parseConfig(
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                         + "\",\"seed\":\"8c1f30d27a5be964\"," + adminFields + peerFields + "\"known\":" + knownList()
                         + ",\"limits\":{\"sockets\":" + maxSockets + "},\"settings\":" + settings + "}",
@@ -162,7 +162,7 @@
         return new Peer.Client(address());
     }
 
-    static String get(String id, long remainingMs) {
+    static String getRequest(String id, long remainingMs) {
         return "GET /api/slots?day=1 HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: c\r\nX-Remaining-Ms: "
                 + remainingMs + "\r\n\r\n";
     }
--- a/src/test/java/rushproxy/sidecar/StartTimesTest.java
+++ b/src/test/java/rushproxy/sidecar/StartTimesTest.java
@@ -17,8 +17,8 @@
     private final StartTimes starts = new StartTimes(clock, () -> wallMs);
 
     private static UpstreamList list(boolean whole, long startedAtMs) {
-        return UpstreamList.of(
-                Json.parse(SidecarRig.list(1, whole, SidecarRig.entry("u0", "127.0.0.1:1", "Ready", startedAtMs))
+        return UpstreamList.of(Json.parse(
+                SidecarRig.listJson(1, whole, SidecarRig.entryJson("u0", "127.0.0.1:1", "Ready", startedAtMs))
                         .getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
@@ -143,7 +143,7 @@
         try (SharedSocket socket = new SharedSocket(new InetSocketAddress("127.0.0.1", 0))) {
             for (int i = 0; i < START_COUNT; i++) {
                 faults.set(Call.NAME_FAILS, HIGH_FAILURE_RATE);
-                SidecarProcess process = services.startOn(socket, folder, faults.environment());
+                SidecarProcess process = services.startInheriting(socket, folder, faults.environment());
                 faults.clear();
                 try (Peer.Client connection = new Peer.Client(socket.address())) {
                     sendRequest(connection, id(0, i));
@@ -170,7 +170,7 @@
         try (Peer.Client connection = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 long sentNanos = System.nanoTime();
-                connection.send(SidecarProcess.get(id(0, i), "unsafe", REMAINING_MS));
+                connection.send(SidecarProcess.getRequest(id(0, i), "unsafe", REMAINING_MS));
                 int status = connection.status();
                 if (status != 200) {
                     failed.add(id(0, i) + ": " + status + " after "
@@ -195,7 +195,7 @@
         faults.set(Call.SEND_FAILS, 1);
         for (int i = 0; i < CLIENTS; i++) {
             try (Peer.Client connection = sidecar.client()) {
-                connection.send(SidecarProcess.get("safe-left" + i, "safe", REMAINING_MS));
+                connection.send(SidecarProcess.getRequest("safe-left" + i, "safe", REMAINING_MS));
                 pause();
             }
         }
@@ -308,7 +308,7 @@
     private boolean requestUntilClosed(Peer.Client connection, String id) throws IOException {
         connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
         try {
-            connection.send(SidecarProcess.get(id, id.startsWith("unsafe") ? "unsafe" : "safe", REMAINING_MS));
+            connection.send(SidecarProcess.getRequest(id, id.startsWith("unsafe") ? "unsafe" : "safe", REMAINING_MS));
             Peer.Message answer = connection.answer();
             // A close between requests may cross a request, which its client sends again elsewhere.
             return answer != null && !"close".equalsIgnoreCase(answer.header("Connection"));
@@ -328,7 +328,7 @@
         String requestClass = id.startsWith("unsafe") ? "unsafe" : "safe";
         try {
             connection.socket.setSoTimeout((int) REMAINING_MS + SLACK_MS);
-            connection.send(SidecarProcess.get(id, requestClass, REMAINING_MS));
+            connection.send(SidecarProcess.getRequest(id, requestClass, REMAINING_MS));
             Peer.Message answer = connection.answer();
             if (answer == null) {
                 problems.add(id + " was closed without a response");
--- a/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
+++ b/src/test/java/rushproxy/sidecar/UnreadAgeTest.java
@@ -73,11 +73,11 @@
             try {
                 // As many as are let in, and some more.
                 for (int i = 0; i < 48; i++) {
-                    clients.add(rig.client().send(SidecarRig.get("busy" + i, 20_000)));
+                    clients.add(rig.client().send(SidecarRig.getRequest("busy" + i, 20_000)));
                 }
                 rig.awaitEvent("request busy0");
                 try (Peer.Client waits = rig.client()) {
-                    waits.send(SidecarRig.get("waits", REMAINING_MS));
+                    waits.send(SidecarRig.getRequest("waits", REMAINING_MS));
                     long sentNanos = System.nanoTime();
                     Thread.sleep(WAIT_MS);
                     for (Peer.Client c : clients) {
@@ -99,16 +99,16 @@
     @Test
     void whatCameAtTheEndOfAHoldUpHasItsTime() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client known = rig.client()) {
-                known.send(SidecarRig.get("a0", REMAINING_MS));
+                known.send(SidecarRig.getRequest("a0", REMAINING_MS));
                 assertEquals(200, known.status());
                 List<Peer.Client> fresh = new ArrayList<>();
                 rig.stallLoop(0, () -> {
                     Thread.sleep(HOLD_UP_MS);
-                    known.send(SidecarRig.get("a1", REMAINING_MS));
-                    fresh.add(rig.client().send(SidecarRig.get("a2", REMAINING_MS)));
+                    known.send(SidecarRig.getRequest("a1", REMAINING_MS));
+                    fresh.add(rig.client().send(SidecarRig.getRequest("a2", REMAINING_MS)));
                 });
                 for (String id : List.of("a1", "a2")) {
                     long toldUs = toldUs(rig, id);
@@ -126,15 +126,15 @@
     @Test
     void theFirstOfTwoThatLayThereIsAsOldAsItMayBe() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a0", REMAINING_MS));
+                client.send(SidecarRig.getRequest("a0", REMAINING_MS));
                 assertEquals(200, client.status());
                 rig.stallLoop(0, () -> {
-                    client.send(SidecarRig.get("first", REMAINING_MS));
+                    client.send(SidecarRig.getRequest("first", REMAINING_MS));
                     Thread.sleep(WAIT_MS);
-                    client.send(SidecarRig.get("second", REMAINING_MS));
+                    client.send(SidecarRig.getRequest("second", REMAINING_MS));
                 });
                 long toldUs = toldUs(rig, "first");
                 assertTrue(
--- a/src/test/java/rushproxy/sidecar/UpstreamsTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamsTest.java
@@ -55,7 +55,7 @@
     }
 
     private static UpstreamList list(boolean whole, String... entries) {
-        return UpstreamList.of(Json.parse(SidecarRig.list(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
+        return UpstreamList.of(Json.parse(SidecarRig.listJson(1, whole, entries).getBytes(StandardCharsets.UTF_8)));
     }
 
     private UpstreamCall call(String upstream) {
@@ -85,13 +85,13 @@
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"));
                 Peer moved = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 100);
-            UpstreamList ready = list(true, SidecarRig.entry("u", up.address(), "Ready", 0));
+            UpstreamList ready = list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0));
             for (UpstreamList change : new UpstreamList[] {
-                list(false, SidecarRig.entry("u", up.address(), "Terminating", 0)),
-                list(false, SidecarRig.entry("u", up.address(), "Gone", 0)),
-                list(false, SidecarRig.entry("u", up.address(), "Ready", 5_000_000)),
-                list(false, SidecarRig.entry("u", moved.address(), "Ready", 0)),
-                list(true, SidecarRig.entry("other", moved.address(), "Ready", 0))
+                list(false, SidecarRig.entryJson("u", up.address(), "Terminating", 0)),
+                list(false, SidecarRig.entryJson("u", up.address(), "Gone", 0)),
+                list(false, SidecarRig.entryJson("u", up.address(), "Ready", 5_000_000)),
+                list(false, SidecarRig.entryJson("u", moved.address(), "Ready", 0)),
+                list(true, SidecarRig.entryJson("other", moved.address(), "Ready", 0))
             }) {
                 loop.execute(() -> {
                     upstreams.update(ready);
@@ -139,7 +139,7 @@
                         }
                     });
             loop.execute(() -> {
-                upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0)));
+                upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0)));
                 upstreams.start(late);
             });
             assertEquals("u NOT_SENT", outcome());
@@ -154,7 +154,7 @@
             Upstreams upstreams = upstreams(15_000_000, 100);
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> {
-                    upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0)));
+                    upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0)));
                     upstreams.start(call("u"));
                 });
                 assertEquals("u OK", outcome());
@@ -168,7 +168,7 @@
     void connectionsIdleForLongAreDroppedBeforeTheUpstreamDoesSo() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(1, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 2; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -198,7 +198,7 @@
             closes.start();
             Upstreams upstreams = upstreams(15_000_000, 100);
             loop.execute(() -> upstreams.update(
-                    list(true, SidecarRig.entry("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
+                    list(true, SidecarRig.entryJson("u", "127.0.0.1:" + door.getLocalPort(), "Ready", 0))));
             for (int i = 0; i < 50; i++) {
                 Body body = new Body(() -> {}, -1);
                 loop.execute(() -> {
@@ -221,7 +221,7 @@
     void aCallWhoseTimeEndsWhileItsConnectionRestsWasNotSent() throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "sent"))) {
             Upstreams upstreams = upstreams(15_000_000, 5_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
             assertEquals("u OK", outcome());
             loop.execute(() -> upstreams.start(call("u", 100_000)));
@@ -243,7 +243,7 @@
             }
         })) {
             Upstreams upstreams = upstreams(15_000_000, 1_000_000, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("u")));
             assertEquals("u REJECTED", outcome());
             loop.submit(() -> upstreams.start(call("u"))).get();
@@ -269,7 +269,7 @@
     private void threeCallsUseOneConnection(long restUs, long pauseMs) throws Exception {
         try (Peer up = new Peer((m, line) -> line.answer("200 OK", "", "served"))) {
             Upstreams upstreams = upstreams(15_000_000, restUs, 100);
-            loop.execute(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))));
+            loop.execute(() -> upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("u")));
                 assertEquals("u OK", outcome());
@@ -287,8 +287,8 @@
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
                     true,
-                    SidecarRig.entry("a", a.address(), "Ready", 0),
-                    SidecarRig.entry("silent", silent.address(), "Ready", 0))));
+                    SidecarRig.entryJson("a", a.address(), "Ready", 0),
+                    SidecarRig.entryJson("silent", silent.address(), "Ready", 0))));
             loop.execute(() -> upstreams.start(call("a")));
             assertEquals("a OK", outcome());
             loop.execute(() -> upstreams.start(call("silent")));
@@ -308,8 +308,8 @@
             Upstreams upstreams = upstreams(15_000_000, 1);
             loop.execute(() -> upstreams.update(list(
                     true,
-                    SidecarRig.entry("u", up.address(), "Ready", 0),
-                    SidecarRig.entry("gone", gone.address(), "Ready", 0))));
+                    SidecarRig.entryJson("u", up.address(), "Ready", 0),
+                    SidecarRig.entryJson("gone", gone.address(), "Ready", 0))));
             for (int i = 0; i < 3; i++) {
                 loop.execute(() -> upstreams.start(call("gone")));
                 assertEquals("gone CONNECT_FAILED", outcome());
@@ -335,7 +335,7 @@
     /** With an upstream that has answered once before, so that no code runs for the first time. */
     private Upstreams used(Peer up) throws Exception {
         Upstreams upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
-        loop.submit(() -> upstreams.update(list(true, SidecarRig.entry("u", up.address(), "Ready", 0))))
+        loop.submit(() -> upstreams.update(list(true, SidecarRig.entryJson("u", up.address(), "Ready", 0))))
                 .get();
         loop.execute(() -> upstreams.start(call("u")));
         assertEquals("u OK", outcome());
@@ -403,7 +403,7 @@
         try (java.net.ServerSocket full = full()) {
             Upstreams upstreams = upstreams(15_000_000, 0, DIAL_US, 100);
             loop.submit(() -> upstreams.update(
-                            list(true, SidecarRig.entry("u", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
+                            list(true, SidecarRig.entryJson("u", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
             // However late the loop is, no more than the call's time passes.
             clock.freeze();
@@ -451,7 +451,7 @@
             Upstreams upstreams = used(silent);
             silent.script = (m, line) -> {};
             loop.submit(() -> upstreams.update(
-                            list(false, SidecarRig.entry("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
+                            list(false, SidecarRig.entryJson("full", "127.0.0.1:" + full.getLocalPort(), "Ready", 0))))
                     .get();
             loop.execute(() -> upstreams.start(call("u", DIAL_US)));
             assertEquals("u TIMEOUT", outcome());
--- a/src/test/java/rushproxy/sidecar/WarmUpTest.java
+++ b/src/test/java/rushproxy/sidecar/WarmUpTest.java
@@ -18,12 +18,12 @@
     @Test
     void allWarmUpRequestsSucceedWithoutReachingTheBalancerOrUpstreams() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            Peer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            Peer upstream = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             WarmUp warmUp = new WarmUp(
                     rig.sidecar.loop(),
                     new Clock(),
-                    SidecarRig.config("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                    SidecarRig.parseConfig("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                                     + rig.discovery.address() + "\",\"seed\":\"1\",\"known\":" + rig.knownList()
                                     + ",\"limits\":{\"sockets\":512},\"settings\":"
                                     + SidecarRig.SETTINGS + "}")
@@ -44,11 +44,12 @@
     @Test
     void clientRequestsWithTheWarmUpPathAreProxied() throws Exception {
         try (SidecarRig rig = new SidecarRig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             rig.sidecar.warmUp();
             try (Peer.Client client = rig.client()) {
-                client.send(SidecarRig.get("a1", 20_000).replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
+                client.send(SidecarRig.getRequest("a1", 20_000)
+                        .replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
                 assertEquals("served", client.answer().body());
             }
         }
