--- a/src/main/java/rushproxy/sidecar/ProcessSignals.java
+++ b/src/main/java/rushproxy/sidecar/ProcessSignals.java
@@ -19,8 +19,7 @@
 
     /** Returns false if reloads are impossible, since the JVM keeps ignoring a SIGHUP that was ignored when it started. */
     boolean installHandlers() {
-        // Not a shutdown hook: java.util.logging may already have been reset when hooks run, which would lose the last
-        // lines.
+        // Not a shutdown hook: java.util.logging may already be reset when hooks run, which would lose the last lines.
         for (String name : List.of("TERM", "INT")) {
             Signal.handle(new Signal(name), s -> onStopSignal());
         }
@@ -35,8 +34,7 @@
     }
 
     private synchronized void onStopSignal() {
-        // A requested stop exits with status 0 for either signal. Before startup is complete there is nothing to
-        // finish.
+        // A requested stop exits with status 0 for either signal, and at once if startup is not complete.
         if (sidecar == null) {
             exit();
         }
--- a/src/main/java/rushproxy/sidecar/SocketPolling.java
+++ b/src/main/java/rushproxy/sidecar/SocketPolling.java
@@ -12,10 +12,9 @@
  */
 final class SocketPolling {
     static {
-        // A failed change of a registration makes the selector wake without events until RegistrationRetry repeats it
-        // (15 ms).
-        // By default Netty would move all channels to a new selector then, and where that fails for some of them there
-        // is no way to know for which.
+        // A failed change of a registration makes the selector wake without events until RegistrationRetry repeats the
+        // change (15 ms). By default Netty would then move all channels to a new selector, without reporting which of
+        // them could not be moved.
         System.setProperty("io.netty.selectorAutoRebuildThreshold", "0");
     }
 
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -124,7 +124,7 @@
     void partialResponsesEndInTime() throws Exception {
         Map<String, String> partialResponses = new ConcurrentHashMap<>();
         start(2, (m, line) -> line.raw("HTTP/1.1 200 OK\r\n" + partialResponses.get(m.header("X-Txn"))), Map.of());
-        List<String> wrong = new ArrayList<>();
+        List<String> problems = new ArrayList<>();
         List<Thread> clients = new ArrayList<>();
         int number = 0;
         for (String partial : PARTIAL_RESPONSES) {
@@ -137,14 +137,14 @@
                             c.send(SidecarProcess.request("GET", version, id, requestClass, REMAINING_MS));
                             String end = awaitResponseEnd(c, REMAINING_MS + SLACK_MS);
                             if (end.equals("open") || end.equals("whole")) {
-                                synchronized (wrong) {
-                                    wrong.add(version + " " + requestClass + " " + partial.replace("\r\n", "|") + ": "
-                                            + end);
+                                synchronized (problems) {
+                                    problems.add(version + " " + requestClass + " " + partial.replace("\r\n", "|")
+                                            + ": " + end);
                                 }
                             }
                         } catch (Exception e) {
-                            synchronized (wrong) {
-                                wrong.add(partial + ": " + e);
+                            synchronized (problems) {
+                                problems.add(partial + ": " + e);
                             }
                         }
                     }));
@@ -157,7 +157,7 @@
         for (Thread t : clients) {
             t.join();
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), problems);
         assertEquals(0, sidecar.invariantViolations());
     }
 
@@ -249,10 +249,10 @@
         for (int i = 0; i < MAX_ATTEMPTS && !inTime; i++) {
             start(i == 0 ? 4 : 0, (m, line) -> arrived.release(), Map.of());
             try (SchedulingDelayMonitor delays = new SchedulingDelayMonitor()) {
-                List<String> wrong = stallLateInShutdown(arrived, delays);
+                List<String> problems = stallLateInShutdown(arrived, delays);
                 inTime = delays.maxMs() <= MAX_SCHEDULING_DELAY_MS;
                 if (inTime) {
-                    assertEquals(List.of(), wrong);
+                    assertEquals(List.of(), problems);
                 }
             }
             sidecar.close();
@@ -260,9 +260,9 @@
         Assumptions.assumeTrue(inTime, "the machine was too slow in each attempt");
     }
 
-    /** Stops the process with two requests pending, pauses it late in the shutdown, and returns what the clients saw go wrong. */
+    /** Stops the process with two requests pending, pauses it late in the shutdown, and returns what the clients saw go problems. */
     private List<String> stallLateInShutdown(Semaphore arrived, SchedulingDelayMonitor delays) throws Exception {
-        List<String> wrong = new ArrayList<>();
+        List<String> problems = new ArrayList<>();
         try (Peer.Client safe = sidecar.client();
                 Peer.Client unsafe = sidecar.client()) {
             safe.send(SidecarProcess.getRequest("safe", "safe", 10_000));
@@ -282,14 +282,14 @@
                 try {
                     int status = c.status();
                     if (status != 502 && status != 503) {
-                        wrong.add("was answered " + status);
+                        problems.add("was answered " + status);
                     }
                 } catch (IOException e) {
-                    wrong.add("got no response before the kill: " + e);
+                    problems.add("got no response before the kill: " + e);
                 }
             }
         }
-        return wrong;
+        return problems;
     }
 
     private void signalAt(String name, long startNanos, long atMs, SchedulingDelayMonitor delays) throws Exception {
@@ -364,11 +364,11 @@
         faults.get().set(Call.ACCEPT_FAILS, 0.1);
         faults.get().set(Call.SOCKET_FAILS, 0.05);
         faults.get().set(Call.CONNECT_FAILS, 0.05);
-        ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
+        ConcurrentLinkedQueue<String> problems = new ConcurrentLinkedQueue<>();
         List<Thread> clients = new ArrayList<>();
         for (int n = 0; n < 16; n++) {
             int client = n;
-            clients.add(new Thread(() -> sendRequests(client, wrong)));
+            clients.add(new Thread(() -> sendRequests(client, problems)));
         }
         for (Thread t : clients) {
             t.start();
@@ -377,7 +377,7 @@
             t.join();
         }
         faults.get().clear();
-        assertEquals(List.of(), List.copyOf(wrong));
+        assertEquals(List.of(), List.copyOf(problems));
         assertEquals(
                 List.of(),
                 runs.entrySet().stream()
@@ -386,7 +386,7 @@
         assertEquals(0, sidecar.invariantViolations());
     }
 
-    private void sendRequests(int client, ConcurrentLinkedQueue<String> wrong) {
+    private void sendRequests(int client, ConcurrentLinkedQueue<String> problems) {
         try (Peer.Client c = sidecar.client()) {
             for (int i = 0; i < 100; i++) {
                 String requestClass = i % 2 == 0 ? "unsafe" : "safe";
@@ -394,15 +394,15 @@
                 c.send(SidecarProcess.getRequest(id, requestClass, 800));
                 Peer.Message answer = c.answer();
                 if (answer == null) {
-                    wrong.add(id + " got no response");
+                    problems.add(id + " got no response");
                     return;
                 }
                 if (answer.head().startsWith("HTTP/1.1 200") && !answer.body().equals(id)) {
-                    wrong.add(id + " got the response to another request: " + answer.body());
+                    problems.add(id + " got the response to another request: " + answer.body());
                 }
             }
         } catch (IOException e) {
-            wrong.add("client " + client + ": " + e);
+            problems.add("client " + client + ": " + e);
         }
     }
 }
