--- a/src/main/java/rushproxy/lab/report/Report.java
+++ b/src/main/java/rushproxy/lab/report/Report.java
@@ -25,7 +25,7 @@
 
 /**
  * A run's folder: {@code scenario.json}, {@code events.jsonl} (an {@link Observation} a line), {@code figures.jsonl} (a
- * {@link ThreadStats.Second} a line), {@code summary.json} and {@code report.html}, which opens without a network.
+ * {@link Figures.Second} a line), {@code summary.json} and {@code report.html}, which opens without a network.
  */
 public final class Report {
     static final ObjectMapper JSON = JsonMapper.builder()
