--- a/src/main/java/rushproxy/sidecar/EventLoopDelay.java
+++ b/src/main/java/rushproxy/sidecar/EventLoopDelay.java
@@ -24,14 +24,14 @@
 
     private long lastPollStartUs;
 
-    void recordHeartbeat(long now) {
-        totalStallUs = totalStallUs(now);
-        lastHeartbeatUs = now;
+    void recordHeartbeat(long nowUs) {
+        totalStallUs = totalStallUs(nowUs);
+        lastHeartbeatUs = nowUs;
     }
 
     /** The event loop starts its first iteration. */
-    void recordLoopStart(long now) {
-        timersDueSinceUs = now;
+    void recordLoopStart(long nowUs) {
+        timersDueSinceUs = nowUs;
     }
 
     /**
@@ -41,13 +41,13 @@
      * @param startUs     when the poll started
      * @param idleUntilUs when the next timer was due, up to which the poll could block; {@code startUs} if it could not
      */
-    void recordPoll(long startUs, long idleUntilUs, long now) {
+    void recordPoll(long startUs, long idleUntilUs, long nowUs) {
         if (idleUntilUs > startUs) {
-            recordDelay(now, Math.max(startUs - timersDueSinceUs, now - idleUntilUs));
-            timersDueSinceUs = Math.min(now, idleUntilUs);
+            recordDelay(nowUs, Math.max(startUs - timersDueSinceUs, nowUs - idleUntilUs));
+            timersDueSinceUs = Math.min(nowUs, idleUntilUs);
         } else {
-            recordDelay(now, now - timersDueSinceUs);
-            timersDueSinceUs = now;
+            recordDelay(nowUs, nowUs - timersDueSinceUs);
+            timersDueSinceUs = nowUs;
         }
         lastPollStartUs = startUs;
     }
@@ -58,10 +58,10 @@
     }
 
     /** Records that a timer would have run late by {@code delayUs}. */
-    void recordDelay(long now, long delayUs) {
-        double decay = Math.pow(0.5, Math.max(0, now - recentDelayUpdatedUs) / DECAY_HALF_LIFE_US);
+    void recordDelay(long nowUs, long delayUs) {
+        double decay = Math.pow(0.5, Math.max(0, nowUs - recentDelayUpdatedUs) / DECAY_HALF_LIFE_US);
         recentDelayUs = Math.max(delayUs, (long) (recentDelayUs * decay));
-        recentDelayUpdatedUs = now;
+        recentDelayUpdatedUs = nowUs;
     }
 
     /** The decaying maximum of the delays. Work with a deadline has to start earlier by this much. */
@@ -73,13 +73,13 @@
      * The total duration of all stalls so far: the sum of the heartbeat lags of at least {@link #STALL_THRESHOLD_US}. The difference
      * between two readings is the part of the interval that must not be attributed to clients or upstreams.
      */
-    long totalStallUs(long now) {
-        long lagUs = heartbeatLagUs(now);
+    long totalStallUs(long nowUs) {
+        long lagUs = heartbeatLagUs(nowUs);
         return totalStallUs + (lagUs >= STALL_THRESHOLD_US ? lagUs : 0);
     }
 
     /** How long the next heartbeat has been overdue; 0 if it is not. */
-    long heartbeatLagUs(long now) {
-        return lastHeartbeatUs == 0 ? 0 : Math.max(0, now - lastHeartbeatUs - HEARTBEAT_INTERVAL_US);
+    long heartbeatLagUs(long nowUs) {
+        return lastHeartbeatUs == 0 ? 0 : Math.max(0, nowUs - lastHeartbeatUs - HEARTBEAT_INTERVAL_US);
     }
 }
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -145,7 +145,7 @@
                 : new CordonStore(
                         config.stateDirectory(),
                         settings.rules().rampUs() / 1000,
-                        now -> loop.execute(() -> applyCordonMarks(now)));
+                        marks -> loop.execute(() -> applyCordonMarks(marks)));
         deadlines = new AnswerDeadlines(settings.classes(), loopDelay);
         clients = new ClientServer(
                 loop,
@@ -183,7 +183,9 @@
         try {
             ServerSocketChannel inheritedListener = config.inheritsListener() ? InheritedListener.open() : null;
             sidecar = new Sidecar(
-                    config, inheritedListener, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
+                    config,
+                    inheritedListener,
+                    (c, nowUs, actions) -> new Policy(c.settings(), c.seed(), nowUs, actions));
             // Before the listeners open, so that no health check succeeds early.
             sidecar.clients.notReady();
             EventLoopWatchdog.start(sidecar.loop, Sidecar::haltAfterLoopExit);
@@ -264,16 +266,16 @@
 
     /** Measures how late the event loop runs (CPU shortage, GC pause, blocking code), since that delays every response. */
     private void onHeartbeat() {
-        long now = clock.nowUs();
-        long lagUs = loopDelay.heartbeatLagUs(now);
+        long nowUs = clock.nowUs();
+        long lagUs = loopDelay.heartbeatLagUs(nowUs);
         maxLagUs = Math.max(maxLagUs, lagUs);
         // The loop iteration in progress is recorded only when it ends.
-        loopDelay.recordDelay(now, lagUs);
+        loopDelay.recordDelay(nowUs, lagUs);
         if (loopDelay.recentDelayUs() >= Requests.LEAST_GAIN_US) {
             requests.tighten(deadlines);
         }
         if (lagUs < EventLoopDelay.STALL_THRESHOLD_US) {
-            loopDelay.recordHeartbeat(now);
+            loopDelay.recordHeartbeat(nowUs);
         } else {
             // Data that arrived during the stall is read only now: the stall lasts until the sockets were polled again.
             loop.schedule(
--- a/src/main/java/rushproxy/sidecar/StallAwareClock.java
+++ b/src/main/java/rushproxy/sidecar/StallAwareClock.java
@@ -26,8 +26,8 @@
     }
 
     Timestamp timestamp() {
-        long now = clock.nowUs();
-        return new Timestamp(now, loopDelay.totalStallUs(now));
+        long nowUs = clock.nowUs();
+        return new Timestamp(nowUs, loopDelay.totalStallUs(nowUs));
     }
 
     long elapsedUs(Timestamp since) {
@@ -36,8 +36,8 @@
 
     /** The elapsed time less the stalls. */
     long elapsedUnstalledUs(Timestamp since) {
-        long now = clock.nowUs();
-        return Math.max(0, now - since.atUs - (loopDelay.totalStallUs(now) - since.totalStallUs));
+        long nowUs = clock.nowUs();
+        return Math.max(0, nowUs - since.atUs - (loopDelay.totalStallUs(nowUs) - since.totalStallUs));
     }
 
     /** Whether the loop was stalled for more than half of the elapsed time. */
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -31,15 +31,15 @@
     private final List<Peer.Client> clients = new ArrayList<>();
 
     /** The kernel's CPU time and number of voluntary context switches of a thread. */
-    private record Figures(long cpuMs, long waits) {
-        static Figures of(Path thread) throws Exception {
+    private record ThreadStats(long cpuMs, long waits) {
+        static ThreadStats of(Path thread) throws Exception {
             long cpuMs = ThreadSchedStats.parse(Files.readString(thread.resolve("schedstat")))
                     .cpuMs();
             String waits = Files.readAllLines(thread.resolve("status")).stream()
                     .filter(line -> line.startsWith("voluntary_ctxt_switches"))
                     .findFirst()
                     .orElseThrow();
-            return new Figures(cpuMs, Long.parseLong(waits.replaceAll("\\D", "")));
+            return new ThreadStats(cpuMs, Long.parseLong(waits.replaceAll("\\D", "")));
         }
     }
 
@@ -96,9 +96,9 @@
             openMisbehavingClients(sidecar);
             Thread.sleep(SETTLED_MS);
             Path loop = eventLoopThread(sidecar);
-            Figures before = Figures.of(loop);
+            ThreadStats before = ThreadStats.of(loop);
             Thread.sleep(MEASURED_MS);
-            Figures after = Figures.of(loop);
+            ThreadStats after = ThreadStats.of(loop);
             long cpuMs = after.cpuMs - before.cpuMs;
             long waits = after.waits - before.waits;
             // The heartbeat alone makes the loop wait once in each interval.
