--- a/src/main/java/rushproxy/cli/ReleaseCommand.java
+++ b/src/main/java/rushproxy/cli/ReleaseCommand.java
@@ -20,11 +20,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import rushproxy.fleet.release.Conductor;
 import rushproxy.fleet.release.Gate;
-import rushproxy.fleet.release.Order;
 import rushproxy.fleet.release.Plan;
-import rushproxy.fleet.release.Watch;
+import rushproxy.fleet.release.ReleaseController;
+import rushproxy.fleet.release.ReleaseMonitor;
+import rushproxy.fleet.release.ReleaseOrder;
 import rushproxy.lab.scenario.ScenarioException;
 
 /**
@@ -110,21 +110,21 @@
         }
 
         /** The order of the latest epoch and step that any of them knows, null for none. */
-        Order latest(String release) throws InterruptedException {
-            Order latest = null;
+        ReleaseOrder latest(String release) throws InterruptedException {
+            ReleaseOrder latest = null;
             for (JsonNode view : views("orders").values()) {
                 for (JsonNode o : view.path("orders")) {
                     if (!o.path("release").asText().equals(release)) {
                         continue;
                     }
-                    Order one = new Order(
+                    ReleaseOrder one = new ReleaseOrder(
                             release,
                             o.path("epoch").asInt(),
                             o.path("step").asInt(),
-                            Order.State.valueOf(o.path("state").asText().toUpperCase(Locale.ROOT)),
+                            ReleaseOrder.State.valueOf(o.path("state").asText().toUpperCase(Locale.ROOT)),
                             o.path("weight").asDouble(),
                             o.path("safe").asDouble(),
-                            Order.Selector.of(o.path("whom").asText()));
+                            ReleaseOrder.Selector.parse(o.path("whom").asText()));
                     boolean later = latest == null
                             || one.epoch() > latest.epoch()
                             || one.epoch() == latest.epoch() && one.step() > latest.step();
@@ -135,7 +135,7 @@
         }
 
         /** Tells the order; how many have taken it, -1 where one knows a later controller's. */
-        int tell(Order o) throws InterruptedException {
+        int tell(ReleaseOrder o) throws InterruptedException {
             Map<String, String> answers = call(String.format(
                     Locale.ROOT,
                     "order %s %d %d %s %s %s %s",
@@ -144,8 +144,8 @@
                     o.step(),
                     o.state().name().toLowerCase(Locale.ROOT),
                     o.weight(),
-                    o.safe(),
-                    o.whom().words()));
+                    o.safeWeight(),
+                    o.selector().expression()));
             return answers.values().stream().anyMatch(a -> a.startsWith("NAK epoch"))
                     ? -1
                     : (int) answers.values().stream()
@@ -153,15 +153,15 @@
                             .count();
         }
 
-        Map<String, Map<String, Watch.Pair>> reports(String release) throws InterruptedException {
-            Map<String, Map<String, Watch.Pair>> reports = new HashMap<>();
+        Map<String, Map<String, ReleaseMonitor.TallyPair>> reports(String release) throws InterruptedException {
+            Map<String, Map<String, ReleaseMonitor.TallyPair>> reports = new HashMap<>();
             views("tallies " + release).forEach((a, view) -> {
                 try {
-                    Map<String, Watch.Pair> strata = new TreeMap<>();
+                    Map<String, ReleaseMonitor.TallyPair> strata = new TreeMap<>();
                     for (JsonNode t : view.path("tallies")) {
                         strata.put(
                                 t.path("stratum").asText(),
-                                new Watch.Pair(tally(t.path("new")), tally(t.path("control"))));
+                                new ReleaseMonitor.TallyPair(tally(t.path("new")), tally(t.path("control"))));
                     }
                     reports.put(a, strata);
                 } catch (IllegalArgumentException e) {
@@ -172,7 +172,7 @@
         }
 
         private static rushproxy.fleet.release.Tally tally(JsonNode t) {
-            return Watch.read(
+            return ReleaseMonitor.parseTally(
                     t.path(0).asLong(),
                     t.path(1).asLong(),
                     t.path(2).asLong(),
@@ -186,14 +186,15 @@
     }
 
     /** Runs a controller until its release is over, or another has come: the exit code. */
-    static int conduct(Conductor c, Sidecars sidecars, PrintWriter out, boolean untilHalt) throws InterruptedException {
-        Conductor.Step said = null;
+    static int conduct(ReleaseController c, Sidecars sidecars, PrintWriter out, boolean untilHalt)
+            throws InterruptedException {
+        ReleaseController.Step said = null;
         String waited = "";
         long reachedNs = System.nanoTime();
         while (true) {
-            int took = sidecars.tell(c.last().order());
-            boolean enough = c.over() ? took == sidecars.count() : took > 0;
-            reachedNs = enough || c.last() != said ? System.nanoTime() : reachedNs;
+            int took = sidecars.tell(c.lastStep().order());
+            boolean enough = c.isFinished() ? took == sidecars.count() : took > 0;
+            reachedNs = enough || c.lastStep() != said ? System.nanoTime() : reachedNs;
             if (System.nanoTime() - reachedNs > TimeUnit.SECONDS.toNanos(PATIENCE_S)) {
                 out.println("ends after " + PATIENCE_S + " s in which " + took + " of " + sidecars.count()
                         + " were reached; the others hear of it by these");
@@ -205,9 +206,9 @@
                 out.flush();
                 return SUPERSEDED;
             }
-            if (c.last() != said) {
-                said = c.last();
-                Order o = said.order();
+            if (c.lastStep() != said) {
+                said = c.lastStep();
+                ReleaseOrder o = said.order();
                 out.printf(
                         Locale.ROOT,
                         "step %d, %s: weight %.3f, taken by %d of %d: %s%n",
@@ -216,23 +217,23 @@
                         o.weight(),
                         took,
                         sidecars.count(),
-                        said.why());
+                        said.reason());
             }
-            if (!c.waitsFor().equals(waited) && !c.waitsFor().isEmpty()) {
-                waited = c.waitsFor();
+            if (!c.waitReason().equals(waited) && !c.waitReason().isEmpty()) {
+                waited = c.waitReason();
                 out.println("  waits: " + waited);
             }
             out.flush();
-            if (c.over() && took == sidecars.count()) {
+            if (c.isFinished() && took == sidecars.count()) {
                 return 0;
             }
-            if (untilHalt && c.last().order().state() == Order.State.HALTED) {
+            if (untilHalt && c.lastStep().order().state() == ReleaseOrder.State.HALTED) {
                 return 4;
             }
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            c.reports(
+            c.onReports(
                     System.currentTimeMillis() * 1_000,
-                    sidecars.reports(c.last().order().release()),
+                    sidecars.reports(c.lastStep().order().release()),
                     sidecars.count());
         }
     }
@@ -253,23 +254,23 @@
             try {
                 Plan p = ReleasePlan.read(file);
                 PrintWriter out = spec.commandLine().getOut();
-                out.println(p.name() + ": " + p.whom().words());
+                out.println(p.name() + ": " + p.selector().expression());
                 for (Plan.Stage s : p.stages()) {
-                    Gate.Rule r = s.rule();
+                    Gate.Criteria r = s.criteria();
                     out.printf(
                             Locale.ROOT,
                             "  weight %.3f for %.0f to %.0f s and %d answers of each; halted falsely in at most %.4f of cases%n",
                             s.weight(),
-                            r.leastUs() / 1e6,
-                            r.mostUs() / 1e6,
-                            r.answers(),
-                            r.falseHalts());
+                            r.minDurationUs() / 1e6,
+                            r.maxDurationUs() / 1e6,
+                            r.minAnswers(),
+                            r.falseHaltProbability());
                 }
                 out.printf(
                         Locale.ROOT,
                         "  back by halves every %.0f s; %.3f at a sidecar that is cut off%n",
-                        p.backUs() / 1e6,
-                        p.safe());
+                        p.rollbackIntervalUs() / 1e6,
+                        p.safeWeight());
                 out.flush();
                 return 0;
             } catch (ScenarioException e) {
@@ -319,8 +320,8 @@
                 if (kept.cut() != null) {
                     out.println(journal + ": " + kept.cut());
                 }
-                Order known = sidecars.latest(plan.name());
-                Conductor.Step last = kept.steps().isEmpty()
+                ReleaseOrder known = sidecars.latest(plan.name());
+                ReleaseController.Step last = kept.steps().isEmpty()
                         ? null
                         : kept.steps().get(kept.steps().size() - 1);
                 if (last != null && !last.order().release().equals(plan.name())) {
@@ -335,29 +336,30 @@
                         || known != null
                                 && last != null
                                 && known.epoch() > last.order().epoch();
-                Conductor.Step after = last != null && !gone
+                ReleaseController.Step after = last != null && !gone
                         ? last
-                        : known == null ? last : new Conductor.Step(known, stage(plan, known), "");
-                if (after != null && !anew() && after.order().state() == Order.State.HALTED) {
-                    after = new Conductor.Step(
-                            new Order(
+                        : known == null ? last : new ReleaseController.Step(known, stage(plan, known), "");
+                if (after != null && !anew() && after.order().state() == ReleaseOrder.State.HALTED) {
+                    after = new ReleaseController.Step(
+                            new ReleaseOrder(
                                     plan.name(),
                                     after.order().epoch(),
                                     after.order().step(),
-                                    Order.State.ON,
+                                    ReleaseOrder.State.ON,
                                     after.order().weight(),
-                                    plan.safe(),
-                                    plan.whom()),
+                                    plan.safeWeight(),
+                                    plan.selector()),
                             after.stage(),
                             "");
                 }
-                Conductor c = new Conductor(plan, epoch, after, System.currentTimeMillis() * 1_000, s -> {
-                    try {
-                        kept.append(s);
-                    } catch (IOException e) {
-                        throw new UncheckedIOException(e);
-                    }
-                });
+                ReleaseController c =
+                        new ReleaseController(plan, epoch, after, System.currentTimeMillis() * 1_000, s -> {
+                            try {
+                                kept.append(s);
+                            } catch (IOException e) {
+                                throw new UncheckedIOException(e);
+                            }
+                        });
                 return conduct(c, sidecars, out, true);
             } catch (IOException | UncheckedIOException e) {
                 err.println(e.getMessage());
@@ -366,7 +368,7 @@
         }
 
         /** The first stage that gives as much as is ordered. */
-        private static int stage(Plan plan, Order known) {
+        private static int stage(Plan plan, ReleaseOrder known) {
             for (int i = 0; i < plan.stages().size(); i++) {
                 if (plan.stages().get(i).weight() >= known.weight() - 1e-9) {
                     return i;
@@ -421,12 +423,12 @@
                 description = "Second addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
-        abstract int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException;
+        abstract int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException;
 
         @Override
         public Integer call() throws InterruptedException {
             try (Sidecars sidecars = new Sidecars(addresses)) {
-                Order known = sidecars.latest(name);
+                ReleaseOrder known = sidecars.latest(name);
                 if (known == null) {
                     spec.commandLine().getErr().println("none of them knows a release " + name);
                     return UNREACHED;
@@ -436,17 +438,17 @@
         }
 
         /** A controller of a later epoch that takes the release from where it stands. */
-        static Conductor over(Order known) {
+        static ReleaseController over(ReleaseOrder known) {
             Plan plan = new Plan(
                     known.release(),
-                    known.whom(),
-                    List.of(new Plan.Stage(Math.max(1e-3, known.weight()), Gate.Rule.USUAL)),
-                    known.safe(),
+                    known.selector(),
+                    List.of(new Plan.Stage(Math.max(1e-3, known.weight()), Gate.Criteria.DEFAULT)),
+                    known.safeWeight(),
                     5_000_000);
-            return new Conductor(
+            return new ReleaseController(
                     plan,
                     known.epoch() + 1,
-                    new Conductor.Step(known, 0, ""),
+                    new ReleaseController.Step(known, 0, ""),
                     System.currentTimeMillis() * 1_000,
                     s -> {});
         }
@@ -498,12 +500,12 @@
     @Command(name = "halt", mixinStandardHelpOptions = true, description = "Freezes the weights where they are.")
     static final class Halt extends ByName {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
+        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = over(known);
             c.halt(System.currentTimeMillis() * 1_000, "by an operator");
-            int took = sidecars.tell(c.last().order());
-            out.println(
-                    "halted at weight " + c.last().order().weight() + ", taken by " + took + " of " + sidecars.count());
+            int took = sidecars.tell(c.lastStep().order());
+            out.println("halted at weight " + c.lastStep().order().weight() + ", taken by " + took + " of "
+                    + sidecars.count());
             out.flush();
             return took == sidecars.count() ? 0 : UNREACHED;
         }
@@ -512,9 +514,9 @@
     @Command(name = "back", mixinStandardHelpOptions = true, description = "Takes the new servers out, by halves.")
     static final class Back extends ByName {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
-            c.back(System.currentTimeMillis() * 1_000, "by an operator");
+        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = over(known);
+            c.rollBack(System.currentTimeMillis() * 1_000, "by an operator");
             return conduct(c, sidecars, out, false);
         }
     }
@@ -522,8 +524,8 @@
     @Command(name = "abort", mixinStandardHelpOptions = true, description = "Takes the new servers out at once.")
     static final class Abort extends ByName {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
+        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = over(known);
             c.abort(System.currentTimeMillis() * 1_000, "by an operator");
             return conduct(c, sidecars, out, false);
         }
--- a/src/main/java/rushproxy/cli/ReleaseJournal.java
+++ b/src/main/java/rushproxy/cli/ReleaseJournal.java
@@ -11,8 +11,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32;
-import rushproxy.fleet.release.Conductor;
-import rushproxy.fleet.release.Order;
+import rushproxy.fleet.release.ReleaseController;
+import rushproxy.fleet.release.ReleaseOrder;
 
 /**
  * A controller's steps on disk: records of a length, a check and a text, each forced out before it is acted on. What a crash has left
@@ -25,7 +25,7 @@
     private final Disk disk;
     private final FileChannel file;
     private final FileLock lock;
-    private final List<Conductor.Step> steps = new ArrayList<>();
+    private final List<ReleaseController.Step> steps = new ArrayList<>();
     private String cut;
     /** The end of the last record that is whole and on disk. */
     private long end;
@@ -93,14 +93,14 @@
         return cut;
     }
 
-    List<Conductor.Step> steps() {
+    List<ReleaseController.Step> steps() {
         return List.copyOf(steps);
     }
 
     /** On disk when it returns. */
-    void append(Conductor.Step step) throws IOException {
-        Order o = step.order();
-        String why = step.why().replaceAll("[\\t\\n]", " ");
+    void append(ReleaseController.Step step) throws IOException {
+        ReleaseOrder o = step.order();
+        String why = step.reason().replaceAll("[\\t\\n]", " ");
         byte[] text = String.join(
                         "\t",
                         o.release(),
@@ -108,8 +108,8 @@
                         "" + o.step(),
                         o.state().name(),
                         "" + o.weight(),
-                        "" + o.safe(),
-                        o.whom().words(),
+                        "" + o.safeWeight(),
+                        o.selector().expression(),
                         "" + step.stage(),
                         why.substring(0, Math.min(1_000, why.length())))
                 .getBytes(StandardCharsets.UTF_8);
@@ -139,18 +139,18 @@
         void write(FileChannel file, ByteBuffer record) throws IOException;
     }
 
-    private Conductor.Step step(Path path, String text) throws IOException {
+    private ReleaseController.Step step(Path path, String text) throws IOException {
         String[] w = text.split("\t", -1);
         try {
-            return new Conductor.Step(
-                    new Order(
+            return new ReleaseController.Step(
+                    new ReleaseOrder(
                             w[0],
                             Integer.parseInt(w[1]),
                             Integer.parseInt(w[2]),
-                            Order.State.valueOf(w[3]),
+                            ReleaseOrder.State.valueOf(w[3]),
                             Double.parseDouble(w[4]),
                             Double.parseDouble(w[5]),
-                            Order.Selector.of(w[6])),
+                            ReleaseOrder.Selector.parse(w[6])),
                     Integer.parseInt(w[7]),
                     w[8]);
         } catch (RuntimeException e) {
--- a/src/main/java/rushproxy/cli/ReleasePlan.java
+++ b/src/main/java/rushproxy/cli/ReleasePlan.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import rushproxy.fleet.release.Gate;
-import rushproxy.fleet.release.Order;
 import rushproxy.fleet.release.Plan;
+import rushproxy.fleet.release.ReleaseOrder;
 import rushproxy.lab.scenario.ScenarioException;
 import rushproxy.lab.scenario.Section;
 
@@ -30,27 +30,27 @@
     static Plan parse(String file, String text) throws ScenarioException {
         Section s = Section.toml(file, text);
         String name = s.text("name");
-        Order.Selector whom;
+        ReleaseOrder.Selector whom;
         try {
-            whom = Order.Selector.of(s.text("servers"));
+            whom = ReleaseOrder.Selector.parse(s.text("servers"));
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": servers: " + e.getMessage());
         }
-        Gate.Rule usual = Gate.Rule.USUAL;
-        double falseHalts = s.number("false_halts", 1e-6, 0.5, usual.falseHalts());
-        double worse = s.number("worse", 0, 1, usual.worse());
-        double slower = s.number("slower", 1, 100, usual.slower());
-        double sick = s.number("sick_at", 0.01, 1, usual.sickAt());
+        Gate.Criteria usual = Gate.Criteria.DEFAULT;
+        double falseHalts = s.number("false_halts", 1e-6, 0.5, usual.falseHaltProbability());
+        double worse = s.number("worse", 0, 1, usual.maxBadFractionExcess());
+        double slower = s.number("slower", 1, 100, usual.maxMedianRatio());
+        double sick = s.number("sick_at", 0.01, 1, usual.sickControlFraction());
         List<Plan.Stage> stages = new ArrayList<>();
         for (Section one : s.tables("stages")) {
-            double least = one.number("least_s", 1, 86_400, usual.leastUs() / S);
-            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.mostUs() / S));
+            double least = one.number("least_s", 1, 86_400, usual.minDurationUs() / S);
+            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.maxDurationUs() / S));
             stages.add(new Plan.Stage(
                     one.number("weight", 0.001, 1),
-                    new Gate.Rule(
+                    new Gate.Criteria(
                             (long) (least * S),
                             (long) (most * S),
-                            one.count("answers", 1, 1_000_000, (int) usual.answers()),
+                            one.count("answers", 1, 1_000_000, (int) usual.minAnswers()),
                             falseHalts,
                             worse,
                             slower,
@@ -64,7 +64,7 @@
         try {
             Plan plan = new Plan(name, whom, stages, safe, back);
             // Its names have to fit into an order.
-            new Order(name, 1, 0, Order.State.ON, first, safe, whom);
+            new ReleaseOrder(name, 1, 0, ReleaseOrder.State.ON, first, safe, whom);
             return plan;
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": " + e.getMessage());
--- a/src/main/java/rushproxy/fleet/Envelope.java
+++ b/src/main/java/rushproxy/fleet/Envelope.java
@@ -6,13 +6,13 @@
 import java.util.zip.CRC32;
 
 /**
- * The one form of all datagrams of the fleet plane, {@link #MOST} bytes at most:
+ * The one form of all datagrams of the fleet plane, {@link #MAX_BYTES} bytes at most:
  *
  * <pre>
  * 0  magic         1 byte, 0xF1
  * 1  version       1 byte, 1: readers of another version skip the datagram
  * 2  check         4 bytes, the CRC-32 of all that follows
- * 6  sender        6 bytes, the sender's id: {@link #id} of its name
+ * 6  sender        6 bytes, the sender's id: {@link #idOf} of its name
  * 12 incarnation   6 bytes, the sender's
  * 18 sections      type 1 byte, length 1 byte, bytes; unknown types are skipped
  * </pre>
@@ -21,22 +21,22 @@
  * where it would, by an empty section's half; and a word is never taken for an envelope, since its length says what it is.
  */
 public final class Envelope {
-    public static final int MOST = 256;
+    public static final int MAX_BYTES = 256;
     private static final byte MAGIC = (byte) 0xF1;
     private static final byte VERSION = 1;
-    private static final int CHECKED = 6;
-    private static final int HEAD = 18;
+    private static final int CHECKSUM_START = 6;
+    private static final int HEADER_BYTES = 18;
     private static final long MASK48 = (1L << 48) - 1;
     /** Fills up; a reader skips it like any type that it does not know. */
-    private static final int PAD = 0;
+    private static final int PADDING = 0;
 
-    /** One section. {@code bytes} is its own copy. */
+    /** One section. {@code toBytes} is its own copy. */
     public record Section(int type, byte[] bytes) {}
 
     /** A datagram that was understood. */
-    public record Letter(long sender, long incarnation, List<Section> sections) {}
+    public record Message(long sender, long incarnation, List<Section> sections) {}
 
-    private final ByteBuffer buffer = ByteBuffer.allocate(MOST);
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
 
     private Envelope(long sender, long incarnation) {
         buffer.put(MAGIC).put(VERSION).putInt(0);
@@ -49,45 +49,45 @@
     }
 
     /** Bytes that a further section may have at most; negative where none fits. */
-    public int room() {
+    public int remainingBytes() {
         // One byte is kept for the end's length.
         return buffer.remaining() - 3;
     }
 
-    /** Throws where there is no {@link #room}: whoever writes asks first. */
-    public Envelope add(int type, ByteBuffer bytes) {
+    /** Throws where there is no {@link #remainingBytes}: whoever writes asks first. */
+    public Envelope addSection(int type, ByteBuffer bytes) {
         bytes.flip();
         buffer.put((byte) type).put((byte) bytes.remaining()).put(bytes);
         return this;
     }
 
     /** {@code taken} is the length that the program before would take for its own; -1 where there is none. */
-    public byte[] bytes(int taken) {
+    public byte[] toBytes(int taken) {
         if (buffer.position() == taken) {
             // A section of no length would take two: the type alone is skipped too.
-            buffer.put((byte) PAD);
+            buffer.put((byte) PADDING);
         }
         byte[] all = new byte[buffer.position()];
         buffer.flip().get(all);
-        ByteBuffer.wrap(all).putInt(2, check(all));
+        ByteBuffer.wrap(all).putInt(2, checksum(all));
         return all;
     }
 
-    private static int check(byte[] all) {
+    private static int checksum(byte[] all) {
         CRC32 crc = new CRC32();
-        crc.update(all, CHECKED, all.length - CHECKED);
+        crc.update(all, CHECKSUM_START, all.length - CHECKSUM_START);
         return (int) crc.getValue();
     }
 
     /** Null where the bytes are no whole envelope of this version: nothing is to be taken from them. */
-    public static Letter read(byte[] all) {
-        if (all.length < HEAD || all.length > MOST || all[0] != MAGIC || all[1] != VERSION) {
+    public static Message parse(byte[] all) {
+        if (all.length < HEADER_BYTES || all.length > MAX_BYTES || all[0] != MAGIC || all[1] != VERSION) {
             return null;
         }
-        if (check(all) != ByteBuffer.wrap(all).getInt(2)) {
+        if (checksum(all) != ByteBuffer.wrap(all).getInt(2)) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(all, CHECKED, all.length - CHECKED);
+        ByteBuffer b = ByteBuffer.wrap(all, CHECKSUM_START, all.length - CHECKSUM_START);
         long sender = get48(b);
         long incarnation = get48(b);
         List<Section> sections = new ArrayList<>(3);
@@ -102,7 +102,7 @@
             sections.add(new Section(type, bytes));
         }
         // A single byte left is the pad's.
-        return b.hasRemaining() && b.get() != PAD ? null : new Letter(sender, incarnation, sections);
+        return b.hasRemaining() && b.get() != PADDING ? null : new Message(sender, incarnation, sections);
     }
 
     public static void put48(ByteBuffer b, long value) {
@@ -117,7 +117,7 @@
      * The 48 bits that stand for a name. Among 10,000 names two share theirs with a chance of 2 in 10 million; both would
      * be taken for one, as two processes of one name are.
      */
-    public static long id(String name) {
+    public static long idOf(String name) {
         // FNV-1a, 64 bits, folded, as its authors advise for lengths between (Fowler, Noll, Vo).
         long hash = 0xcbf29ce484222325L;
         for (byte b : name.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
--- a/src/main/java/rushproxy/fleet/Group.java
+++ b/src/main/java/rushproxy/fleet/PeerDirectory.java
@@ -1,16 +1,16 @@
 package rushproxy.fleet;
 
 /** Who is here, as the parts that only talk to them need it. */
-public interface Group {
+public interface PeerDirectory {
     /** Those here, itself included. */
     int size();
 
     /** The place in the configured list of one that is here and speaks the part, drawn by {@code random}; -1 for nobody. */
-    int one(int part, java.util.SplittableRandom random);
+    int randomPeer(int part, java.util.SplittableRandom random);
 
     /** Whether it is here. */
-    boolean here(long member);
+    boolean isLive(long member);
 
     /** Its name, or its id as text. */
-    String name(long member);
+    String nameOf(long member);
 }
--- a/src/main/java/rushproxy/fleet/member/Dissemination.java
+++ b/src/main/java/rushproxy/fleet/member/Dissemination.java
@@ -38,7 +38,7 @@
 
     /** One that has come, or told of itself; one that is told urgently is told already. */
     void tellInPassing(Member m, int members) {
-        if (m.known() && !urgent.containsKey(m.id)) {
+        if (m.hasMetadata() && !urgent.containsKey(m.id)) {
             others.put(m.id, new Update(m, log2(members)));
         }
     }
--- a/src/main/java/rushproxy/fleet/member/Member.java
+++ b/src/main/java/rushproxy/fleet/member/Member.java
@@ -14,9 +14,9 @@
     }
 
     /** Bytes on the wire: id, incarnation, state, zone, number, version, parts. */
-    static final int BYTES = 18;
+    static final int WIRE_BYTES = 18;
 
-    static final int NO_NUMBER = 0xFFFF;
+    static final int UNKNOWN_INDEX = 0xFFFF;
 
     final long id;
     /** Milliseconds since 1970 at its process's start, and one more for each refutation; 48 bits, and only grows. */
@@ -25,28 +25,28 @@
     State state;
     int zone;
     /** Its place in its own configured list. */
-    int number;
+    int ownIndex;
 
     int version;
     /** A bit for each part of the fleet plane that it speaks. */
-    int parts;
+    int features;
     /** Null until it has told. */
     String name;
     /** Where it is reached: its place in our configured list; -1 while that is not known. */
-    int slot = -1;
+    int peerIndex = -1;
     /** Since when it is in its state, and why. */
     long sinceUs;
 
-    String why = "";
+    String reason = "";
     /** When a datagram of its own came last; {@code Long.MIN_VALUE / 2} for never. */
-    long heardUs = Long.MIN_VALUE / 2;
+    long lastHeardUs = Long.MIN_VALUE / 2;
 
     Member(long id) {
         this.id = id;
     }
 
     /** Whether it has told of itself, or somebody has who knew: versions begin at 1. */
-    boolean known() {
+    boolean hasMetadata() {
         return version > 0;
     }
 
@@ -70,8 +70,8 @@
         return version;
     }
 
-    public int parts() {
-        return parts;
+    public int features() {
+        return features;
     }
 
     /** Its name, or its id as text while it has not told. */
@@ -83,8 +83,8 @@
         return sinceUs;
     }
 
-    public String why() {
-        return why;
+    public String reason() {
+        return reason;
     }
 
     void write(ByteBuffer b) {
@@ -92,9 +92,9 @@
         Envelope.put48(b, incarnation);
         b.put((byte) (state == State.SUSPECT ? State.ALIVE : state).ordinal())
                 .put((byte) zone)
-                .putShort((short) number)
+                .putShort((short) ownIndex)
                 .put((byte) version)
-                .put((byte) parts);
+                .put((byte) features);
     }
 
     /** Null where the bytes can't be a member's. */
@@ -103,9 +103,9 @@
         m.incarnation = Envelope.get48(b);
         int state = b.get() & 255;
         m.zone = b.get() & 255;
-        m.number = b.getShort() & 0xFFFF;
+        m.ownIndex = b.getShort() & 0xFFFF;
         m.version = b.get() & 255;
-        m.parts = b.get() & 255;
+        m.features = b.get() & 255;
         if (state >= State.values().length) {
             return null;
         }
@@ -114,14 +114,14 @@
     }
 
     /** Its place in the ring that all share: the id, well mixed (Stafford's variant 13). */
-    static long place(long id) {
+    static long ringPosition(long id) {
         long z = (id ^ id >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
     }
 
     /** Of two words on the same member the later: by incarnation, then by state; a leave is final for its incarnation. */
-    static boolean later(long incarnation, State state, long than, State thanState) {
+    static boolean supersedes(long incarnation, State state, long than, State thanState) {
         return incarnation != than ? incarnation > than : state.ordinal() > thanState.ordinal();
     }
 }
--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -16,15 +16,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 import rushproxy.fleet.member.Member.State;
 
 /**
  * Who is here, who has left: a failure detector and membership view of the SWIM family (Das, Gupta, Motivala 2002; probes,
  * suspicion, refutation by incarnation, gossip that rides on probes) with Lifeguard's self-doubt (Dadgar, Phillips,
  * Currey 2017: a member that was held up or hears nobody accuses nobody). Without I/O: it is told datagrams and the time,
- * in microseconds, and acts through its {@link Host}. Equal calls give equal results. One thread.
+ * in microseconds, and acts through its {@link Environment}. Equal calls give equal results. One thread.
  *
  * <p>It differs from SWIM in two things. Most probes go to fixed targets, the next members of a ring that all order
  * alike, so that each member is looked at in every period, not only on average. And a suspicion stays with those who have
@@ -33,21 +33,21 @@
  * second; told to all, with the refutations, that costs more the larger the fleet is, and the accused would have to be
  * heard by the whole fleet, not by its accusers alone, before the time is up.
  */
-public final class Membership implements Group {
+public final class Membership implements PeerDirectory {
     /** Call {@link #onTick} this often. */
-    public static final long TICK_US = 100_000;
-    /** Each member sends {@link #TARGETS} and one more probes in this time: 12 datagrams a second with their answers. */
-    static final long PERIOD_US = 500_000;
+    public static final long TICK_INTERVAL_US = 100_000;
+    /** Each member sends {@link #RING_TARGETS} and one more probes in this time: 12 datagrams a second with their answers. */
+    static final long PROBE_PERIOD_US = 500_000;
     /** Two accusers are wanted for a quick death, so two watch each member. */
-    static final int TARGETS = 2;
+    static final int RING_TARGETS = 2;
     /** An answer across regions comes within 0.1 s; a busy core takes as long again. */
-    static final long ANSWER_US = 300_000;
+    static final long ACK_TIMEOUT_US = 300_000;
     /** Suspects are asked so often, so that one who goes on is heard at once. */
-    static final long AGAIN_US = 200_000;
-    /** With evidence of two: a process that stalls for 1.5 s is not dead, and needs {@link #ANSWER_US} to say so. */
-    static final long QUICK_US = 1_800_000;
+    static final long SUSPECT_PING_INTERVAL_US = 200_000;
+    /** With evidence of two: a process that stalls for 1.5 s is not dead, and needs {@link #ACK_TIMEOUT_US} to say so. */
+    static final long CONFIRMED_SUSPICION_TIMEOUT_US = 1_800_000;
     /** With evidence of one alone, whose own link may be at fault. */
-    static final long SLOW_US = 4_000_000;
+    static final long LONE_SUSPICION_TIMEOUT_US = 4_000_000;
     /** Members asked to look for themselves when one does not answer. */
     private static final int WITNESSES = 3;
     /** Unanswered probes make its own answer time longer, up to so many times. */
@@ -117,7 +117,15 @@
      * @param taken   length of a datagram that belongs to somebody else; -1 for none
      */
     public record Self(
-            String name, int number, int peers, int zone, int zones, int version, int parts, long startMs, int taken) {}
+            String name,
+            int index,
+            int peerCount,
+            int zone,
+            int zoneCount,
+            int version,
+            int features,
+            long startMs,
+            int reservedLength) {}
 
     /** A probe that is out. */
     private static final class Probe {
@@ -147,12 +155,15 @@
 
         /** Who misses many answers is at the worse end of its links, and waits for longer. */
         long dueUs(int doubt) {
-            return sinceUs + (accusers.size() >= 2 ? QUICK_US : SLOW_US) * (MOST_DOUBT + doubt) / MOST_DOUBT;
+            return sinceUs
+                    + (accusers.size() >= 2 ? CONFIRMED_SUSPICION_TIMEOUT_US : LONE_SUSPICION_TIMEOUT_US)
+                            * (MOST_DOUBT + doubt)
+                            / MOST_DOUBT;
         }
     }
 
     private final Self self;
-    private final Host host;
+    private final Environment host;
     private final SplittableRandom random;
     private final SendBudget budget;
     private final Member me;
@@ -188,33 +199,33 @@
     private int bucket;
     private long sentCount;
     private final List<Long> claims = new ArrayList<>();
-    private View view;
+    private MembershipView view;
 
-    public Membership(Self self, long nowUs, long seed, Host host) {
+    public Membership(Self self, long nowUs, long seed, Environment host) {
         this.self = self;
         this.host = host;
         random = new SplittableRandom(seed);
         this.nowUs = tickedUs = startedUs = nowUs;
         budget = new SendBudget(nowUs);
-        me = new Member(Envelope.id(self.name()));
+        me = new Member(Envelope.idOf(self.name()));
         me.incarnation = self.startMs();
         me.state = State.ALIVE;
         me.zone = self.zone();
-        me.number = self.number();
+        me.ownIndex = self.index();
         me.version = self.version();
-        me.parts = self.parts();
+        me.features = self.features();
         me.name = self.name();
-        me.slot = self.number();
+        me.peerIndex = self.index();
         me.sinceUs = nowUs;
-        slots = new Member[self.peers()];
-        oldWordUs = new long[self.peers()];
+        slots = new Member[self.peerCount()];
+        oldWordUs = new long[self.peerCount()];
         Arrays.fill(oldWordUs, NEVER);
-        if (self.number() >= 0 && self.number() < slots.length) {
-            slots[self.number()] = me;
+        if (self.index() >= 0 && self.index() < slots.length) {
+            slots[self.index()] = me;
         }
         members.put(me.id, me);
-        ring.put(Member.place(me.id), me);
-        periodUs = nowUs + random.nextLong(PERIOD_US);
+        ring.put(Member.ringPosition(me.id), me);
+        periodUs = nowUs + random.nextLong(PROBE_PERIOD_US);
         compareUs = nowUs;
         tell(me);
         view = look(null);
@@ -222,7 +233,7 @@
 
     // ---- what users see ---------------------------------------------------------------------------
 
-    public View view() {
+    public MembershipView view() {
         return view;
     }
 
@@ -241,7 +252,7 @@
     }
 
     /** Another process of its name has come after it: it takes no part any more. */
-    public boolean isQuiet() {
+    public boolean isStopped() {
         return quiet;
     }
 
@@ -251,11 +262,11 @@
     }
 
     @Override
-    public int one(int part, SplittableRandom by) {
+    public int randomPeer(int part, SplittableRandom by) {
         for (int tries = 0; tries < TRIES && slots.length > 0; tries++) {
             Member m = slots[by.nextInt(slots.length)];
-            if (m != null && m != me && m.state == State.ALIVE && (m.parts & part) != 0) {
-                return m.slot;
+            if (m != null && m != me && m.state == State.ALIVE && (m.features & part) != 0) {
+                return m.peerIndex;
             }
         }
         return -1;
@@ -263,23 +274,23 @@
 
     /** Alive, or suspect, and reached at a place of its own: one that several names claim is nobody's. */
     @Override
-    public boolean here(long member) {
+    public boolean isLive(long member) {
         Member m = members.get(member);
-        return m != null && m.slot >= 0 && (m.state == State.ALIVE || m.state == State.SUSPECT);
+        return m != null && m.peerIndex >= 0 && (m.state == State.ALIVE || m.state == State.SUSPECT);
     }
 
     @Override
-    public String name(long member) {
+    public String nameOf(long member) {
         Member m = members.get(member);
         return m == null ? String.format("%012x", member) : m.name();
     }
 
     // ---- time ---------------------------------------------------------------------------------------
 
-    /** Wants to be called every {@link #TICK_US}. A time that goes back is taken as no time at all. */
+    /** Wants to be called every {@link #TICK_INTERVAL_US}. A time that goes back is taken as no time at all. */
     public void onTick(long now) {
         advance(now);
-        long heldUpUs = nowUs - tickedUs - TICK_US;
+        long heldUpUs = nowUs - tickedUs - TICK_INTERVAL_US;
         tickedUs = nowUs;
         if (quiet) {
             return;
@@ -290,7 +301,7 @@
         lateProbes();
         lateAccusations();
         if (nowUs >= periodUs) {
-            periodUs = Math.max(periodUs + PERIOD_US, nowUs + PERIOD_US / 2);
+            periodUs = Math.max(periodUs + PROBE_PERIOD_US, nowUs + PROBE_PERIOD_US / 2);
             period();
         }
         if (nowUs >= compareUs) {
@@ -349,7 +360,7 @@
         accusations.put(m.id, a);
         for (int slot : asked.getOrDefault(m.id, Set.of())) {
             a.askers.add(slot);
-            send(slot, letter().add(ACCUSE, about(m)).bytes(self.taken()));
+            send(slot, letter().addSection(ACCUSE, about(m)).toBytes(self.reservedLength()));
         }
         asked.remove(m.id);
         if (m.state == State.ALIVE) {
@@ -359,11 +370,11 @@
 
     /** Asks again; the second time others too, since most that is missed is one datagram lost. */
     private void askAgain(Accusation a, Member m) {
-        a.againUs = nowUs + AGAIN_US;
+        a.againUs = nowUs + SUSPECT_PING_INTERVAL_US;
         ping(m);
         if (++a.asked == 2 && a.asksOthers) {
             for (Member w : some(WITNESSES, m)) {
-                send(w.slot, letter().add(CHECK, about(m)).bytes(self.taken()));
+                send(w.peerIndex, letter().addSection(CHECK, about(m)).toBytes(self.reservedLength()));
             }
         }
     }
@@ -381,7 +392,7 @@
                 askAgain(a, m);
             } else if (nowUs >= a.againUs) {
                 // Many are silent at once. Who could not be asked has not failed to answer: its time waits too.
-                a.sinceUs += TICK_US;
+                a.sinceUs += TICK_INTERVAL_US;
             }
         }
     }
@@ -397,12 +408,12 @@
 
     /** Probes of a period: the next in the ring and one at random. */
     private void period() {
-        int wanted = TARGETS;
+        int wanted = RING_TARGETS;
         Member at = me;
         for (int i = 0; i < ring.size() - 1 && wanted > 0; i++) {
-            Map.Entry<Long, Member> next = ring.higherEntry(Member.place(at.id));
+            Map.Entry<Long, Member> next = ring.higherEntry(Member.ringPosition(at.id));
             at = next == null ? ring.firstEntry().getValue() : next.getValue();
-            if (at.slot >= 0 && at != me) {
+            if (at.peerIndex >= 0 && at != me) {
                 if (!accusations.containsKey(at.id)) {
                     probe(at, true);
                 }
@@ -430,7 +441,7 @@
     private void oneOfTheDead() {
         List<Member> dead = new ArrayList<>();
         for (Member m : members.values()) {
-            if (m.state == State.DEAD && m.slot >= 0) {
+            if (m.state == State.DEAD && m.peerIndex >= 0) {
                 dead.add(m);
             }
         }
@@ -448,8 +459,8 @@
         forgetUs = nowUs + FORGET_LOOK_US;
         members.values().removeIf(m -> {
             boolean old = (m.state == State.DEAD || m.state == State.LEFT) && nowUs - m.sinceUs > FORGET_US;
-            if (old && m.slot >= 0 && slots[m.slot] == m) {
-                slots[m.slot] = null;
+            if (old && m.peerIndex >= 0 && slots[m.peerIndex] == m) {
+                slots[m.peerIndex] = null;
             }
             if (old) {
                 digest.changed();
@@ -461,23 +472,23 @@
     private void probe(Member m, boolean own) {
         int number = ping(m);
         if (!accusations.containsKey(m.id)) {
-            probes.put(number, new Probe(m, own, nowUs + ANSWER_US * (4 + doubt) / 4));
+            probes.put(number, new Probe(m, own, nowUs + ACK_TIMEOUT_US * (4 + doubt) / 4));
         }
     }
 
     private int ping(Member m) {
-        return ping(m.slot);
+        return ping(m.peerIndex);
     }
 
     /** Whoever is there answers, and says by it who that is. */
     private int ping(int slot) {
         int number = sequence = sequence + 1 & 0xFFFF;
         ByteBuffer b = ByteBuffer.allocate(2).putShort((short) number);
-        Envelope e = letter().add(PING, b);
+        Envelope e = letter().addSection(PING, b);
         if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
             addName(e);
         }
-        send(slot, withUpdates(e).bytes(self.taken()));
+        send(slot, withUpdates(e).toBytes(self.reservedLength()));
         return number;
     }
 
@@ -485,19 +496,22 @@
     private void addName(Envelope e) {
         byte[] name = self.name().getBytes(StandardCharsets.UTF_8);
         ByteBuffer b = ByteBuffer.allocate(FACTS + MOST_NAME);
-        b.put((byte) me.zone).putShort((short) me.number).put((byte) me.version).put((byte) me.parts);
+        b.put((byte) me.zone)
+                .putShort((short) me.ownIndex)
+                .put((byte) me.version)
+                .put((byte) me.features);
         b.put(name, 0, Math.min(MOST_NAME, name.length));
-        e.add(NAME, b);
+        e.addSection(NAME, b);
     }
 
     /** One page of the state with somebody's: only a hash goes out where both have the same. */
     private void compare() {
         boolean joining = nowUs - startedUs < JOIN_US;
-        compareUs = nowUs + (joining ? TICK_US : COMPARE_US);
+        compareUs = nowUs + (joining ? TICK_INTERVAL_US : COMPARE_US);
         for (int i = 0; i < (joining ? JOIN_PAGES : 1); i++) {
             List<Member> one = some(1, null);
-            int slot = one.isEmpty() ? random.nextInt(slots.length) : one.get(0).slot;
-            if (slot == self.number() || !budget.admits(COMPARISON + RESERVE)) {
+            int slot = one.isEmpty() ? random.nextInt(slots.length) : one.get(0).peerIndex;
+            if (slot == self.index() || !budget.admits(COMPARISON + RESERVE)) {
                 continue;
             }
             int buckets = digest.buckets(slots.length);
@@ -506,25 +520,25 @@
                     .putShort((short) bucket)
                     .putShort((short) buckets)
                     .putInt(digest.hash(bucket, buckets));
-            send(slot, withUpdates(letter().add(COMPARE, b)).bytes(self.taken()));
+            send(slot, withUpdates(letter().addSection(COMPARE, b)).toBytes(self.reservedLength()));
         }
     }
 
     // ---- datagrams ----------------------------------------------------------------------------------
 
     /** The program before, which speaks no envelopes, has said something: its peer lives. */
-    public void onOldWord(long now, int from) {
+    public void onLegacyDatagram(long now, int from) {
         advance(now);
         if (from >= 0 && from < oldWordUs.length) {
             oldWordUs[from] = nowUs;
         }
     }
 
-    /** {@link #onLetter} of what is an envelope. */
+    /** {@link #onMessage} of what is an envelope. */
     public void onDatagram(long now, int from, byte[] datagram) {
-        Envelope.Letter letter = Envelope.read(datagram);
+        Envelope.Message letter = Envelope.parse(datagram);
         if (letter != null) {
-            onLetter(now, from, letter);
+            onMessage(now, from, letter);
         }
     }
 
@@ -533,7 +547,7 @@
      *
      * @return whether it is its sender's: another part may take its own sections then
      */
-    public boolean onLetter(long now, int from, Envelope.Letter letter) {
+    public boolean onMessage(long now, int from, Envelope.Message letter) {
         advance(now);
         if (from < 0 || from >= slots.length || quiet || letter.sender() == 0 || ahead(letter.incarnation())) {
             return false;
@@ -560,19 +574,19 @@
                 default -> {}
             }
         }
-        return sender.slot == from;
+        return sender.peerIndex == from;
     }
 
     /** A place speaks for one member, and a member from one place: another has to wait until the one is silent. */
     private boolean another(long sender, int from) {
         Member m = members.get(sender);
         Member before = slots[from];
-        return m != null && m.slot != from && m.slot >= 0 && speaks(m)
+        return m != null && m.peerIndex != from && m.peerIndex >= 0 && speaks(m)
                 || before != null && before != m && speaks(before);
     }
 
     private boolean speaks(Member m) {
-        return m != me && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.heardUs < MOVE_US;
+        return m != me && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.lastHeardUs < MOVE_US;
     }
 
     private boolean ahead(long incarnation) {
@@ -580,19 +594,19 @@
     }
 
     /** Somebody else has our name. The later process stays, the earlier goes quiet and leaves the name to it. */
-    private void mirror(Envelope.Letter letter, int from) {
-        if (from == self.number() && letter.incarnation() == me.incarnation) {
+    private void mirror(Envelope.Message letter, int from) {
+        if (from == self.index() && letter.incarnation() == me.incarnation) {
             return;
         }
         if (letter.incarnation() > me.incarnation && nowUs - startedUs >= JOIN_US) {
             // The last word: the other would not know that there was one before it.
-            send(from, letter().bytes(self.taken()));
+            send(from, letter().toBytes(self.reservedLength()));
             goQuiet("another process of this name, started later, speaks from place " + from);
         } else if (letter.incarnation() > me.incarnation) {
-            host.note("another process of this name speaks from place " + from);
+            host.logEvent("another process of this name speaks from place " + from);
             refute(letter.incarnation(), "place " + from);
         } else {
-            host.note("another process of this name, started before, speaks from place " + from);
+            host.logEvent("another process of this name, started before, speaks from place " + from);
         }
     }
 
@@ -601,16 +615,16 @@
         probes.clear();
         accusations.clear();
         dissemination.clear();
-        host.note("takes no part among members any more: " + why);
+        host.logEvent("takes no part among members any more: " + why);
         view = look(view);
     }
 
     /** What a datagram says by having come: its sender lives, is this one, and is reached there. */
-    private Member heard(Envelope.Letter letter, int from) {
+    private Member heard(Envelope.Message letter, int from) {
         Member m = members.get(letter.sender());
         if (m == null) {
             m = new Member(letter.sender());
-            m.number = Member.NO_NUMBER;
+            m.ownIndex = Member.UNKNOWN_INDEX;
             m.incarnation = letter.incarnation();
             m.state = State.LEFT;
             facts(m, letter);
@@ -622,10 +636,10 @@
         }
         if (letter.incarnation() < m.incarnation) {
             // A process of before, or one that does not know yet what was said of it: it is told, and may answer that.
-            if ((m.slot < 0 || m.slot == from) && budget.admits(LEAST_NEWS)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
+            if ((m.peerIndex < 0 || m.peerIndex == from) && budget.admits(LEAST_NEWS)) {
+                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 m.write(b);
-                send(from, letter().add(UPDATES, b).bytes(self.taken()));
+                send(from, letter().addSection(UPDATES, b).toBytes(self.reservedLength()));
             }
             return null;
         }
@@ -648,26 +662,26 @@
     }
 
     private void heardNow(Member m) {
-        m.heardUs = nowUs;
+        m.lastHeardUs = nowUs;
         heardUs = nowUs;
-        if (m.slot >= 0) {
-            oldWordUs[m.slot] = NEVER;
+        if (m.peerIndex >= 0) {
+            oldWordUs[m.peerIndex] = NEVER;
         }
     }
 
     private void place(Member m, int from) {
-        if (m.slot == from || from == self.number()) {
+        if (m.peerIndex == from || from == self.index()) {
             return;
         }
-        if (m.slot >= 0 && slots[m.slot] == m) {
-            slots[m.slot] = null;
+        if (m.peerIndex >= 0 && slots[m.peerIndex] == m) {
+            slots[m.peerIndex] = null;
         }
         Member before = slots[from];
         if (before != null && before != me) {
-            before.slot = -1;
+            before.peerIndex = -1;
         }
         slots[from] = m;
-        m.slot = from;
+        m.peerIndex = from;
     }
 
     private static boolean has(ByteBuffer b, int bytes) {
@@ -680,11 +694,11 @@
         }
         short number = b.getShort();
         ByteBuffer ack = ByteBuffer.allocate(2).putShort(number);
-        Envelope e = letter().add(ACK, ack);
+        Envelope e = letter().addSection(ACK, ack);
         if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
             addName(e);
         }
-        send(sender.slot, withUpdates(e).bytes(self.taken()));
+        send(sender.peerIndex, withUpdates(e).toBytes(self.reservedLength()));
     }
 
     private void acked(Member sender, ByteBuffer b) {
@@ -708,7 +722,7 @@
         if (m == null
                 || m == me
                 || incarnation < m.incarnation
-                || m.slot < 0
+                || m.peerIndex < 0
                 || m.state == State.DEAD
                 || m.state == State.LEFT) {
             return;
@@ -716,10 +730,10 @@
         Accusation own = accusations.get(m.id);
         if (own != null) {
             own.accusers.add(sender.id);
-            own.askers.add(sender.slot);
-            send(sender.slot, letter().add(ACCUSE, about(m)).bytes(self.taken()));
+            own.askers.add(sender.peerIndex);
+            send(sender.peerIndex, letter().addSection(ACCUSE, about(m)).toBytes(self.reservedLength()));
         } else {
-            asked.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.slot);
+            asked.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
             probe(m, false);
         }
     }
@@ -735,18 +749,18 @@
     private void seen(ByteBuffer b) {
         Member m = has(b, 12) ? members.get(Envelope.get48(b)) : null;
         if (m != null && accusations.remove(m.id) != null && m.state == State.SUSPECT) {
-            m.heardUs = nowUs;
+            m.lastHeardUs = nowUs;
             become(m, State.ALIVE, "was heard by a witness");
         }
     }
 
     private void sendSeen(int slot, long id) {
         Member m = members.get(id);
-        send(slot, letter().add(SEEN, about(m)).bytes(self.taken()));
+        send(slot, letter().addSection(SEEN, about(m)).toBytes(self.reservedLength()));
     }
 
     private void updated(Member sender, ByteBuffer b) {
-        while (has(b, Member.BYTES)) {
+        while (has(b, Member.WIRE_BYTES)) {
             Member word = Member.read(b);
             if (word == null) {
                 return;
@@ -756,29 +770,29 @@
     }
 
     /** What it says of itself; only the name that the id stands for. */
-    private void facts(Member m, Envelope.Letter letter) {
+    private void facts(Member m, Envelope.Message letter) {
         for (Envelope.Section s : letter.sections()) {
             if (s.type() != NAME || s.bytes().length < FACTS) {
                 continue;
             }
             ByteBuffer b = ByteBuffer.wrap(s.bytes());
             int zone = b.get() & 255;
-            if (zone < Math.max(1, self.zones())) {
-                boolean news = !m.known();
+            if (zone < Math.max(1, self.zoneCount())) {
+                boolean news = !m.hasMetadata();
                 if (news) {
                     digest.changed();
                 }
                 m.zone = zone;
-                m.number = b.getShort() & 0xFFFF;
+                m.ownIndex = b.getShort() & 0xFFFF;
                 m.version = b.get() & 255;
-                m.parts = b.get() & 255;
-                if (news && m.known() && m.state == State.ALIVE) {
+                m.features = b.get() & 255;
+                if (news && m.hasMetadata() && m.state == State.ALIVE) {
                     tellInPassing(m);
                 }
             }
             if (m.name == null) {
                 String name = new String(s.bytes(), FACTS, s.bytes().length - FACTS, StandardCharsets.UTF_8);
-                m.name = Envelope.id(name) == m.id ? name : null;
+                m.name = Envelope.idOf(name) == m.id ? name : null;
             }
         }
     }
@@ -791,17 +805,17 @@
         int buckets = b.getShort() & 0xFFFF;
         if (buckets == 0
                 || of >= buckets
-                || !budget.admits(Envelope.MOST + RESERVE)
+                || !budget.admits(Envelope.MAX_BYTES + RESERVE)
                 || b.getInt() == digest.hash(of, buckets)) {
             return;
         }
-        ByteBuffer page = ByteBuffer.allocate(Member.BYTES * StateDigest.PAGE);
+        ByteBuffer page = ByteBuffer.allocate(Member.WIRE_BYTES * StateDigest.PAGE);
         digest.write(of, buckets, page);
-        send(sender.slot, letter().add(PAGE_OF, page).bytes(self.taken()));
+        send(sender.peerIndex, letter().addSection(PAGE_OF, page).toBytes(self.reservedLength()));
     }
 
     private void page(ByteBuffer b) {
-        while (has(b, Member.BYTES)) {
+        while (has(b, Member.WIRE_BYTES)) {
             Member word = Member.read(b);
             if (word == null) {
                 return;
@@ -812,7 +826,7 @@
 
     /** Somebody's word on a member. What can't be true is left out. */
     private void take(Member word, String who, boolean paged) {
-        boolean zoneFits = word.zone < Math.max(1, self.zones());
+        boolean zoneFits = word.zone < Math.max(1, self.zoneCount());
         if (word.id == 0 || !zoneFits || ahead(word.incarnation)) {
             return;
         }
@@ -823,7 +837,7 @@
             return;
         }
         Member m = members.get(word.id);
-        if (m != null && !m.known() && word.known() && word.incarnation == m.incarnation) {
+        if (m != null && !m.hasMetadata() && word.hasMetadata() && word.incarnation == m.incarnation) {
             adopt(m, word);
             presume(m);
         }
@@ -839,7 +853,8 @@
             become(m, State.ALIVE, "by word of " + who);
             return;
         }
-        if (!Member.later(word.incarnation, word.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
+        if (!Member.supersedes(
+                        word.incarnation, word.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
                 || word.state == State.SUSPECT && word.incarnation == m.incarnation) {
             return;
         }
@@ -848,13 +863,13 @@
                 && word.incarnation == m.incarnation
                 && (m.state == State.ALIVE || m.state == State.SUSPECT);
         boolean heardJustNow =
-                word.state == State.DEAD && word.incarnation == m.incarnation && nowUs - m.heardUs < DEAF_US;
+                word.state == State.DEAD && word.incarnation == m.incarnation && nowUs - m.lastHeardUs < DEAF_US;
         if (deadByPage || heardJustNow) {
             // An old page, or a quarrel: it hears of it, and says itself whether it lives.
-            if (m.slot >= 0 && budget.admits(LEAST_NEWS)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
+            if (m.peerIndex >= 0 && budget.admits(LEAST_NEWS)) {
+                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 word.write(b);
-                send(m.slot, letter().add(UPDATES, b).bytes(self.taken()));
+                send(m.peerIndex, letter().addSection(UPDATES, b).toBytes(self.reservedLength()));
             }
             return;
         }
@@ -870,16 +885,16 @@
         digest.changed();
         m.incarnation = word.incarnation;
         m.zone = word.zone;
-        m.number = word.number;
+        m.ownIndex = word.ownIndex;
         m.version = word.version;
-        m.parts = word.parts;
+        m.features = word.features;
     }
 
     /** Where nothing else is known, it is reached at the place that it says it has: its first datagram tells better. */
     private void presume(Member m) {
-        if (m.slot < 0 && m.number < slots.length && slots[m.number] == null) {
-            m.slot = m.number;
-            slots[m.number] = m;
+        if (m.peerIndex < 0 && m.ownIndex < slots.length && slots[m.ownIndex] == null) {
+            m.peerIndex = m.ownIndex;
+            slots[m.ownIndex] = m;
         }
     }
 
@@ -900,7 +915,7 @@
         me.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
         digest.changed();
         me.sinceUs = nowUs;
-        host.note("refutes what " + who + " says of it");
+        host.logEvent("refutes what " + who + " says of it");
         tell(me);
     }
 
@@ -913,18 +928,18 @@
         boolean gone = !was && m.sinceUs != 0;
         if (m.state != state
                 && (state != State.SUSPECT && m.state != State.SUSPECT || state == State.DEAD || state == State.LEFT)) {
-            host.note(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
+            host.logEvent(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
         }
         if (m.state != state) {
             m.sinceUs = nowUs;
-            m.why = why;
+            m.reason = why;
         }
         m.state = state;
         boolean is = state == State.ALIVE || state == State.SUSPECT;
         if (is && !was) {
-            ring.put(Member.place(m.id), m);
+            ring.put(Member.ringPosition(m.id), m);
         } else if (!is) {
-            ring.remove(Member.place(m.id));
+            ring.remove(Member.ringPosition(m.id));
             accusations.remove(m.id);
         }
         if (state == State.ALIVE) {
@@ -952,14 +967,15 @@
 
     /** Fills what room is left with changes. */
     private Envelope withUpdates(Envelope e) {
-        int affordable = (budget.left() - RESERVE - SendBudget.HEADERS - (Envelope.MOST - e.room())) / Member.BYTES;
-        int most = Math.min(Math.min(e.room() / Member.BYTES, StateDigest.PAGE), affordable);
+        int affordable = (budget.left() - RESERVE - SendBudget.HEADERS - (Envelope.MAX_BYTES - e.remainingBytes()))
+                / Member.WIRE_BYTES;
+        int most = Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.PAGE), affordable);
         if (most <= 0 || dissemination.isEmpty()) {
             return e;
         }
-        ByteBuffer b = ByteBuffer.allocate(most * Member.BYTES);
+        ByteBuffer b = ByteBuffer.allocate(most * Member.WIRE_BYTES);
         dissemination.write(b);
-        return e.add(UPDATES, b);
+        return e.addSection(UPDATES, b);
     }
 
     /** News does not wait for the next probe, but for room in the budget. */
@@ -973,7 +989,7 @@
                 fresh = true;
                 return;
             }
-            send(m.slot, withUpdates(letter()).bytes(self.taken()));
+            send(m.peerIndex, withUpdates(letter()).toBytes(self.reservedLength()));
         }
     }
 
@@ -1013,20 +1029,20 @@
         }
         me.state = State.LEFT;
         digest.changed();
-        ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
+        ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
         me.write(b);
         for (Member m : some(2 * EAGER, null)) {
-            ByteBuffer copy = ByteBuffer.allocate(Member.BYTES).put(b.array());
-            send(m.slot, letter().add(UPDATES, copy).bytes(self.taken()));
+            ByteBuffer copy = ByteBuffer.allocate(Member.WIRE_BYTES).put(b.array());
+            send(m.peerIndex, letter().addSection(UPDATES, copy).toBytes(self.reservedLength()));
         }
         quiet = true;
-        host.note("has told that it leaves");
+        host.logEvent("has told that it leaves");
     }
 
-    private View look(View before) {
+    private MembershipView look(MembershipView before) {
         int here = 0;
         int gone = 0;
-        int[] zones = new int[Math.max(1, self.zones())];
+        int[] zones = new int[Math.max(1, self.zoneCount())];
         // Whom it has not heard of for so long it can't call dead, nor count.
         boolean alone = nowUs - Math.max(startedUs, heardUs) > ALONE_US;
         if (alone) {
@@ -1036,7 +1052,7 @@
         if (!quiet && !alone) {
             for (Member m : members.values()) {
                 if (m.state == State.LEFT) {
-                    gone += m.slot >= 0 ? 1 : 0;
+                    gone += m.peerIndex >= 0 ? 1 : 0;
                 } else if (m.state != State.DEAD) {
                     here++;
                     zones[Math.min(zones.length - 1, m.zone)]++;
@@ -1047,11 +1063,15 @@
             }
         }
         int expected = Math.max(1, slots.length - gone);
-        View.Standing standing = here <= 1 && expected > 1
-                ? View.Standing.NOBODY
-                : 2 * here > expected ? View.Standing.MAJORITY : View.Standing.MINORITY;
+        MembershipView.Standing standing = here <= 1 && expected > 1
+                ? MembershipView.Standing.NOBODY
+                : 2 * here > expected ? MembershipView.Standing.MAJORITY : MembershipView.Standing.MINORITY;
         boolean same = before != null && before.standing() == standing;
-        return new View(
-                expected, here, Arrays.stream(zones).boxed().toList(), standing, same ? before.sinceUs() : nowUs);
+        return new MembershipView(
+                expected,
+                here,
+                Arrays.stream(zones).boxed().toList(),
+                standing,
+                same ? before.standingSinceUs() : nowUs);
     }
 }
--- a/src/main/java/rushproxy/fleet/member/StateDigest.java
+++ b/src/main/java/rushproxy/fleet/member/StateDigest.java
@@ -34,7 +34,7 @@
     }
 
     private static int bucketOf(long id, int buckets) {
-        return (int) Long.remainderUnsigned(Member.place(id) >>> 8, buckets);
+        return (int) Long.remainderUnsigned(Member.ringPosition(id) >>> 8, buckets);
     }
 
     /** The other side may have another number of buckets than this one. */
@@ -44,7 +44,7 @@
             hashes = hashes.length == buckets ? hashes : new int[buckets];
             Arrays.fill(hashes, 0);
             for (Member m : members) {
-                if (m.known()) {
+                if (m.hasMetadata()) {
                     // The sum: in whatever order the members come.
                     hashes[bucketOf(m.id, buckets)] += hash(m);
                 }
@@ -56,14 +56,14 @@
     /** A suspicion is its holder's own, and no difference. */
     private static int hash(Member m) {
         State state = m.state == State.SUSPECT ? State.ALIVE : m.state;
-        long mixed = Member.place(m.id ^ m.incarnation << 3 ^ state.ordinal());
+        long mixed = Member.ringPosition(m.id ^ m.incarnation << 3 ^ state.ordinal());
         return (int) (mixed ^ mixed >>> 32);
     }
 
     /** Writes the bucket's members, as far as there is room. */
     void write(int of, int buckets, ByteBuffer to) {
         for (Member m : members) {
-            if (bucketOf(m.id, buckets) == of && to.hasRemaining() && m.known()) {
+            if (bucketOf(m.id, buckets) == of && to.hasRemaining() && m.hasMetadata()) {
                 m.write(to);
             }
         }
--- a/src/main/java/rushproxy/fleet/release/Gate.java
+++ b/src/main/java/rushproxy/fleet/release/Gate.java
@@ -13,7 +13,7 @@
  * <p>Three kinds of events are looked at, in each stratum: failures, silence, and answers slower than three quarters of
  * control's were so far. Each has its {@link Evidence}; those of one kind are averaged over the strata, so that what is bad in one
  * zone or for one class alone shows, and the three share the false-halt rate. So a good release is halted falsely with a
- * chance of at most {@link Rule#falseHalts}, however often it is looked at; the chance counts for each stage.
+ * chance of at most {@link Criteria#falseHaltProbability}, however often it is looked at; the chance counts for each stage.
  */
 public final class Gate {
     /** What a gate says of a stage: go on, wait, stop where it is, or take it back. */
@@ -33,13 +33,19 @@
      * @param slower     and their median at most so many times control's
      * @param sickAt     part of bad answers of control from which nothing can be told: a fault hits both
      */
-    public record Rule(
-            long leastUs, long mostUs, long answers, double falseHalts, double worse, double slower, double sickAt) {
-        public static final Rule USUAL = new Rule(30_000_000, 600_000_000, 200, 0.01, 0.02, 1.25, 0.3);
+    public record Criteria(
+            long minDurationUs,
+            long maxDurationUs,
+            long minAnswers,
+            double falseHaltProbability,
+            double maxBadFractionExcess,
+            double maxMedianRatio,
+            double sickControlFraction) {
+        public static final Criteria DEFAULT = new Criteria(30_000_000, 600_000_000, 200, 0.01, 0.02, 1.25, 0.3);
     }
 
-    /** {@code why} is for people: what speaks against it, or what is missing. */
-    public record Ruling(Verdict verdict, String why) {}
+    /** {@code reason} is for people: what speaks against it, or what is missing. */
+    public record Decision(Verdict verdict, String reason) {}
 
     private static final class Stratum {
         private final Evidence failure = new Evidence();
@@ -57,7 +63,7 @@
     /** The way back is taken where the evidence is as strong as this many false halts in a row would be rare. */
     private static final double SURE = 2;
 
-    private final Rule rule;
+    private final Criteria rule;
     private final Map<String, Stratum> strata = new TreeMap<>();
     private long sinceUs;
     private boolean begun;
@@ -67,38 +73,38 @@
     private long lastControlBad;
     private boolean sick;
 
-    public Gate(Rule rule) {
+    public Gate(Criteria rule) {
         this.rule = rule;
     }
 
     /** What came since the batch before, in one stratum. Servers that still warm up belong to neither. */
-    public void add(String stratum, Tally fresh, Tally control) {
+    public void addBatch(String stratum, Tally fresh, Tally control) {
         Stratum s = strata.computeIfAbsent(stratum, n -> new Stratum());
-        s.failure.add(fresh.failures(), fresh.asked(), control.failures(), control.asked());
-        s.silence.add(fresh.silences(), fresh.asked(), control.silences(), control.asked());
+        s.failure.add(fresh.failures(), fresh.attempts(), control.failures(), control.attempts());
+        s.silence.add(fresh.timeouts(), fresh.attempts(), control.timeouts(), control.attempts());
         if (s.slowUs > 0) {
             s.slowness.add(
-                    fresh.slowerThan(s.slowUs), fresh.answered(), control.slowerThan(s.slowUs), control.answered());
+                    fresh.slowerThan(s.slowUs), fresh.successes(), control.slowerThan(s.slowUs), control.successes());
         }
         s.fresh.add(fresh);
         s.control.add(control);
-        s.slowUs = s.control.answered() >= KNOWN ? s.control.percentileUs(75) : 0;
-        lastControl += control.asked();
-        lastControlBad += control.failures() + control.silences();
+        s.slowUs = s.control.successes() >= KNOWN ? s.control.percentileUs(75) : 0;
+        lastControl += control.attempts();
+        lastControlBad += control.failures() + control.timeouts();
     }
 
     /** To be asked after the batches of a time, as often as anybody likes. */
-    public Ruling rule(long nowUs) {
+    public Decision decide(long nowUs) {
         if (!begun) {
             begun = true;
             sinceUs = nowUs;
         }
         if (lastControl >= KNOWN) {
-            sick = lastControlBad > rule.sickAt * lastControl;
+            sick = lastControlBad > rule.sickControlFraction * lastControl;
             lastControl = 0;
             lastControlBad = 0;
         }
-        double bar = Math.log(KINDS / rule.falseHalts);
+        double bar = Math.log(KINDS / rule.falseHaltProbability);
         String[] kinds = {"failures", "silence", "slowness"};
         String against = null;
         double most = Double.NEGATIVE_INFINITY;
@@ -110,21 +116,21 @@
             }
         }
         if (most >= SURE * bar) {
-            return new Ruling(Verdict.BACK, words(against, most));
+            return new Decision(Verdict.BACK, words(against, most));
         }
         if (most >= bar) {
-            return new Ruling(Verdict.HALT, words(against, most));
+            return new Decision(Verdict.HALT, words(against, most));
         }
         if (sick) {
-            return new Ruling(Verdict.WAIT, "control servers fail too: nothing can be told");
+            return new Decision(Verdict.WAIT, "control servers fail too: nothing can be told");
         }
         String missing = missing(nowUs);
         if (missing == null) {
-            return new Ruling(Verdict.ON, "no worse than control");
+            return new Decision(Verdict.ON, "no worse than control");
         }
-        return nowUs - sinceUs >= rule.mostUs
-                ? new Ruling(Verdict.HALT, "it can't be told in time: " + missing)
-                : new Ruling(Verdict.WAIT, missing);
+        return nowUs - sinceUs >= rule.maxDurationUs
+                ? new Decision(Verdict.HALT, "it can't be told in time: " + missing)
+                : new Decision(Verdict.WAIT, missing);
     }
 
     private double mean(int kind) {
@@ -155,11 +161,11 @@
                 against,
                 worst.getKey(),
                 s.fresh.failures(),
-                s.fresh.asked(),
-                s.fresh.silences(),
+                s.fresh.attempts(),
+                s.fresh.timeouts(),
                 s.control.failures(),
-                s.control.asked(),
-                s.control.silences(),
+                s.control.attempts(),
+                s.control.timeouts(),
                 s.fresh.percentileUs(50) / 1e3,
                 s.control.percentileUs(50) / 1e3,
                 log);
@@ -177,29 +183,29 @@
             fresh.add(s.fresh);
             control.add(s.control);
         });
-        if (fresh.asked() < rule.answers || control.asked() < rule.answers) {
+        if (fresh.attempts() < rule.minAnswers || control.attempts() < rule.minAnswers) {
             return String.format(
                     Locale.ROOT,
                     "%d answers of new and %d of control servers, %d of each are wanted",
-                    fresh.asked(),
-                    control.asked(),
-                    rule.answers);
+                    fresh.attempts(),
+                    control.attempts(),
+                    rule.minAnswers);
         }
-        if (nowUs - sinceUs < rule.leastUs) {
-            return String.format(Locale.ROOT, "%.0f of %.0f s", (nowUs - sinceUs) / 1e6, rule.leastUs / 1e6);
+        if (nowUs - sinceUs < rule.minDurationUs) {
+            return String.format(Locale.ROOT, "%.0f of %.0f s", (nowUs - sinceUs) / 1e6, rule.minDurationUs / 1e6);
         }
-        double badNew = (fresh.failures() + fresh.silences()) / (double) fresh.asked();
-        double badControl = (control.failures() + control.silences()) / (double) control.asked();
-        if (badNew > badControl + rule.worse) {
+        double badNew = (fresh.failures() + fresh.timeouts()) / (double) fresh.attempts();
+        double badControl = (control.failures() + control.timeouts()) / (double) control.attempts();
+        if (badNew > badControl + rule.maxBadFractionExcess) {
             return String.format(
                     Locale.ROOT, "%.1f%% of new answers are bad, %.1f%% of control's", 100 * badNew, 100 * badControl);
         }
         // In one stratum: over all of them a mix that differs would look like slowness.
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
             Stratum s = e.getValue();
-            if (s.fresh.answered() >= KNOWN
-                    && s.control.answered() >= KNOWN
-                    && s.fresh.percentileUs(50) > rule.slower * s.control.percentileUs(50)) {
+            if (s.fresh.successes() >= KNOWN
+                    && s.control.successes() >= KNOWN
+                    && s.fresh.percentileUs(50) > rule.maxMedianRatio * s.control.percentileUs(50)) {
                 return String.format(
                         Locale.ROOT,
                         "%s: a median of %.1f ms, control's is %.1f ms",
--- a/src/main/java/rushproxy/fleet/release/Plan.java
+++ b/src/main/java/rushproxy/fleet/release/Plan.java
@@ -10,9 +10,10 @@
  * @param safe   the new servers' weight at a sidecar that is cut off for long
  * @param backUs the way back halves the weight this often, so that the old servers can take it up
  */
-public record Plan(String name, Order.Selector whom, List<Stage> stages, double safe, long backUs) {
+public record Plan(
+        String name, ReleaseOrder.Selector selector, List<Stage> stages, double safeWeight, long rollbackIntervalUs) {
     /** The part of its share that what is released gets, and what has to hold before the next stage. */
-    public record Stage(double weight, Gate.Rule rule) {}
+    public record Stage(double weight, Gate.Criteria criteria) {}
 
     public Plan {
         stages = List.copyOf(stages);
--- a/src/main/java/rushproxy/fleet/release/Watch.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseMonitor.java
@@ -20,35 +20,35 @@
  * What one sidecar sees of each release's new servers and of their control: servers of the same kind and zone that are new in no
  * release. Servers that still warm up count for neither, so both are of the same age. One thread; ends with its sidecar.
  */
-public final class Watch {
+public final class ReleaseMonitor {
     /** Of one release: classes by kinds and zones. */
-    static final int MOST_STRATA = 64;
+    static final int MAX_STRATA = 64;
 
     /** Both groups of one stratum. */
-    public record Pair(Tally fresh, Tally control) {}
+    public record TallyPair(Tally candidate, Tally control) {}
 
-    private final Orders orders;
+    private final ReleaseOrders orders;
     private final long warmUs;
     private Map<String, Upstream> servers = Map.of();
     /** Kinds and zones that the releases' new servers are in. */
     private final Map<String, Set<String>> places = new HashMap<>();
 
-    private final Map<String, Map<String, Pair>> tallies = new HashMap<>();
+    private final Map<String, Map<String, TallyPair>> tallies = new HashMap<>();
 
     /** A server is warm so long after its start. */
-    public Watch(Orders orders, long warmUs) {
+    public ReleaseMonitor(ReleaseOrders orders, long warmUs) {
         this.orders = orders;
         this.warmUs = warmUs;
     }
 
     /** The servers that may be used now; to be told when they or the orders have changed. */
-    public void servers(Collection<Upstream> ready) {
+    public void setServers(Collection<Upstream> ready) {
         Map<String, Upstream> now = new HashMap<>();
         ready.forEach(u -> now.put(u.id(), u));
         servers = now;
         places.clear();
         for (Upstream u : ready) {
-            orders.of(u)
+            orders.releasesOf(u)
                     .forEach(release -> places.computeIfAbsent(release, r -> new HashSet<>())
                             .add(place(u)));
         }
@@ -60,40 +60,40 @@
     }
 
     /** An attempt has ended. Costs next to nothing while there is no release. */
-    public void seen(long nowUs, String server, String requestClass, Outcome outcome, long tookUs) {
+    public void recordAttempt(long nowUs, String server, String requestClass, Outcome outcome, long tookUs) {
         Upstream u = places.isEmpty() ? null : servers.get(server);
         if (u == null || nowUs - u.startedUs() < warmUs) {
             return;
         }
-        List<String> in = orders.of(u);
+        List<String> in = orders.releasesOf(u);
         places.forEach((release, where) -> {
             boolean fresh = in.contains(release);
             if (!fresh && (!in.isEmpty() || !where.contains(place(u)))) {
                 return;
             }
-            Map<String, Pair> strata = tallies.computeIfAbsent(release, r -> new TreeMap<>());
+            Map<String, TallyPair> strata = tallies.computeIfAbsent(release, r -> new TreeMap<>());
             String stratum = requestClass + " at " + place(u);
-            if (!strata.containsKey(stratum) && strata.size() >= MOST_STRATA) {
+            if (!strata.containsKey(stratum) && strata.size() >= MAX_STRATA) {
                 return;
             }
-            Pair pair = strata.computeIfAbsent(stratum, s -> new Pair(new Tally(), new Tally()));
-            Tally t = fresh ? pair.fresh : pair.control;
+            TallyPair pair = strata.computeIfAbsent(stratum, s -> new TallyPair(new Tally(), new Tally()));
+            Tally t = fresh ? pair.candidate : pair.control;
             switch (outcome) {
-                case OK -> t.good(tookUs);
-                case ERROR, RESET, REJECTED -> t.failed();
-                case TIMEOUT, CONNECT_FAILED -> t.silent();
+                case OK -> t.addSuccess(tookUs);
+                case ERROR, RESET, REJECTED -> t.addFailure();
+                case TIMEOUT, CONNECT_FAILED -> t.addTimeout();
                 default -> {}
             }
         });
     }
 
     /** For the controller: a line of values that JSON has, histograms as base64. */
-    public List<Map<String, Object>> view(String release) {
+    public List<Map<String, Object>> exportTallies(String release) {
         List<Map<String, Object>> view = new ArrayList<>();
         tallies.getOrDefault(release, Map.of()).forEach((stratum, pair) -> {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("stratum", stratum);
-            one.put("new", write(pair.fresh));
+            one.put("new", write(pair.candidate));
             one.put("control", write(pair.control));
             view.add(one);
         });
@@ -104,14 +104,14 @@
         ByteBuffer b = ByteBuffer.allocate(t.histogram().getNeededByteBufferCapacity());
         int length = t.histogram().encodeIntoCompressedByteBuffer(b);
         return List.of(
-                t.asked(),
+                t.attempts(),
                 t.failures(),
-                t.silences(),
+                t.timeouts(),
                 Base64.getEncoder().encodeToString(java.util.Arrays.copyOf(b.array(), length)));
     }
 
     /** The tally that {@code asked}, {@code failed}, {@code silent} and a histogram in base64 are; throws where they are none. */
-    public static Tally read(long asked, long failed, long silent, String histogram) {
+    public static Tally parseTally(long asked, long failed, long silent, String histogram) {
         try {
             Histogram h = Histogram.decodeFromCompressedByteBuffer(
                     ByteBuffer.wrap(Base64.getDecoder().decode(histogram)), 0);
--- a/src/main/java/rushproxy/fleet/release/Order.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseOrder.java
@@ -15,10 +15,11 @@
  * @param epoch   of the controller, 1 to 2^31 - 1
  * @param step    of its plan, from 0
  * @param weight  part of their shares that the new servers get, 0 to 1
- * @param safe    the same for a sidecar that has heard nobody for longer than {@link Orders#KEEPS_US}
+ * @param safe    the same for a sidecar that has heard nobody for longer than {@link ReleaseOrders#ISOLATION_TIMEOUT_US}
  * @param whom    the new servers
  */
-public record Order(String release, int epoch, int step, State state, double weight, double safe, Selector whom) {
+public record ReleaseOrder(
+        String release, int epoch, int step, State state, double weight, double safeWeight, Selector selector) {
     /** How far a release is. */
     public enum State {
         ON,
@@ -30,7 +31,7 @@
     /** Which servers are the release's: by one of these, or all of those that are not null. Ids alone, or the others together. */
     public record Selector(List<String> ids, String kind, String zone, Integer pod, Long startedAfterMs) {
         /** Throws with what is wrong: words like {@code kind=K,zone=Z,pod=3,started-after=MS} or {@code ids=a+b+c}. */
-        public static Selector of(String words) {
+        public static Selector parse(String words) {
             List<String> ids = null;
             String kind = null;
             String zone = null;
@@ -64,7 +65,7 @@
             return new Selector(ids, kind, zone, pod, after);
         }
 
-        public boolean takes(Upstream u) {
+        public boolean matches(Upstream u) {
             if (ids != null) {
                 return ids.contains(u.id());
             }
@@ -74,7 +75,7 @@
                     && (startedAfterMs == null || u.startedUs() / 1_000 > startedAfterMs);
         }
 
-        public String words() {
+        public String expression() {
             if (ids != null) {
                 return "ids=" + String.join("+", ids);
             }
@@ -100,17 +101,17 @@
     private static final int MOST = 96;
     private static final double UNIT = 10_000;
 
-    public Order {
-        Objects.requireNonNull(whom);
+    public ReleaseOrder {
+        Objects.requireNonNull(selector);
         if (!release.matches("[A-Za-z0-9._-]{1,24}")) {
             throw new IllegalArgumentException(
                     "'" + release + "' is no name of 1 to 24 letters, digits, '.', '_', '-'");
         }
-        if (epoch <= 0 || step < 0 || !(weight >= 0 && weight <= 1) || !(safe >= 0 && safe <= 1)) {
+        if (epoch <= 0 || step < 0 || !(weight >= 0 && weight <= 1) || !(safeWeight >= 0 && safeWeight <= 1)) {
             throw new IllegalArgumentException(String.format(
-                    Locale.ROOT, "epoch %d, step %d, weights %s and %s: no order", epoch, step, weight, safe));
+                    Locale.ROOT, "epoch %d, step %d, weights %s and %s: no order", epoch, step, weight, safeWeight));
         }
-        int length = HEAD + (release + whom.words()).getBytes(StandardCharsets.UTF_8).length;
+        int length = HEAD + (release + selector.expression()).getBytes(StandardCharsets.UTF_8).length;
         if (length > MOST) {
             throw new IllegalArgumentException(
                     "names take " + length + " bytes, " + MOST + " at most: select by kind, zone, pod or start");
@@ -118,15 +119,15 @@
     }
 
     /** Eight bytes of rank, then the rest. */
-    byte[] bytes() {
+    byte[] encode() {
         byte[] name = release.getBytes(StandardCharsets.UTF_8);
-        byte[] words = whom.words().getBytes(StandardCharsets.UTF_8);
+        byte[] words = selector.expression().getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(HEAD + name.length + words.length)
                 .putInt(epoch)
                 .putInt(step)
                 .put((byte) state.ordinal())
                 .putShort((short) Math.round(weight * UNIT))
-                .putShort((short) Math.round(safe * UNIT))
+                .putShort((short) Math.round(safeWeight * UNIT))
                 .put((byte) name.length)
                 .put(name)
                 .put(words)
@@ -134,7 +135,7 @@
     }
 
     /** Null where the bytes are no order. */
-    static Order of(byte[] bytes) {
+    static ReleaseOrder decode(byte[] bytes) {
         try {
             ByteBuffer b = ByteBuffer.wrap(bytes);
             int epoch = b.getInt();
@@ -146,14 +147,14 @@
             b.get(name);
             byte[] words = new byte[b.remaining()];
             b.get(words);
-            return new Order(
+            return new ReleaseOrder(
                     new String(name, StandardCharsets.UTF_8),
                     epoch,
                     step,
                     state,
                     weight,
                     safe,
-                    Selector.of(new String(words, StandardCharsets.UTF_8)));
+                    Selector.parse(new String(words, StandardCharsets.UTF_8)));
         } catch (RuntimeException e) {
             // Whatever a peer sends: too short, out of bounds, no names.
             return null;
--- a/src/main/java/rushproxy/fleet/release/Tally.java
+++ b/src/main/java/rushproxy/fleet/release/Tally.java
@@ -12,31 +12,31 @@
 
     private static final int DIGITS = 2;
 
-    private long asked;
-    private long failed;
-    private long silent;
+    private long attempts;
+    private long failures;
+    private long timeouts;
     private final Histogram tookUs = new Histogram(1, MOST_US, DIGITS);
 
     /** An answer with success, after so many microseconds. */
-    public void good(long us) {
-        asked++;
+    public void addSuccess(long us) {
+        attempts++;
         tookUs.recordValue(Math.max(1, Math.min(MOST_US, us)));
     }
 
-    public void failed() {
-        asked++;
-        failed++;
+    public void addFailure() {
+        attempts++;
+        failures++;
     }
 
-    public void silent() {
-        asked++;
-        silent++;
+    public void addTimeout() {
+        attempts++;
+        timeouts++;
     }
 
     public void add(Tally other) {
-        asked += other.asked;
-        failed += other.failed;
-        silent += other.silent;
+        attempts += other.attempts;
+        failures += other.failures;
+        timeouts += other.timeouts;
         tookUs.add(other.tookUs);
     }
 
@@ -45,31 +45,31 @@
         Tally d = new Tally();
         d.add(this);
         if (before != null
-                && before.asked <= asked
-                && before.failed <= failed
-                && before.silent <= silent
+                && before.attempts <= attempts
+                && before.failures <= failures
+                && before.timeouts <= timeouts
                 && before.tookUs.getTotalCount() <= tookUs.getTotalCount()) {
-            d.asked -= before.asked;
-            d.failed -= before.failed;
-            d.silent -= before.silent;
+            d.attempts -= before.attempts;
+            d.failures -= before.failures;
+            d.timeouts -= before.timeouts;
             d.tookUs.subtract(before.tookUs);
         }
         return d;
     }
 
-    public long asked() {
-        return asked;
+    public long attempts() {
+        return attempts;
     }
 
     public long failures() {
-        return failed;
+        return failures;
     }
 
-    public long silences() {
-        return silent;
+    public long timeouts() {
+        return timeouts;
     }
 
-    public long answered() {
+    public long successes() {
         return tookUs.getTotalCount();
     }
 
@@ -89,9 +89,9 @@
 
     static Tally of(long asked, long failed, long silent, Histogram tookUs) {
         Tally t = new Tally();
-        t.asked = asked;
-        t.failed = failed;
-        t.silent = silent;
+        t.attempts = asked;
+        t.failures = failed;
+        t.timeouts = silent;
         t.tookUs.add(tookUs);
         return t;
     }
--- a/src/main/java/rushproxy/fleet/shared/Counts.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetCounters.java
@@ -9,14 +9,14 @@
  * Counters that only grow, added up over the fleet: each process counts under its own incarnation, so one that begins anew takes
  * nothing from what was counted before (a G-counter, Shapiro et al. 2011). One thread.
  */
-public final class Counts {
+public final class FleetCounters {
     private static final int BYTES = 20;
     /** Changes are told together; one that is quiet is renewed before its lease ends. */
     private static final long TELL_US = 1_000_000;
 
     private static final long RENEW_US = Table.COUNTS.leaseMs() * 1_000 / 3;
 
-    private final Store store;
+    private final ReplicatedStore store;
     private final long incarnation;
     private final Map<Long, Long> own = new LinkedHashMap<>();
     private final Map<Long, Long> told = new LinkedHashMap<>();
@@ -24,13 +24,13 @@
     private long renewedUs = Long.MIN_VALUE / 2;
 
     /** {@code incarnation} is the process's first one: a refutation is no new process. */
-    public Counts(Store store, long incarnation) {
+    public FleetCounters(ReplicatedStore store, long incarnation) {
         this.store = store;
         this.incarnation = incarnation;
     }
 
     public void add(String counter, long n) {
-        own.merge(Envelope.id(counter), n, Long::sum);
+        own.merge(Envelope.idOf(counter), n, Long::sum);
     }
 
     public void onTick(long nowUs) {
@@ -49,21 +49,21 @@
                 store.put(
                         nowUs,
                         Table.COUNTS,
-                        Store.mix(id ^ Store.mix(incarnation)) & (1L << 48) - 1,
+                        ReplicatedStore.mix(id ^ ReplicatedStore.mix(incarnation)) & (1L << 48) - 1,
                         b.putLong(count).array());
             }
         });
     }
 
     /** Of all that is known, own counts with it as they are now. */
-    public long total(long nowUs, String counter) {
-        long id = Envelope.id(counter);
+    public long sum(long nowUs, String counter) {
+        long id = Envelope.idOf(counter);
         long sum = own.getOrDefault(id, 0L);
-        for (Read r : store.all(nowUs, Table.COUNTS)) {
+        for (StoredEntry r : store.readAll(nowUs, Table.COUNTS)) {
             ByteBuffer b = ByteBuffer.wrap(r.value());
             if (r.value().length == BYTES
                     && Envelope.get48(b) == id
-                    && !(Envelope.get48(b) == incarnation && r.writer() == store.me())) {
+                    && !(Envelope.get48(b) == incarnation && r.writer() == store.selfId())) {
                 sum += b.getLong();
             }
         }
--- a/src/main/java/rushproxy/fleet/shared/Limits.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetLimits.java
@@ -12,8 +12,8 @@
 import rushproxy.Balancer.Scope;
 import rushproxy.Balancer.Share;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /**
  * Fleet-wide limits by leased shares (after Doorman's leases, but without a server that holds them). Each sidecar has the limit
@@ -22,7 +22,7 @@
  *
  * <p>Why the sum never exceeds the limit: a borrower counts its lease from when it <em>asked</em>, the lender from when
  * it <em>heard</em>, for the same time, so the borrower's ends first, whatever is lost, late or doubled; no clocks are compared.
- * A lender whose process starts anew has forgotten its leases and uses no more than it never lends ({@link #KEPT}) until they have
+ * A lender whose process starts anew has forgotten its leases and uses no more than it never lends ({@link #RESERVED_SHARE}) until they have
  * ended. So in calm, in a split and after a mass restart all shares together are at most the limit at every time. While a process
  * hands over to another of its name both have a share: at most one more of the sidecars that hand over.
  *
@@ -30,14 +30,14 @@
  * is followed within the lease's time.
  *
  * <p>Not taken: a holder for each limit, elected or by rank (its cost grows with the fleet and its death is everybody's); and
- * a table of all demands, which does not fit into the bounds of {@link Store}.
+ * a table of all demands, which does not fit into the bounds of {@link ReplicatedStore}.
  */
-public final class Limits {
+public final class FleetLimits {
     public static final long LEASE_US = 2_000_000;
     /** Call {@link #onTick} at least this often. */
-    public static final long TICK_US = 250_000;
+    public static final long TICK_INTERVAL_US = 250_000;
     /** Of the own part this much is never lent: whoever is asked after a pause can answer some at once. */
-    public static final double KEPT = 0.2;
+    public static final double RESERVED_SHARE = 0.2;
     /** The demand is met with so much to spare. */
     private static final double SPARE = 1.05;
 
@@ -55,22 +55,22 @@
     private static final int LEND = 31;
     private static final int BYTES = 16;
 
-    /** {@code most} a second, or in flight. */
-    public record Limit(String name, Scope scope, String of, boolean inFlight, double most) {
+    /** {@code max} a second, or in flight. */
+    public record Limit(String name, Scope scope, String subject, boolean inFlight, double max) {
         private static final int HEAD = 7;
 
         /** As the store has it; throws where the names are too long. */
-        byte[] bytes() {
-            byte[] o = of.getBytes(StandardCharsets.UTF_8);
+        byte[] encode() {
+            byte[] o = subject.getBytes(StandardCharsets.UTF_8);
             byte[] n = name.getBytes(StandardCharsets.UTF_8);
-            if (HEAD + o.length + n.length > Table.LIMITS.mostBytes()) {
-                throw new IllegalArgumentException("'" + name + "' and '" + of + "' are " + (o.length + n.length)
-                        + " bytes, " + (Table.LIMITS.mostBytes() - HEAD) + " at most");
+            if (HEAD + o.length + n.length > Table.LIMITS.maxValueBytes()) {
+                throw new IllegalArgumentException("'" + name + "' and '" + subject + "' are " + (o.length + n.length)
+                        + " bytes, " + (Table.LIMITS.maxValueBytes() - HEAD) + " at most");
             }
             return ByteBuffer.allocate(HEAD + o.length + n.length)
                     .put((byte) scope.ordinal())
                     .put((byte) (inFlight ? 1 : 0))
-                    .putFloat((float) most)
+                    .putFloat((float) max)
                     .put((byte) o.length)
                     .put(o)
                     .put(n)
@@ -78,7 +78,7 @@
         }
 
         /** Null where the bytes are no limit. */
-        static Limit of(byte[] bytes) {
+        static Limit decode(byte[] bytes) {
             ByteBuffer b = ByteBuffer.wrap(bytes);
             if (bytes.length <= HEAD || bytes[0] < 0 || bytes[0] >= Scope.values().length) {
                 return null;
@@ -104,13 +104,14 @@
     }
 
     /** The limit itself; throws where its names are too long for the store. */
-    public static Limit checked(Limit limit) {
-        limit.bytes();
+    public static Limit validated(Limit limit) {
+        limit.encode();
         return limit;
     }
 
     /** What operators see of one limit here. */
-    public record Held(Limit limit, double alone, double share, double lent, double borrowed, double demand) {}
+    public record LimitStatus(
+            Limit limit, double baseShare, double share, double lent, double borrowed, double demand) {}
 
     /** Lent to one, or borrowed from one: of several leases between two the largest that lives counts. */
     private record Lease(int sequence, double amount, long untilUs) {}
@@ -158,9 +159,9 @@
     private final int configured;
     private final int part;
     private final int taken;
-    private final Store store;
-    private final Group group;
-    private final Host host;
+    private final ReplicatedStore store;
+    private final PeerDirectory group;
+    private final Environment host;
     private final SplittableRandom random;
     private final List<Limit> own;
     private final Map<Long, State> limits = new LinkedHashMap<>();
@@ -173,17 +174,17 @@
      * @param configured number of sidecars in the configuration: the part of each without a word
      * @param own        the configuration's limits; one of the same name that operators set later goes before
      */
-    public Limits(
+    public FleetLimits(
             long me,
             int configured,
             int part,
             int taken,
-            Store store,
+            ReplicatedStore store,
             List<Limit> own,
             long nowUs,
             long seed,
-            Group group,
-            Host host) {
+            PeerDirectory group,
+            Environment host) {
         this.me = me;
         this.configured = Math.max(1, configured);
         this.part = part;
@@ -198,26 +199,26 @@
     }
 
     /** Operators set a limit for the fleet, from here. Throws where its names are too long. */
-    public void set(long now, Limit limit) {
+    public void setLimit(long now, Limit limit) {
         advance(now);
-        store.put(nowUs, Table.LIMITS, Envelope.id(limit.name()), limit.bytes());
+        store.put(nowUs, Table.LIMITS, Envelope.idOf(limit.name()), limit.encode());
         define();
     }
 
     /** False where no limit of the name was set by a call; the configuration's own hold on. */
-    public boolean unset(long now, String name) {
+    public boolean removeLimit(long now, String name) {
         advance(now);
-        boolean known = store.read(nowUs, Table.LIMITS, Envelope.id(name), 0) != null;
-        store.drop(nowUs, Table.LIMITS, Envelope.id(name));
+        boolean known = store.read(nowUs, Table.LIMITS, Envelope.idOf(name), 0) != null;
+        store.remove(nowUs, Table.LIMITS, Envelope.idOf(name));
         define();
         return known;
     }
 
     private void define() {
         Map<Long, Limit> now = new LinkedHashMap<>();
-        own.forEach(l -> now.put(Envelope.id(l.name()), l));
-        for (Read r : store.all(nowUs, Table.LIMITS)) {
-            Limit l = Limit.of(r.value());
+        own.forEach(l -> now.put(Envelope.idOf(l.name()), l));
+        for (StoredEntry r : store.readAll(nowUs, Table.LIMITS)) {
+            Limit l = Limit.decode(r.value());
             if (l != null) {
                 now.put(r.key(), l);
             }
@@ -235,9 +236,9 @@
                     s.borrowed.clear();
                     s.asked.clear();
                 }
-                host.note(
-                        "limit " + limit.name() + ": " + limit.most() + (limit.inFlight() ? " in flight" : " a second")
-                                + " for " + limit.scope().name().toLowerCase(java.util.Locale.ROOT) + " " + limit.of());
+                host.logEvent("limit " + limit.name() + ": " + limit.max()
+                        + (limit.inFlight() ? " in flight" : " a second") + " for "
+                        + limit.scope().name().toLowerCase(java.util.Locale.ROOT) + " " + limit.subject());
             }
             s.limit = limit;
         });
@@ -248,9 +249,9 @@
     }
 
     /** What is asked of the limit here: requests a second, or in flight, also those that were refused by it. */
-    public void demand(long now, String name, double demand) {
+    public void recordDemand(long now, String name, double demand) {
         advance(now);
-        State s = limits.get(Envelope.id(name));
+        State s = limits.get(Envelope.idOf(name));
         if (s != null) {
             s.demand += DEMAND_GAIN * (demand - s.demand);
         }
@@ -274,12 +275,12 @@
     }
 
     private double alone(State s) {
-        return s.limit.most() / configured;
+        return s.limit.max() / configured;
     }
 
     /** What the own part is at least while those whom a process before lent to may use it still. */
     private double byRight(State s) {
-        return nowUs - startUs < LEASE_US ? KEPT * alone(s) : alone(s);
+        return nowUs - startUs < LEASE_US ? RESERVED_SHARE * alone(s) : alone(s);
     }
 
     private double share(State s) {
@@ -303,10 +304,12 @@
             need -= l.amount;
         }
         for (Map.Entry<Integer, Asked> a : s.asked.entrySet()) {
-            need -= s.borrowed.containsKey(a.getKey()) || nowUs - a.getValue().atUs > TICK_US ? 0 : a.getValue().amount;
+            need -= s.borrowed.containsKey(a.getKey()) || nowUs - a.getValue().atUs > TICK_INTERVAL_US
+                    ? 0
+                    : a.getValue().amount;
         }
-        for (int tries = 4 * left; tries > 0 && left > 0 && need > 1e-3 * s.limit.most() / configured; tries--) {
-            int place = group.one(part, random);
+        for (int tries = 4 * left; tries > 0 && left > 0 && need > 1e-3 * s.limit.max() / configured; tries--) {
+            int place = group.randomPeer(part, random);
             if (place < 0
                     || s.borrowed.containsKey(place)
                     || justAsked(s, place)
@@ -323,7 +326,7 @@
 
     private boolean justAsked(State s, int place) {
         Asked a = s.asked.get(place);
-        return a != null && nowUs - a.atUs < TICK_US;
+        return a != null && nowUs - a.atUs < TICK_INTERVAL_US;
     }
 
     private void ask(long key, State s, int place, double amount) {
@@ -335,12 +338,12 @@
     private void send(int place, int type, long key, State s, int number, double amount) {
         ByteBuffer b = ByteBuffer.allocate(BYTES);
         Envelope.put48(b, key);
-        b.putShort((short) number).putFloat((float) amount).putFloat((float) s.limit.most());
-        host.send(place, Envelope.from(me, incarnation).add(type, b).bytes(taken));
+        b.putShort((short) number).putFloat((float) amount).putFloat((float) s.limit.max());
+        host.send(place, Envelope.from(me, incarnation).addSection(type, b).toBytes(taken));
     }
 
     /** From the member at this place of the list. */
-    public void onLetter(long now, int from, Envelope.Letter letter) {
+    public void onMessage(long now, int from, Envelope.Message letter) {
         advance(now);
         for (Envelope.Section section : letter.sections()) {
             ByteBuffer b = ByteBuffer.wrap(section.bytes());
@@ -352,7 +355,7 @@
             double amount = b.getFloat();
             State s = limits.get(key);
             // Another size is another limit, of before or to come: their parts don't add up.
-            if (s == null || !(amount >= 0) || b.getFloat() != (float) s.limit.most()) {
+            if (s == null || !(amount >= 0) || b.getFloat() != (float) s.limit.max()) {
                 continue;
             }
             if (section.type() == ASK) {
@@ -371,7 +374,7 @@
                 return;
             }
         }
-        double ownNeed = Math.min(alone(s), Math.max(KEPT * alone(s), SPARE * s.demand));
+        double ownNeed = Math.min(alone(s), Math.max(RESERVED_SHARE * alone(s), SPARE * s.demand));
         double free = byRight(s) - ownNeed - s.lent(nowUs, borrower);
         boolean full = leases.isEmpty() && s.lent.size() >= MOST_LEASES;
         // As the borrower reads it: a rounding up would be lent twice.
@@ -411,21 +414,21 @@
             long until = nowUs + validUs;
             for (Lease l : s.borrowed.values()) {
                 // One that ends before the next telling would take all the others with it.
-                if (l.untilUs > nowUs + TICK_US) {
+                if (l.untilUs > nowUs + TICK_INTERVAL_US) {
                     share += l.amount;
                     until = Math.min(until, l.untilUs);
                 }
             }
-            shares.add(
-                    new Share(s.limit.name(), s.limit.scope(), s.limit.of(), s.limit.inFlight(), share, alone, until));
+            shares.add(new Share(
+                    s.limit.name(), s.limit.scope(), s.limit.subject(), s.limit.inFlight(), share, alone, until));
         }
         return shares;
     }
 
-    public Collection<Held> held(long now) {
+    public Collection<LimitStatus> status(long now) {
         advance(now);
         return limits.values().stream()
-                .map(s -> new Held(s.limit, alone(s), share(s), s.lent(nowUs, 0), s.borrowed(nowUs), s.demand))
+                .map(s -> new LimitStatus(s.limit, alone(s), share(s), s.lent(nowUs, 0), s.borrowed(nowUs), s.demand))
                 .toList();
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/Store.java
+++ b/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import java.util.function.LongUnaryOperator;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /**
  * A small replicated store of a sidecar, without I/O: entries with one last writer by {@link HybridClock}, told on while they
@@ -26,14 +26,14 @@
  *
  * <p>Not taken: one table of all members' words (its size grows with the fleet), and signatures, which 256 bytes don't hold.
  */
-public final class Store {
+public final class ReplicatedStore {
     /** Call {@link #onTick} this often. */
-    public static final long TICK_US = 100_000;
+    public static final long TICK_INTERVAL_US = 100_000;
 
-    static final long COMPARE_US = 1_000_000;
+    static final long COMPARE_INTERVAL_US = 1_000_000;
     private static final long JOIN_US = 2_000_000;
     /** Reads hold while somebody was heard within this: three comparisons, each with its answer. */
-    public static final long CONTACT_US = 5_000_000;
+    public static final long CONTACT_TIMEOUT_US = 5_000_000;
     /** A change is told on so many times log2 of the fleet's size datagrams. */
     private static final double TOLD = 2;
     /** Members told at a tick; more by the writer, whose word alone needs no second. */
@@ -123,11 +123,11 @@
     /** {@code from} is the place of the one who told it: names can be made up, places can't. */
     private record Pending(Held word, int from, long atUs) {}
 
-    private final long me;
+    private final long selfId;
     private final int part;
     private final int taken;
-    private final Group group;
-    private final Host host;
+    private final PeerDirectory group;
+    private final Environment host;
     private final SplittableRandom random;
     private final HybridClock clock = new HybridClock();
     private final Map<Integer, Table> tables = new LinkedHashMap<>();
@@ -149,8 +149,16 @@
      * @param part  the bit by which members say that they have a store
      * @param taken a datagram's length that is somebody else's, -1 for none
      */
-    public Store(long me, int part, int taken, List<Table> tables, long nowUs, long seed, Group group, Host host) {
-        this.me = me;
+    public ReplicatedStore(
+            long me,
+            int part,
+            int taken,
+            List<Table> tables,
+            long nowUs,
+            long seed,
+            PeerDirectory group,
+            Environment host) {
+        this.selfId = me;
         this.part = part;
         this.taken = taken;
         this.group = group;
@@ -172,16 +180,16 @@
      * ranked table the caller sees to it that the rank is no lower than what is there.
      */
     public void put(long now, Table t, long key, byte[] value) {
-        if (value.length > t.mostBytes()) {
+        if (value.length > t.maxValueBytes()) {
             throw new IllegalArgumentException(
-                    t.name() + ": a value of " + value.length + " bytes, " + t.mostBytes() + " at most");
+                    t.name() + ": a value of " + value.length + " bytes, " + t.maxValueBytes() + " at most");
         }
         write(now, t, key, value);
     }
 
     /** Takes it back: all forget it, and a grave keeps old copies from coming back. */
-    public void drop(long now, Table t, long key) {
-        Held held = entries.get(t.id()).get(id(t, key, me));
+    public void remove(long now, Table t, long key) {
+        Held held = entries.get(t.id()).get(id(t, key, selfId));
         if (held != null && held.value != null) {
             write(now, t, key, null);
         }
@@ -189,23 +197,28 @@
 
     private void write(long now, Table t, long key, byte[] value) {
         advance(now);
-        long left = value == null ? t.graveMs() : t.leaseMs();
+        long left = value == null ? t.tombstoneMs() : t.leaseMs();
         Held held = new Held(
-                t, id(t, key, me), me, value, clock.stamp(nowUs), left == 0 ? Long.MAX_VALUE : nowUs + left * 1_000);
+                t,
+                id(t, key, selfId),
+                selfId,
+                value,
+                clock.stamp(nowUs),
+                left == 0 ? Long.MAX_VALUE : nowUs + left * 1_000);
         hold(t, held);
     }
 
     /** Null where nothing is known, or no more. */
-    public Read read(long now, Table t, long key, long writer) {
+    public StoredEntry read(long now, Table t, long key, long writer) {
         advance(now);
         Held h = entries.get(t.id()).get(id(t, key, writer));
         return h == null || h.value == null || h.untilUs <= nowUs ? null : reading(t, h);
     }
 
     /** All that is known of a table and has not ended, in no order. */
-    public List<Read> all(long now, Table t) {
+    public List<StoredEntry> readAll(long now, Table t) {
         advance(now);
-        List<Read> all = new ArrayList<>();
+        List<StoredEntry> all = new ArrayList<>();
         for (Held h : entries.get(t.id()).values()) {
             if (h.value != null && h.untilUs > nowUs) {
                 all.add(reading(t, h));
@@ -214,16 +227,16 @@
         return all;
     }
 
-    private Read reading(Table t, Held h) {
+    private StoredEntry reading(Table t, Held h) {
         long age = t.leaseMs() > 0
                 ? t.leaseMs() * 1_000 - (h.untilUs - nowUs)
-                : Math.max(0, (clock.ms(nowUs) - HybridClock.msOf(h.stamp)) * 1_000);
-        boolean own = h.writer == me;
-        return new Read(h.id.key, h.writer, h.value.clone(), age, own || nowUs - contactUs < CONTACT_US);
+                : Math.max(0, (clock.correctedMs(nowUs) - HybridClock.millisOf(h.stamp)) * 1_000);
+        boolean own = h.writer == selfId;
+        return new StoredEntry(h.id.key, h.writer, h.value.clone(), age, own || nowUs - contactUs < CONTACT_TIMEOUT_US);
     }
 
-    long me() {
-        return me;
+    long selfId() {
+        return selfId;
     }
 
     /** Entries that are kept, graves with them: what its bounds bound. */
@@ -238,7 +251,7 @@
         for (Map.Entry<Integer, Map<Id, Held>> table : entries.entrySet()) {
             for (Held h : table.getValue().values()) {
                 boolean counts = !tables.get(table.getKey()).owned()
-                        || HybridClock.msOf(h.stamp) >= sinceMs.applyAsLong(h.writer);
+                        || HybridClock.millisOf(h.stamp) >= sinceMs.applyAsLong(h.writer);
                 sum += counts && h.untilUs > nowUs && h.value != null ? mixed(h, Arrays.hashCode(h.value)) : 0;
             }
         }
@@ -255,18 +268,18 @@
             sweepUs = nowUs + SWEEP_US;
             sweep();
         }
-        boolean own = news.keySet().stream().anyMatch(id -> id.writer == me);
+        boolean own = news.keySet().stream().anyMatch(id -> id.writer == selfId);
         for (int i = 0; i < (own ? OWN_FAN : FAN) && !news.isEmpty(); i++) {
-            int to = group.one(part, random);
+            int to = group.randomPeer(part, random);
             if (to >= 0) {
-                host.send(to, withNews(letter()).bytes(taken));
+                host.send(to, withNews(letter()).toBytes(taken));
             }
         }
         if (nowUs >= compareUs) {
             // Who has just come has missed all.
             compareUs = nowUs - startUs < JOIN_US
-                    ? nowUs + TICK_US
-                    : Math.max(compareUs + COMPARE_US, nowUs + COMPARE_US / 2);
+                    ? nowUs + TICK_INTERVAL_US
+                    : Math.max(compareUs + COMPARE_INTERVAL_US, nowUs + COMPARE_INTERVAL_US / 2);
             compare();
         }
     }
@@ -284,13 +297,13 @@
 
     private Envelope letter() {
         ByteBuffer b = ByteBuffer.allocate(6);
-        Envelope.put48(b, clock.ms(nowUs));
-        return Envelope.from(me, incarnation).add(CLOCK, b);
+        Envelope.put48(b, clock.correctedMs(nowUs));
+        return Envelope.from(selfId, incarnation).addSection(CLOCK, b);
     }
 
     /** The first in line are told and go to its end, or out of it. */
     private Envelope withNews(Envelope e) {
-        ByteBuffer b = ByteBuffer.allocate(Math.max(0, e.room()));
+        ByteBuffer b = ByteBuffer.allocate(Math.max(0, e.remainingBytes()));
         Map<Id, Integer> again = new LinkedHashMap<>();
         for (Iterator<Map.Entry<Id, Integer>> i = news.entrySet().iterator(); i.hasNext() && b.remaining() > HEAD; ) {
             Map.Entry<Id, Integer> n = i.next();
@@ -304,7 +317,7 @@
             }
         }
         news.putAll(again);
-        return b.position() == 0 ? e : e.add(ENTRIES, b);
+        return b.position() == 0 ? e : e.addSection(ENTRIES, b);
     }
 
     /** False where it has no room. */
@@ -328,7 +341,7 @@
 
     /** The upper level of the tree goes to one member; equal stores end it with that. */
     private void compare() {
-        int to = group.one(part, random);
+        int to = group.randomPeer(part, random);
         if (to < 0) {
             return;
         }
@@ -337,7 +350,7 @@
         for (long hash : hashes(salt, -1)) {
             b.putInt((int) hash);
         }
-        host.send(to, letter().add(DIGEST, b).bytes(taken));
+        host.send(to, letter().addSection(DIGEST, b).toBytes(taken));
     }
 
     /** Of the buckets, or of the leaves of one: sums, so that the order does not matter; salted, so that no two stay equal by chance. */
@@ -389,9 +402,9 @@
             for (long hash : hashes(salt, bucket)) {
                 l.putShort((short) hash);
             }
-            e.add(LEAVES, l);
+            e.addSection(LEAVES, l);
         }
-        host.send(from, e.bytes(taken));
+        host.send(from, e.toBytes(taken));
     }
 
     /** Where leaves differ the own entries go out and the other's are asked for. */
@@ -407,7 +420,7 @@
         }
         if (mask != 0) {
             ByteBuffer want = ByteBuffer.allocate(5).put((byte) bucket).putInt(mask);
-            host.send(from, letter().add(WANT, want).bytes(taken));
+            host.send(from, letter().addSection(WANT, want).toBytes(taken));
             give(from, bucket, mask);
         }
     }
@@ -426,20 +439,20 @@
         }
         for (int n = 0; n < REPAIR && !wanted.isEmpty(); n++) {
             Envelope e = letter();
-            ByteBuffer b = ByteBuffer.allocate(e.room());
+            ByteBuffer b = ByteBuffer.allocate(e.remainingBytes());
             while (!wanted.isEmpty() && append(b, wanted.get(wanted.size() - 1))) {
                 wanted.remove(wanted.size() - 1);
             }
-            host.send(to, e.add(ENTRIES, b).bytes(taken));
+            host.send(to, e.addSection(ENTRIES, b).toBytes(taken));
         }
     }
 
     // ---- datagrams ------------------------------------------------------------------------------------
 
     /** From the member at this place of the list, which has been taken for the letter's sender; what can't be true is left out. */
-    public void onLetter(long now, int from, Envelope.Letter letter) {
+    public void onMessage(long now, int from, Envelope.Message letter) {
         advance(now);
-        if (letter.sender() == me) {
+        if (letter.sender() == selfId) {
             return;
         }
         contact();
@@ -464,16 +477,22 @@
         if (b.remaining() < 6) {
             return;
         }
-        if (clock.heard(sender, Envelope.get48(b), nowUs)) {
-            host.note(
+        if (clock.onRemoteTime(sender, Envelope.get48(b), nowUs)) {
+            host.logEvent(
                     "the own clock is off by " + -clock.correctionMs() + " ms of the others', and is corrected by it");
             // What it has written is ahead of all time, or will be passed by what was written before it.
             for (Map.Entry<Integer, Map<Id, Held>> table : entries.entrySet()) {
                 for (Held h : List.copyOf(table.getValue().values())) {
-                    if (h.writer == me) {
+                    if (h.writer == selfId) {
                         hold(
                                 tables.get(table.getKey()),
-                                new Held(tables.get(table.getKey()), h.id, me, h.value, clock.stamp(nowUs), h.untilUs));
+                                new Held(
+                                        tables.get(table.getKey()),
+                                        h.id,
+                                        selfId,
+                                        h.value,
+                                        clock.stamp(nowUs),
+                                        h.untilUs));
                     }
                 }
             }
@@ -482,10 +501,10 @@
 
     /** Who was alone for longer than graves are kept may hold what was taken back long ago. */
     private void contact() {
-        if (contactUs != NEVER && nowUs - contactUs > Table.GRAVE_MS * 1_000) {
+        if (contactUs != NEVER && nowUs - contactUs > Table.TOMBSTONE_MS * 1_000) {
             int before = size();
             entries.values().forEach(t -> t.values().removeIf(h -> h.untilUs == Long.MAX_VALUE));
-            host.note(
+            host.logEvent(
                     "was alone for longer than a day: " + (before - size()) + " entries without an end are forgotten");
         }
         contactUs = nowUs;
@@ -506,18 +525,18 @@
             b.get(value);
             Table t = tables.get(type & ~GRAVE);
             boolean grave = (type & GRAVE) != 0;
-            if (t == null || writer == 0 || length > t.mostBytes() || grave && length > 0) {
+            if (t == null || writer == 0 || length > t.maxValueBytes() || grave && length > 0) {
                 continue;
             }
-            long most = grave ? t.graveMs() : t.leaseMs();
+            long most = grave ? t.tombstoneMs() : t.leaseMs();
             boolean ends = most > 0;
             if (ends ? left <= 0 || left > most : left != NO_END) {
                 continue;
             }
-            if (!clock.seen(stamp, nowUs)) {
+            if (!clock.observe(stamp, nowUs)) {
                 note(
                         "ahead",
-                        group.name(sender) + " tells of what is more than " + HybridClock.DRIFT_MS
+                        group.nameOf(sender) + " tells of what is more than " + HybridClock.MAX_DRIFT_MS
                                 + " ms ahead of this clock: left out");
                 continue;
             }
@@ -549,10 +568,10 @@
             }
             return;
         }
-        if (word.writer == me) {
+        if (word.writer == selfId) {
             // A process of this name wrote it before us: what we have is later, or will be by the clock that saw it.
             if (held != null) {
-                hold(t, new Held(t, held.id, me, held.value, clock.stamp(nowUs), held.untilUs));
+                hold(t, new Held(t, held.id, selfId, held.value, clock.stamp(nowUs), held.untilUs));
                 return;
             }
         }
@@ -579,11 +598,11 @@
         table.put(h.id, h);
         int log = 32 - Integer.numberOfLeadingZeros(Math.max(2, group.size()));
         news.remove(h.id);
-        news.put(h.id, (int) Math.ceil(TOLD * log * (h.writer == me ? OWN_FAN : 1)));
+        news.put(h.id, (int) Math.ceil(TOLD * log * (h.writer == selfId ? OWN_FAN : 1)));
         if (t.owned()) {
-            bound(t, table, h.id.key, t.mostPerKey(), "writers of one key");
+            bound(t, table, h.id.key, t.maxWritersPerKey(), "writers of one key");
         }
-        bound(t, table, -1, t.most(), "entries");
+        bound(t, table, -1, t.maxEntries(), "entries");
     }
 
     /** Of the key's entries, or of all with -1, the last in an order that all share go, and all keep the same. */
@@ -613,7 +632,7 @@
         Long before = noted.get(about);
         if (before == null || nowUs - before > NOTE_US) {
             noted.put(about, nowUs);
-            host.note(text);
+            host.logEvent(text);
         }
     }
 
--- a/src/main/java/rushproxy/fleet/shared/Read.java
+++ b/src/main/java/rushproxy/fleet/shared/StoredEntry.java
@@ -8,4 +8,4 @@
  * @param holds  whether the table's bound on staleness holds: the lease has not ended and somebody was heard of late. Where it
  *               does not, a reader acts as if it had never been told
  */
-public record Read(long key, long writer, byte[] value, long ageUs, boolean holds) {}
+public record StoredEntry(long key, long writer, byte[] value, long ageUs, boolean fresh) {}
--- a/src/main/java/rushproxy/fleet/shared/Table.java
+++ b/src/main/java/rushproxy/fleet/shared/Table.java
@@ -13,9 +13,16 @@
  * @param leaseMs    an entry ends so long after it was written or renewed, and its age is at most this; 0: it does not end
  */
 public record Table(
-        int id, String name, boolean owned, boolean ranked, int most, int mostPerKey, int mostBytes, long leaseMs) {
+        int id,
+        String name,
+        boolean owned,
+        boolean ranked,
+        int maxEntries,
+        int maxWritersPerKey,
+        int maxValueBytes,
+        long leaseMs) {
     /** What is taken back is remembered for so long: a lease for what has one, a day for what has none. */
-    static final long GRAVE_MS = 86_400_000;
+    static final long TOMBSTONE_MS = 86_400_000;
 
     /** What is known of servers. Three witnesses tell as much as a hundred; two more may be wrong, or leave. Room for some 1,200 servers. */
     public static final Table VERDICTS = new Table(1, "verdicts", true, false, 6_144, 5, 8, 15_000);
@@ -25,9 +32,9 @@
     public static final Table COUNTS = new Table(3, "counts", true, false, 8_192, 2_048, 24, 900_000);
 
     /** What releases order: by epoch of the controller, then by its steps. Forgotten a day after its last step. */
-    public static final Table ORDERS = new Table(4, "orders", false, true, 16, 1, 96, GRAVE_MS);
+    public static final Table ORDERS = new Table(4, "orders", false, true, 16, 1, 96, TOMBSTONE_MS);
 
-    long graveMs() {
-        return leaseMs > 0 ? leaseMs : GRAVE_MS;
+    long tombstoneMs() {
+        return leaseMs > 0 ? leaseMs : TOMBSTONE_MS;
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/WarmStart.java
+++ b/src/main/java/rushproxy/fleet/shared/WarmStart.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /**
  * A process that has just started asks three of those who are here for what they know, and ends with it, or with its time: no answer
@@ -17,7 +17,7 @@
  */
 public final class WarmStart {
     /** From the start on; a start takes longer for other reasons. */
-    public static final long MOST_US = 600_000;
+    public static final long MAX_WAIT_US = 600_000;
     /** Others' middle is wanted, so that one alone can't mislead. */
     private static final int ANSWERS = 3;
 
@@ -35,8 +35,8 @@
     private final long me;
     private final int part;
     private final int taken;
-    private final Group group;
-    private final Host host;
+    private final PeerDirectory group;
+    private final Environment host;
     private final SplittableRandom random;
     private final Supplier<byte[]> known;
     private final long startUs;
@@ -49,7 +49,14 @@
 
     /** {@code known} gives what this process knows at the time of the call. */
     public WarmStart(
-            long me, int part, int taken, long nowUs, long seed, Group group, Host host, Supplier<byte[]> known) {
+            long me,
+            int part,
+            int taken,
+            long nowUs,
+            long seed,
+            PeerDirectory group,
+            Environment host,
+            Supplier<byte[]> known) {
         this.me = me;
         this.part = part;
         this.taken = taken;
@@ -62,12 +69,12 @@
     }
 
     /** No more is waited for: three have told, or the time is up. */
-    public boolean over() {
+    public boolean isFinished() {
         return over;
     }
 
-    /** What was told, each by another; none after the first call that follows {@link #over}. */
-    public List<byte[]> take() {
+    /** What was told, each by another; none after the first call that follows {@link #isFinished}. */
+    public List<byte[]> takeAnswers() {
         List<byte[]> all = new ArrayList<>(answers.values());
         answers.clear();
         return all;
@@ -77,24 +84,24 @@
         if (over) {
             return;
         }
-        over = answers.size() >= ANSWERS || nowUs - startUs >= MOST_US;
+        over = answers.size() >= ANSWERS || nowUs - startUs >= MAX_WAIT_US;
         if (!over && nowUs >= askUs) {
             askUs = nowUs + AGAIN_US;
             for (int i = answers.size(); i < ASKED; i++) {
-                int place = group.one(part, random);
+                int place = group.randomPeer(part, random);
                 if (place >= 0 && !answers.containsKey(place)) {
                     host.send(
                             place,
                             Envelope.from(me, incarnation)
-                                    .add(ASK, ByteBuffer.allocate(1).put((byte) 1))
-                                    .bytes(taken));
+                                    .addSection(ASK, ByteBuffer.allocate(1).put((byte) 1))
+                                    .toBytes(taken));
                 }
             }
         }
     }
 
     /** From the member at this place of the list. */
-    public void onLetter(long nowUs, int from, Envelope.Letter letter, long incarnation) {
+    public void onMessage(long nowUs, int from, Envelope.Message letter, long incarnation) {
         for (Envelope.Section s : letter.sections()) {
             if (s.type() == ASK && nowUs - startUs >= KNOWS_US) {
                 tell(from, incarnation);
@@ -116,7 +123,7 @@
                     .put((byte) i)
                     .put((byte) parts)
                     .put(all, i * PART, length);
-            host.send(to, Envelope.from(me, incarnation).add(TELL, b).bytes(taken));
+            host.send(to, Envelope.from(me, incarnation).addSection(TELL, b).toBytes(taken));
         }
     }
 
--- a/src/main/java/rushproxy/lab/scale/LoopbackFleet.java
+++ b/src/main/java/rushproxy/lab/scale/LoopbackFleet.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
 import rushproxy.fleet.member.Member;
 import rushproxy.fleet.member.Membership;
 import rushproxy.lab.sim.MemberSim;
@@ -34,7 +34,7 @@
     private static final int SOCKET_BUFFER = 256 * 1024;
 
     /** One member: its socket, and its process if it is up. */
-    private final class Hollow implements Host {
+    private final class Hollow implements Environment {
         private final int number;
         private final DatagramChannel channel;
         private Membership membership;
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public void note(String event) {}
+        public void logEvent(String event) {}
     }
 
     private record Tick(long atUs, Hollow of, int process) implements Comparable<Tick> {
@@ -80,7 +80,7 @@
     private final Selector selector;
     private final List<Hollow> members = new ArrayList<>();
     private final PriorityQueue<Tick> ticks = new PriorityQueue<>();
-    private final ByteBuffer buffer = ByteBuffer.allocate(2 * Envelope.MOST);
+    private final ByteBuffer buffer = ByteBuffer.allocate(2 * Envelope.MAX_BYTES);
     private final SplittableRandom random;
     private final SplittableRandom loss;
     private final Histogram lateUs = Spread.histogram();
@@ -158,7 +158,7 @@
                 lateUs.recordValue(us() - t.atUs);
                 Membership membership = t.of.membership;
                 meter.tick(() -> membership.onTick(unixUs()));
-                ticks.add(new Tick(Math.max(us(), t.atUs + Membership.TICK_US), t.of, t.process));
+                ticks.add(new Tick(Math.max(us(), t.atUs + Membership.TICK_INTERVAL_US), t.of, t.process));
             }
         }
     }
@@ -206,7 +206,7 @@
                 unixUs(),
                 random.nextLong(),
                 m);
-        ticks.add(new Tick(us() + random.nextLong(Membership.TICK_US), m, process));
+        ticks.add(new Tick(us() + random.nextLong(Membership.TICK_INTERVAL_US), m, process));
     }
 
     /** As the processes are named too. */
--- a/src/main/java/rushproxy/lab/sim/GateFigures.java
+++ b/src/main/java/rushproxy/lab/sim/GateFigures.java
@@ -33,7 +33,7 @@
     private GateFigures() {}
 
     /** {@code rate} of all requests a second, of which the new servers get the part {@code weight}. */
-    public static Judged judge(Release release, double rate, double weight, Gate.Rule rule, long seed) {
+    public static Judged judge(Release release, double rate, double weight, Gate.Criteria rule, long seed) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         double[] part = new double[STRATA];
         double[] medianUs = new double[STRATA];
@@ -68,15 +68,15 @@
                     double slower = isNew && bad ? release.slower : 1;
                     Tally t = isNew ? fresh : control;
                     if (failed) {
-                        t.failed();
+                        t.addFailure();
                     } else {
-                        t.good((long) (medianUs[i] * shared * slower * Math.exp(0.5 * gauss(random))));
+                        t.addSuccess((long) (medianUs[i] * shared * slower * Math.exp(0.5 * gauss(random))));
                     }
                     spoilt += extra + (isNew && bad && release.slower > 1.4 ? 1 : 0);
                 }
-                gate.add("s" + i, fresh, control);
+                gate.addBatch("s" + i, fresh, control);
             }
-            Gate.Ruling ruling = gate.rule(second * S);
+            Gate.Decision ruling = gate.decide(second * S);
             if (ruling.verdict() != Gate.Verdict.WAIT) {
                 return new Judged(ruling.verdict(), second, spoilt);
             }
@@ -96,7 +96,7 @@
     }
 
     /** Over seeds: how many went on, were halted or taken back, and after how long in the median. */
-    public static String row(String what, Release release, double rate, double weight, Gate.Rule rule, int seeds) {
+    public static String row(String what, Release release, double rate, double weight, Gate.Criteria rule, int seeds) {
         int on = 0;
         int halted = 0;
         int back = 0;
@@ -127,7 +127,7 @@
     /** The table of docs/RELEASES.md. */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
-        Gate.Rule rule = Gate.Rule.USUAL;
+        Gate.Criteria rule = Gate.Criteria.DEFAULT;
         System.out.println(
                 "| release | requests a second | weight | on | halted | back | median | spoilt answers until then |");
         for (double rate : new double[] {50, 500}) {
--- a/src/main/java/rushproxy/lab/sim/MemberSim.java
+++ b/src/main/java/rushproxy/lab/sim/MemberSim.java
@@ -6,7 +6,7 @@
 import java.util.function.LongConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
 import rushproxy.fleet.member.Member;
 import rushproxy.fleet.member.Membership;
 
@@ -22,7 +22,7 @@
     public static final int HEADERS = 28;
 
     /** One process of a host. */
-    public final class Node implements Host {
+    public final class Node implements Environment {
         public final int number;
         public final String name;
         private final int[] peers;
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public void note(String event) {
+        public void logEvent(String event) {
             notes.add(us() / 1_000 + " ms " + event);
         }
 
@@ -72,7 +72,7 @@
                 return;
             }
             run(() -> meter.tick(() -> membership.onTick(clock())));
-            at(time.now() + Membership.TICK_US, () -> tick(of));
+            at(time.now() + Membership.TICK_INTERVAL_US, () -> tick(of));
         }
 
         private long clock() {
@@ -226,7 +226,7 @@
                 n.clock(),
                 random.nextLong(),
                 n);
-        at(time.now() + random.nextLong(Membership.TICK_US), () -> n.tick(of));
+        at(time.now() + random.nextLong(Membership.TICK_INTERVAL_US), () -> n.tick(of));
     }
 
     public void startAll() {
@@ -301,7 +301,7 @@
     public boolean agree() {
         long up = nodes.stream().filter(n -> n.up).count();
         for (Node at : nodes) {
-            if (at.up && at.membership.view().here() != up) {
+            if (at.up && at.membership.view().liveCount() != up) {
                 return false;
             }
         }
--- a/src/main/java/rushproxy/lab/sim/SharedFigures.java
+++ b/src/main/java/rushproxy/lab/sim/SharedFigures.java
@@ -5,7 +5,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import rushproxy.Balancer.Scope;
-import rushproxy.fleet.shared.Limits;
+import rushproxy.fleet.shared.FleetLimits;
 import rushproxy.fleet.shared.Table;
 
 /** What sharing costs, how fast it is and how far its bounds hold, by simulation. */
@@ -122,7 +122,7 @@
     public static Limited limited(int members, double loss, String event, long seed) {
         double limit = 1_000;
         SharedSim sim = new SharedSim(seed, members, 3, loss, 0.02, 30_000)
-                .limits(new Limits.Limit("all", Scope.ALL, "", false, limit));
+                .limits(new FleetLimits.Limit("all", Scope.ALL, "", false, limit));
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(~seed);
         sim.startAll();
         double[] demand = new double[members];
@@ -159,8 +159,8 @@
                 if (!n.up()) {
                     continue;
                 }
-                if (t % Limits.TICK_US == 0) {
-                    n.limits().demand(n.clock(), "all", demand[n.number]);
+                if (t % FleetLimits.TICK_INTERVAL_US == 0) {
+                    n.limits().recordDemand(n.clock(), "all", demand[n.number]);
                 }
                 double share = n.limits().shares(n.clock(), S).get(0).share();
                 shares += share;
--- a/src/main/java/rushproxy/lab/sim/SharedSim.java
+++ b/src/main/java/rushproxy/lab/sim/SharedSim.java
@@ -10,10 +10,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
-import rushproxy.fleet.shared.Limits;
-import rushproxy.fleet.shared.Store;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
+import rushproxy.fleet.shared.FleetLimits;
+import rushproxy.fleet.shared.ReplicatedStore;
 import rushproxy.fleet.shared.Table;
 import rushproxy.fleet.shared.Verdicts;
 
@@ -29,7 +29,7 @@
     private static final int PART = 2;
 
     /** One process of a host. */
-    public final class Node implements Host, Group {
+    public final class Node implements Environment, PeerDirectory {
         public final int number;
         public final long id;
         private boolean up;
@@ -37,10 +37,10 @@
         private long incarnation;
         private int process;
         private long skewUs;
-        private Store store;
+        private ReplicatedStore store;
         private Verdicts verdicts;
-        private Limits limits;
-        private List<Verdicts.Case> cases = List.of();
+        private FleetLimits limits;
+        private List<Verdicts.Assessment> cases = List.of();
         /** Bytes that it has sent, headers with them. */
         public long bytes;
 
@@ -48,10 +48,10 @@
 
         private Node(int number) {
             this.number = number;
-            id = Envelope.id("n" + number);
+            id = Envelope.idOf("n" + number);
         }
 
-        public Store store() {
+        public ReplicatedStore store() {
             return store;
         }
 
@@ -59,12 +59,12 @@
             return verdicts;
         }
 
-        public Limits limits() {
+        public FleetLimits limits() {
             return limits;
         }
 
         /** What it said of servers at its last look. */
-        public List<Verdicts.Case> cases() {
+        public List<Verdicts.Assessment> cases() {
             return cases;
         }
 
@@ -84,7 +84,7 @@
         }
 
         @Override
-        public void note(String event) {
+        public void logEvent(String event) {
             notes.add(time.us() / 1_000 + " ms " + event);
         }
 
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public int one(int part, SplittableRandom by) {
+        public int randomPeer(int part, SplittableRandom by) {
             for (int tries = 0; tries < 16; tries++) {
                 int place = by.nextInt(nodes.size());
                 if (place != number && sees(nodes.get(place))) {
@@ -112,13 +112,13 @@
         }
 
         @Override
-        public boolean here(long member) {
+        public boolean isLive(long member) {
             Node other = byId.get(member);
             return other != null && sees(other);
         }
 
         @Override
-        public String name(long member) {
+        public String nameOf(long member) {
             Node other = byId.get(member);
             return other == null ? Long.toHexString(member) : "n" + other.number;
         }
@@ -128,13 +128,13 @@
                 return;
             }
             store.onTick(clock(), incarnation);
-            if (n % (Limits.TICK_US / Store.TICK_US) == 0) {
+            if (n % (FleetLimits.TICK_INTERVAL_US / ReplicatedStore.TICK_INTERVAL_US) == 0) {
                 limits.onTick(clock(), incarnation);
             }
             if (n % 10 == 0) {
-                cases = verdicts.look(clock());
+                cases = verdicts.evaluate(clock());
             }
-            time.later(Store.TICK_US, () -> tick(of, n + 1));
+            time.later(ReplicatedStore.TICK_INTERVAL_US, () -> tick(of, n + 1));
         }
     }
 
@@ -152,7 +152,7 @@
     private final long mostDelayUs;
     private final int zones;
     private Map<String, Integer> servers = Map.of();
-    private List<Limits.Limit> limits = List.of();
+    private List<FleetLimits.Limit> limits = List.of();
     private List<Table> tables = List.of(Table.VERDICTS, Table.LIMITS, Table.COUNTS);
     private Cut cut = (from, to) -> false;
     private long cutUs;
@@ -178,7 +178,7 @@
         return this;
     }
 
-    public SharedSim limits(Limits.Limit... limits) {
+    public SharedSim limits(FleetLimits.Limit... limits) {
         this.limits = Arrays.asList(limits);
         return this;
     }
@@ -224,11 +224,11 @@
         n.changedUs = time.now();
         n.incarnation = n.clock() / 1_000;
         int of = ++n.process;
-        n.store = new Store(n.id, PART, -1, tables, n.clock(), random.nextLong(), n, n);
+        n.store = new ReplicatedStore(n.id, PART, -1, tables, n.clock(), random.nextLong(), n, n);
         n.verdicts = new Verdicts(n.store, n.id, n.number % zones, n, n);
-        n.verdicts.servers(servers);
-        n.limits = new Limits(n.id, nodes.size(), PART, -1, n.store, limits, n.clock(), random.nextLong(), n, n);
-        time.later(random.nextLong(Store.TICK_US), () -> n.tick(of, 0));
+        n.verdicts.setServers(servers);
+        n.limits = new FleetLimits(n.id, nodes.size(), PART, -1, n.store, limits, n.clock(), random.nextLong(), n, n);
+        time.later(random.nextLong(ReplicatedStore.TICK_INTERVAL_US), () -> n.tick(of, 0));
     }
 
     public void startAll() {
@@ -257,10 +257,10 @@
 
     /** A datagram as from another host, for what nobody would send. */
     public void deliver(Node from, Node to, byte[] datagram) {
-        Envelope.Letter letter = to.up ? Envelope.read(datagram) : null;
+        Envelope.Message letter = to.up ? Envelope.parse(datagram) : null;
         if (letter != null && letter.sender() == from.id) {
-            to.store.onLetter(to.clock(), from.number, letter);
-            to.limits.onLetter(to.clock(), from.number, letter);
+            to.store.onMessage(to.clock(), from.number, letter);
+            to.limits.onMessage(to.clock(), from.number, letter);
         }
     }
 
--- a/src/main/java/rushproxy/sidecar/Config.java
+++ b/src/main/java/rushproxy/sidecar/Config.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import rushproxy.Balancer.Settings;
-import rushproxy.fleet.shared.Limits;
+import rushproxy.fleet.shared.FleetLimits;
 import rushproxy.wire.SettingsReader;
 import rushproxy.wire.WireException;
 
@@ -39,7 +39,7 @@
         Log.Style log) {
 
     /** {@code shared} is on only where {@code members} is; limits only where both are. */
-    record Fleet(boolean members, boolean shared, List<Limits.Limit> limits) {
+    record Fleet(boolean members, boolean shared, List<FleetLimits.Limit> limits) {
         static final Fleet NONE = new Fleet(false, false, List.of());
     }
 
@@ -161,7 +161,7 @@
         if (shared && !members) {
             throw new IllegalArgumentException("'fleet.shared' needs 'fleet.members'");
         }
-        List<Limits.Limit> limits = new ArrayList<>();
+        List<FleetLimits.Limit> limits = new ArrayList<>();
         if (fleet.has("limits")) {
             if (!shared) {
                 throw new IllegalArgumentException("'fleet.limits' needs 'fleet.shared'");
@@ -173,7 +173,7 @@
         return new Fleet(members, shared, List.copyOf(limits));
     }
 
-    private static Limits.Limit limit(Json json, Settings settings, List<Limits.Limit> before) {
+    private static FleetLimits.Limit limit(Json json, Settings settings, List<FleetLimits.Limit> before) {
         for (String name : json.names()) {
             if (!Set.of("name", "class", "tenant", "per_second", "in_flight").contains(name)) {
                 throw new IllegalArgumentException("'fleet.limits." + name + "' is unknown");
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -14,15 +14,15 @@
 import rushproxy.Balancer;
 import rushproxy.PeerWord;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
 import rushproxy.fleet.member.Member;
 import rushproxy.fleet.member.Membership;
-import rushproxy.fleet.member.View;
-import rushproxy.fleet.release.Order;
-import rushproxy.fleet.release.Orders;
-import rushproxy.fleet.release.Watch;
-import rushproxy.fleet.shared.Limits;
-import rushproxy.fleet.shared.Store;
+import rushproxy.fleet.member.MembershipView;
+import rushproxy.fleet.release.ReleaseMonitor;
+import rushproxy.fleet.release.ReleaseOrder;
+import rushproxy.fleet.release.ReleaseOrders;
+import rushproxy.fleet.shared.FleetLimits;
+import rushproxy.fleet.shared.ReplicatedStore;
 import rushproxy.fleet.shared.Table;
 import rushproxy.fleet.shared.Verdicts;
 import rushproxy.fleet.shared.WarmStart;
@@ -31,7 +31,7 @@
  * Hosts the fleet plane on the event loop, which owns it, from {@link #start} to {@link #leave}: hands it the time and its
  * datagrams, and the module what it has found out.
  */
-final class FleetPlane implements Host, Peers.Fleet {
+final class FleetPlane implements Environment, Peers.Fleet {
     private static final int VERSION = 1;
     private static final int PART_MEMBERS = 1;
     private static final int PART_SHARED = 2;
@@ -50,12 +50,12 @@
 
     private Membership members;
     /** Null, with all that follows, where nothing is shared. */
-    private Store store;
+    private ReplicatedStore store;
 
     private Verdicts verdicts;
-    private Limits limits;
-    private Orders orders;
-    private Watch watch;
+    private FleetLimits limits;
+    private ReleaseOrders orders;
+    private ReleaseMonitor watch;
     private boolean weighed;
     private WarmStart warm;
     private boolean warmed;
@@ -64,10 +64,10 @@
     private Snapshot snapshot;
 
     private long snapshotUs;
-    private List<Verdicts.Case> cases = List.of();
+    private List<Verdicts.Assessment> cases = List.of();
     private long sharedUs;
     private long limitsUs;
-    private View told;
+    private MembershipView told;
     private long tellUs;
     private Future<?> ticks;
 
@@ -105,8 +105,8 @@
                 this);
         if (config.fleet().shared()) {
             long me = members.self().id();
-            Host says = new Says("shared: ");
-            store = new Store(
+            Environment says = new Says("shared: ");
+            store = new ReplicatedStore(
                     me,
                     PART_SHARED,
                     taken,
@@ -116,7 +116,7 @@
                     members,
                     says);
             verdicts = new Verdicts(store, me, members.self().zone(), members, says);
-            limits = new Limits(
+            limits = new FleetLimits(
                     me,
                     s.balancers(),
                     PART_SHARED,
@@ -127,43 +127,46 @@
                     config.seed() + 2,
                     members,
                     says);
-            orders = new Orders(store, clock.now(), says);
-            watch = new Watch(orders, s.rules().rampUs());
+            orders = new ReleaseOrders(store, clock.now(), says);
+            watch = new ReleaseMonitor(orders, s.rules().rampUs());
             warm = new WarmStart(me, PART_SHARED, taken, clock.now(), config.seed() + 3, members, says, this::known);
             snapshot = config.kept() == null ? null : new Snapshot(config.kept());
             snapshotUs = clock.now() + SNAPSHOT_US;
         }
         peers.hand(this, taken);
-        ticks = Recurring.every(loop, Membership.TICK_US / 1000, this::tick);
+        ticks = Recurring.every(loop, Membership.TICK_INTERVAL_US / 1000, this::tick);
     }
 
     private void tick() {
         long now = clock.now();
         members.onTick(now);
-        View view = members.view();
-        if (now >= tellUs || told == null || view.here() != told.here() || view.standing() != told.standing()) {
+        MembershipView view = members.view();
+        if (now >= tellUs
+                || told == null
+                || view.liveCount() != told.liveCount()
+                || view.standing() != told.standing()) {
             if (told == null || view.standing() != told.standing()) {
                 Log.event(
                         Log.Level.INFO,
                         "sees a " + view.standing().name().toLowerCase(java.util.Locale.ROOT) + " of its fleet: "
-                                + view.here() + " of " + view.expected(),
+                                + view.liveCount() + " of " + view.expectedCount(),
                         "standing",
                         view.standing(),
                         "here",
-                        view.here(),
+                        view.liveCount(),
                         "expected",
-                        view.expected());
+                        view.expectedCount());
             }
             told = view;
             tellUs = now + TELL_US;
             Balancer.Fleet fact = new Balancer.Fleet(
-                    view.here(),
-                    view.byZone(),
+                    view.liveCount(),
+                    view.liveByZone(),
                     Balancer.Standing.valueOf(view.standing().name()),
                     now + COUNTS_US);
             decisions.call(m -> m.onFleet(now, fact), () -> {});
         }
-        if (store != null && !members.isQuiet()) {
+        if (store != null && !members.isStopped()) {
             share(now);
         } else if (store != null && !warmed) {
             // Another process has the name: nothing comes any more, and nobody waits for it.
@@ -181,17 +184,17 @@
             Map<String, Integer> zones = new HashMap<>();
             servers.get()
                     .forEach(u -> zones.put(u.id(), config.settings().zones().indexOf(u.zone())));
-            verdicts.servers(zones);
+            verdicts.setServers(zones);
             judge(now);
             weigh(now);
         }
         if (now >= limitsUs) {
-            long passed = limitsUs == 0 ? Limits.TICK_US : now - limitsUs + Limits.TICK_US;
-            limitsUs = now + Limits.TICK_US;
+            long passed = limitsUs == 0 ? FleetLimits.TICK_INTERVAL_US : now - limitsUs + FleetLimits.TICK_INTERVAL_US;
+            limitsUs = now + FleetLimits.TICK_INTERVAL_US;
             decisions.call(
-                    m -> m.demands(passed).forEach((name, demand) -> limits.demand(now, name, demand)), () -> {});
+                    m -> m.demands(passed).forEach((name, demand) -> limits.recordDemand(now, name, demand)), () -> {});
             limits.onTick(now, incarnation);
-            List<Balancer.Share> shares = limits.shares(now, 2 * Limits.TICK_US);
+            List<Balancer.Share> shares = limits.shares(now, 2 * FleetLimits.TICK_INTERVAL_US);
             decisions.call(m -> m.onShares(now, shares), () -> {});
         }
     }
@@ -202,7 +205,7 @@
         return known[0] == null ? new byte[0] : known[0];
     }
 
-    /** Runs once no more is waited for of what others know: at once where nothing is shared, within {@link WarmStart#MOST_US}. */
+    /** Runs once no more is waited for of what others know: at once where nothing is shared, within {@link WarmStart#MAX_WAIT_US}. */
     void whenWarm(Runnable run) {
         if (store == null || warmed) {
             run.run();
@@ -214,9 +217,9 @@
     private void warmUp(long now) {
         if (!warmed) {
             warm.onTick(now, members.self().incarnation());
-            if (warm.over()) {
+            if (warm.isFinished()) {
                 warmed = true;
-                List<byte[]> told = warm.take();
+                List<byte[]> told = warm.takeAnswers();
                 byte[] kept = !told.isEmpty() || snapshot == null ? null : snapshot.read(now / 1_000);
                 List<byte[]> all = kept == null ? told : List.of(kept);
                 if (!all.isEmpty()) {
@@ -240,14 +243,15 @@
     }
 
     private void judge(long now) {
-        cases = verdicts.look(now);
-        List<Balancer.Verdict> said = cases.stream().map(Verdicts.Case::verdict).toList();
+        cases = verdicts.evaluate(now);
+        List<Balancer.Verdict> said =
+                cases.stream().map(Verdicts.Assessment::verdict).toList();
         decisions.call(m -> m.onVerdicts(now, said), () -> {});
     }
 
     private void weigh(long now) {
-        orders.look(now, members.view().here() > 1);
-        watch.servers(servers.get());
+        orders.refresh(now, members.view().liveCount() > 1);
+        watch.setServers(servers.get());
         Map<String, Double> weights = orders.weights(servers.get());
         if (weighed || !weights.isEmpty()) {
             weighed = !weights.isEmpty();
@@ -258,7 +262,7 @@
     /** The module has seen this of an upstream itself. */
     void evidence(String upstream, Balancer.Evidence kind, double factor) {
         if (verdicts != null) {
-            verdicts.evidence(clock.now(), upstream, kind, factor);
+            verdicts.recordEvidence(clock.now(), upstream, kind, factor);
             // Soon, but not in the middle of what the module does.
             sharedUs = Math.min(sharedUs, clock.now());
         }
@@ -274,17 +278,17 @@
 
     @Override
     public void letter(int from, byte[] message) {
-        Envelope.Letter letter = Envelope.read(message);
-        if (letter != null && members.onLetter(clock.now(), from, letter) && store != null) {
-            store.onLetter(clock.now(), from, letter);
-            limits.onLetter(clock.now(), from, letter);
-            warm.onLetter(clock.now(), from, letter, members.self().incarnation());
+        Envelope.Message letter = Envelope.parse(message);
+        if (letter != null && members.onMessage(clock.now(), from, letter) && store != null) {
+            store.onMessage(clock.now(), from, letter);
+            limits.onMessage(clock.now(), from, letter);
+            warm.onMessage(clock.now(), from, letter, members.self().incarnation());
         }
     }
 
     @Override
     public void word(int from) {
-        members.onOldWord(clock.now(), from);
+        members.onLegacyDatagram(clock.now(), from);
     }
 
     @Override
@@ -293,12 +297,12 @@
     }
 
     @Override
-    public void note(String event) {
+    public void logEvent(String event) {
         Log.line("members: " + event);
     }
 
     /** A part of the plane, by its name in the log. */
-    private final class Says implements Host {
+    private final class Says implements Environment {
         private final String part;
 
         Says(String part) {
@@ -311,7 +315,7 @@
         }
 
         @Override
-        public void note(String event) {
+        public void logEvent(String event) {
             Log.line(part + event);
         }
     }
@@ -334,13 +338,13 @@
                             one.put("kind", word(c.verdict().kind()));
                             one.put("factor", c.verdict().factor());
                             one.put("holds", c.verdict().holds());
-                            one.put("why", c.why());
+                            one.put("why", c.reason());
                             one.put(
                                     "words",
-                                    c.words().stream()
+                                    c.reports().stream()
                                             .map(w -> Map.of(
                                                     "by",
-                                                    members.name(w.witness()),
+                                                    members.nameOf(w.witness()),
                                                     "kind",
                                                     word(w.kind()),
                                                     "count",
@@ -362,15 +366,15 @@
         view.put("self", config.name());
         view.put(
                 "limits",
-                limits.held(clock.now()).stream()
+                limits.status(clock.now()).stream()
                         .map(h -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("name", h.limit().name());
                             one.put("of", LimitWords.words(h.limit()));
                             one.put("per", h.limit().inFlight() ? "in_flight" : "per_second");
-                            one.put("most", h.limit().most());
+                            one.put("most", h.limit().max());
                             one.put("share", h.share());
-                            one.put("alone", h.alone());
+                            one.put("alone", h.baseShare());
                             one.put("lent", h.lent());
                             one.put("borrowed", h.borrowed());
                             one.put("demand", h.demand());
@@ -383,7 +387,7 @@
     /** Null where the fleet is told it, else why not. */
     String limit(String name, String of, String most, String per) {
         try {
-            limits.set(clock.now(), LimitWords.limit(name, of, per, Double.parseDouble(most), config.settings()));
+            limits.setLimit(clock.now(), LimitWords.limit(name, of, per, Double.parseDouble(most), config.settings()));
             return null;
         } catch (NumberFormatException e) {
             return "'" + most + "' is no number";
@@ -393,7 +397,7 @@
     }
 
     String unlimit(String name) {
-        return limits.unset(clock.now(), name) ? null : "no limit of this name was set by a call";
+        return limits.removeLimit(clock.now(), name) ? null : "no limit of this name was set by a call";
     }
 
     /** What releases order, in one line of JSON. */
@@ -403,7 +407,7 @@
         Map<String, Double> weights = orders.weights(servers.get());
         view.put(
                 "orders",
-                orders.look(clock.now(), members.view().here() > 1).stream()
+                orders.refresh(clock.now(), members.view().liveCount() > 1).stream()
                         .map(o -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("release", o.release());
@@ -411,12 +415,12 @@
                             one.put("step", o.step());
                             one.put("state", word(o.state()));
                             one.put("weight", o.weight());
-                            one.put("safe", o.safe());
-                            one.put("whom", o.whom().words());
+                            one.put("safe", o.safeWeight());
+                            one.put("whom", o.selector().expression());
                             one.put(
                                     "servers",
                                     servers.get().stream()
-                                            .filter(o.whom()::takes)
+                                            .filter(o.selector()::matches)
                                             .count());
                             return one;
                         })
@@ -428,29 +432,29 @@
     /** An attempt has ended. */
     void ended(String upstream, String requestClass, Balancer.Outcome outcome, long tookUs) {
         if (watch != null) {
-            watch.seen(clock.now(), upstream, requestClass, outcome, tookUs);
+            watch.recordAttempt(clock.now(), upstream, requestClass, outcome, tookUs);
         }
     }
 
     /** What was counted of a release's servers and their control, in one line of JSON. */
     String tallies(String release) {
-        return json(Map.of("self", config.name(), "tallies", watch.view(release)));
+        return json(Map.of("self", config.name(), "tallies", watch.exportTallies(release)));
     }
 
     /** Null where the fleet is told it, else why not. */
     String order(String release, String epoch, String step, String state, String weight, String safe, String whom) {
         try {
-            Order.State is = Order.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
-            String no = orders.give(
+            ReleaseOrder.State is = ReleaseOrder.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
+            String no = orders.submit(
                     clock.now(),
-                    new Order(
+                    new ReleaseOrder(
                             release,
                             Integer.parseInt(epoch),
                             Integer.parseInt(step),
                             is,
                             Double.parseDouble(weight),
                             Double.parseDouble(safe),
-                            Order.Selector.of(whom)));
+                            ReleaseOrder.Selector.parse(whom)));
             if (no == null) {
                 weigh(clock.now());
             }
@@ -475,13 +479,13 @@
     /** Its view in one line of JSON. */
     String view() {
         long now = clock.now();
-        View v = members.view();
+        MembershipView v = members.view();
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
-        view.put("here", v.here());
-        view.put("expected", v.expected());
+        view.put("here", v.liveCount());
+        view.put("expected", v.expectedCount());
         view.put("standing", v.standing().name().toLowerCase(java.util.Locale.ROOT));
-        view.put("since_ms", (now - v.sinceUs()) / 1_000);
+        view.put("since_ms", (now - v.standingSinceUs()) / 1_000);
         List<Map<String, Object>> all = new ArrayList<>();
         members.members().stream().sorted(Comparator.comparing(Member::name)).forEach(m -> {
             Map<String, Object> one = new LinkedHashMap<>();
@@ -491,7 +495,7 @@
             one.put("zone", m.zone());
             one.put("version", m.version());
             one.put("since_ms", (now - m.sinceUs()) / 1_000);
-            one.put("why", m.why());
+            one.put("why", m.reason());
             all.add(one);
         });
         view.put("members", all);
--- a/src/main/java/rushproxy/sidecar/LimitWords.java
+++ b/src/main/java/rushproxy/sidecar/LimitWords.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import rushproxy.Balancer.Scope;
 import rushproxy.Balancer.Settings;
-import rushproxy.fleet.shared.Limits;
+import rushproxy.fleet.shared.FleetLimits;
 
 /** Limits as the configuration and the operators write them. */
 final class LimitWords {
@@ -13,7 +13,7 @@
      * {@code of} is {@code all}, {@code class:NAME} or {@code tenant:NAME}, {@code per} is {@code per_second} or {@code
      * in_flight}. Throws with what is wrong: another word, a class that there is not, a number that is no limit, too long a name.
      */
-    static Limits.Limit limit(String name, String of, String per, double most, Settings settings) {
+    static FleetLimits.Limit limit(String name, String of, String per, double most, Settings settings) {
         int colon = of.indexOf(':');
         Scope scope = switch (colon < 0 ? of : of.substring(0, colon)) {
             case "all" -> Scope.ALL;
@@ -38,10 +38,10 @@
         if (!name.matches("[A-Za-z0-9._-]{1,24}")) {
             throw new IllegalArgumentException("'" + name + "' is no name of 1 to 24 letters, digits, '.', '_', '-'");
         }
-        return Limits.checked(new Limits.Limit(name, scope, whom, per.equals("in_flight"), most));
+        return FleetLimits.validated(new FleetLimits.Limit(name, scope, whom, per.equals("in_flight"), most));
     }
 
-    static String words(Limits.Limit l) {
-        return (l.scope() == Scope.ALL ? "all" : l.scope().name().toLowerCase(Locale.ROOT) + ":" + l.of());
+    static String words(FleetLimits.Limit l) {
+        return (l.scope() == Scope.ALL ? "all" : l.scope().name().toLowerCase(Locale.ROOT) + ":" + l.subject());
     }
 }
--- a/src/test/java/rushproxy/SilentServerTest.java
+++ b/src/test/java/rushproxy/SilentServerTest.java
@@ -71,14 +71,14 @@
 
     /** Each second the module is told what the fleet says. */
     private void hear(int m) {
-        List<Verdicts.Case> cases = sim.node(m).cases();
+        List<Verdicts.Assessment> cases = sim.node(m).cases();
         rig(m).policy
                 .onVerdicts(
                         rigs.get(m).now,
-                        cases.stream().map(Verdicts.Case::verdict).toList());
+                        cases.stream().map(Verdicts.Assessment::verdict).toList());
         act(m);
         boolean out = cases.stream()
-                .map(Verdicts.Case::verdict)
+                .map(Verdicts.Assessment::verdict)
                 .anyMatch(v -> v.upstream().equals("s0") && v.kind() == Evidence.SILENT && v.holds());
         boolean due = sim.us() > SILENT_FROM + FOUND && sim.us() < SILENT_TO;
         if (due && !out || sim.us() > SILENT_TO + FOUND_BACK && out) {
@@ -102,7 +102,7 @@
                     });
                 case "evidence" -> {
                     Evidence kind = Evidence.valueOf(word[2]);
-                    sim.node(m).verdicts().evidence(sim.node(m).clock(), word[1], kind, 1_000);
+                    sim.node(m).verdicts().recordEvidence(sim.node(m).clock(), word[1], kind, 1_000);
                     if (word[1].equals("s0")) {
                         told.get(m).add(new Told(sim.us(), kind));
                     }
--- a/src/test/java/rushproxy/cli/ReleaseJournalTest.java
+++ b/src/test/java/rushproxy/cli/ReleaseJournalTest.java
@@ -14,20 +14,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.fleet.release.Conductor;
-import rushproxy.fleet.release.CountedFleet;
 import rushproxy.fleet.release.Gate;
-import rushproxy.fleet.release.Order;
-import rushproxy.fleet.release.Order.State;
 import rushproxy.fleet.release.Plan;
+import rushproxy.fleet.release.ReleaseController;
+import rushproxy.fleet.release.ReleaseOrder;
+import rushproxy.fleet.release.ReleaseOrder.State;
+import rushproxy.fleet.release.SimulatedReports;
 
 /** What a controller of releases knows after it was killed. */
 class ReleaseJournalTest {
     private static final long S = 1_000_000;
-    private static final Gate.Rule RULE = new Gate.Rule(10 * S, 300 * S, 100, 0.01, 0.02, 1.25, 0.3);
+    private static final Gate.Criteria RULE = new Gate.Criteria(10 * S, 300 * S, 100, 0.01, 0.02, 1.25, 0.3);
     private static final Plan PLAN = new Plan(
             "r1",
-            Order.Selector.of("kind=new"),
+            ReleaseOrder.Selector.parse("kind=new"),
             List.of(new Plan.Stage(0.05, RULE), new Plan.Stage(0.25, RULE), new Plan.Stage(1, RULE)),
             0.05,
             5 * S);
@@ -35,13 +35,13 @@
     @TempDir
     Path folder;
 
-    private final CountedFleet fleet = new CountedFleet();
+    private final SimulatedReports fleet = new SimulatedReports();
     private long now = 1_000 * S;
 
-    private void play(Conductor c, int seconds) {
+    private void play(ReleaseController c, int seconds) {
         for (int i = 0; i < seconds; i++) {
             now += S;
-            c.reports(now, fleet.second(), 4);
+            c.onReports(now, fleet.nextSecond(), 4);
         }
     }
 
@@ -51,9 +51,9 @@
         for (boolean whole : new boolean[] {false, true}) {
             Path path = folder.resolve("fails" + whole);
             boolean[] fails = new boolean[1];
-            List<Conductor.Step> steps = new java.util.ArrayList<>();
-            new Conductor(PLAN, 1, null, now, steps::add);
-            Conductor.Step step = steps.get(0);
+            List<ReleaseController.Step> steps = new java.util.ArrayList<>();
+            new ReleaseController(PLAN, 1, null, now, steps::add);
+            ReleaseController.Step step = steps.get(0);
             try (ReleaseJournal j = new ReleaseJournal(path, (file, record) -> {
                 if (fails[0]) {
                     record.limit(whole ? record.limit() : record.limit() / 2);
@@ -83,9 +83,9 @@
             for (boolean written : new boolean[] {false, true}) {
                 Path path = folder.resolve("j" + at + written);
                 int killAt = at;
-                Conductor c = null;
+                ReleaseController c = null;
                 try (ReleaseJournal j = new ReleaseJournal(path)) {
-                    c = new Conductor(PLAN, 1, null, now, s -> {
+                    c = new ReleaseController(PLAN, 1, null, now, s -> {
                         if (s.order().step() == killAt && !written) {
                             throw new UncheckedIOException(new IOException("killed"));
                         }
@@ -101,23 +101,23 @@
                 try (ReleaseJournal j = new ReleaseJournal(path)) {
                     int known = j.steps().size();
                     assertEquals(at + (written ? 1 : 0), known);
-                    Conductor.Step last = known == 0 ? null : j.steps().get(known - 1);
-                    Conductor next = new Conductor(PLAN, 2, last, now, s -> keep(j, s));
+                    ReleaseController.Step last = known == 0 ? null : j.steps().get(known - 1);
+                    ReleaseController next = new ReleaseController(PLAN, 2, last, now, s -> keep(j, s));
                     if (last != null) {
                         assertEquals(
                                 last.order().state() + " " + last.order().weight(),
-                                next.last().order().state() + " "
-                                        + next.last().order().weight());
-                        assertEquals(2, next.last().order().epoch());
+                                next.lastStep().order().state() + " "
+                                        + next.lastStep().order().weight());
+                        assertEquals(2, next.lastStep().order().epoch());
                     }
                     play(next, 100);
-                    assertTrue(next.over() && next.last().order().state() == State.DONE, "killed at " + at);
+                    assertTrue(next.isFinished() && next.lastStep().order().state() == State.DONE, "killed at " + at);
                 }
             }
         }
     }
 
-    private static void keep(ReleaseJournal j, Conductor.Step s) {
+    private static void keep(ReleaseJournal j, ReleaseController.Step s) {
         try {
             j.append(s);
         } catch (IOException e) {
@@ -129,7 +129,7 @@
     void aTornTailIsCutOffAndASpoiltRecordToo() throws Exception {
         Path path = folder.resolve("journal");
         try (ReleaseJournal j = new ReleaseJournal(path)) {
-            new Conductor(PLAN, 1, null, now, s -> keep(j, s)).halt(now, "by hand");
+            new ReleaseController(PLAN, 1, null, now, s -> keep(j, s)).halt(now, "by hand");
             assertThrows(IOException.class, () -> new ReleaseJournal(path), "two controllers at once");
         }
         byte[] whole = Files.readAllBytes(path);
--- a/src/test/java/rushproxy/cli/ReleasePlanTest.java
+++ b/src/test/java/rushproxy/cli/ReleasePlanTest.java
@@ -18,11 +18,11 @@
         Plan p = ReleasePlan.parse("p", "name = \"r1\"\nservers = \"kind=new,zone=a\"\nfalse_halts = 0.001\n" + STAGES);
         assertEquals(
                 "r1 kind=new,zone=a 0.1 5000000",
-                p.name() + " " + p.whom().words() + " " + p.safe() + " " + p.backUs());
-        assertEquals(60_000_000, p.stages().get(0).rule().leastUs());
-        assertEquals(200, p.stages().get(0).rule().answers());
-        assertEquals(500, p.stages().get(1).rule().answers());
-        assertEquals(0.001, p.stages().get(1).rule().falseHalts());
+                p.name() + " " + p.selector().expression() + " " + p.safeWeight() + " " + p.rollbackIntervalUs());
+        assertEquals(60_000_000, p.stages().get(0).criteria().minDurationUs());
+        assertEquals(200, p.stages().get(0).criteria().minAnswers());
+        assertEquals(500, p.stages().get(1).criteria().minAnswers());
+        assertEquals(0.001, p.stages().get(1).criteria().falseHaltProbability());
     }
 
     @Test
--- a/src/test/java/rushproxy/fleet/member/MembershipTest.java
+++ b/src/test/java/rushproxy/fleet/member/MembershipTest.java
@@ -135,14 +135,14 @@
         sim.cut((from, to) -> from.number % parts != to.number % parts);
         sim.until(sim.us() + 12 * S);
         for (Node n : sim.nodes()) {
-            assertEquals(View.Standing.MINORITY, n.membership().view().standing());
-            assertEquals(12 / parts, n.membership().view().here());
+            assertEquals(MembershipView.Standing.MINORITY, n.membership().view().standing());
+            assertEquals(12 / parts, n.membership().view().liveCount());
         }
         sim.cut((from, to) -> false);
         wholeAgain(sim, HEALED_BY);
         sim.nodes()
                 .forEach(n -> assertEquals(
-                        View.Standing.MAJORITY, n.membership().view().standing()));
+                        MembershipView.Standing.MAJORITY, n.membership().view().standing()));
     }
 
     @Test
@@ -152,8 +152,11 @@
         sim.until(sim.us() + 15 * S);
         // It hears nobody, so it accuses nobody: it still counts them, and they do not count it.
         assertEquals(4, sim.seenAs(sim.node(4), Member.State.DEAD));
-        assertEquals(View.Standing.MAJORITY, sim.node(0).membership().view().standing());
-        assertEquals(View.Standing.NOBODY, sim.node(4).membership().view().standing());
+        assertEquals(
+                MembershipView.Standing.MAJORITY,
+                sim.node(0).membership().view().standing());
+        assertEquals(
+                MembershipView.Standing.NOBODY, sim.node(4).membership().view().standing());
     }
 
     @Test
@@ -176,7 +179,9 @@
         }
         sim.until(sim.us() + 8 * S);
         wholeAgain(sim, S);
-        assertEquals(View.Standing.MINORITY, sim.node(19).membership().view().standing());
+        assertEquals(
+                MembershipView.Standing.MINORITY,
+                sim.node(19).membership().view().standing());
     }
 
     @Test
@@ -190,8 +195,10 @@
         }
         sim.until(sim.us() + S);
         assertEquals(2, sim.seenAs(sim.node(0), Member.State.LEFT));
-        assertEquals(View.Standing.MAJORITY, sim.node(3).membership().view().standing());
-        assertEquals(2, sim.node(3).membership().view().expected());
+        assertEquals(
+                MembershipView.Standing.MAJORITY,
+                sim.node(3).membership().view().standing());
+        assertEquals(2, sim.node(3).membership().view().expectedCount());
         // It is back: a new process is no longer one that has left.
         sim.start(sim.node(0));
         sim.until(sim.us() + 3 * S);
@@ -212,7 +219,7 @@
                 assertFalse(
                         MemberSim.state(n, node) == Member.State.DEAD || MemberSim.state(n, node) == Member.State.LEFT,
                         "at " + n.name);
-                assertTrue(n.membership().view().here() <= 6, n.name + " counts both");
+                assertTrue(n.membership().view().liveCount() <= 6, n.name + " counts both");
             }
         }
         old.leave(1_700_000_000_000_000L + sim.us());
@@ -230,15 +237,15 @@
         Node at = sim.node(0);
         Node liar = sim.node(3);
         long victim = sim.node(1).membership().self().id();
-        long ghost = Envelope.id("ghost");
+        long ghost = Envelope.idOf("ghost");
         long incarnation = sim.node(1).membership().self().incarnation();
-        sim.deliver(liar, at, Envelope.from(victim, incarnation + 5).bytes(-1));
-        sim.deliver(liar, at, Envelope.from(ghost, incarnation).bytes(-1));
-        assertEquals(1, at.membership().member(victim).slot);
+        sim.deliver(liar, at, Envelope.from(victim, incarnation + 5).toBytes(-1));
+        sim.deliver(liar, at, Envelope.from(ghost, incarnation).toBytes(-1));
+        assertEquals(1, at.membership().member(victim).peerIndex);
         assertEquals(incarnation, at.membership().member(victim).incarnation());
         assertEquals(null, at.membership().member(ghost));
-        assertTrue(at.membership().here(victim)
-                && at.membership().here(liar.membership().self().id()));
+        assertTrue(at.membership().isLive(victim)
+                && at.membership().isLive(liar.membership().self().id()));
         // Where the place is silent it may be another's.
         sim.kill(liar);
         sim.until(8 * S);
@@ -246,8 +253,8 @@
         liar.membership().leave(1_700_000_000_000_000L + sim.us());
         sim.kill(liar);
         sim.until(12 * S);
-        sim.deliver(liar, at, Envelope.from(ghost, incarnation).bytes(-1));
-        assertEquals(3, at.membership().member(ghost).slot);
+        sim.deliver(liar, at, Envelope.from(ghost, incarnation).toBytes(-1));
+        assertEquals(3, at.membership().member(ghost).peerIndex);
     }
 
     /** One name at two places: the later stays, the earlier goes quiet, both have said so, and then it is calm. */
@@ -268,11 +275,11 @@
                 noted(sim.node(1), "another process of this name"),
                 sim.node(1).notes.toString());
         assertTrue(noted(twin, "another process of this name"), twin.notes.toString());
-        assertTrue(sim.node(1).membership().isQuiet() && !twin.membership().isQuiet());
+        assertTrue(sim.node(1).membership().isStopped() && !twin.membership().isStopped());
         int before = sim.node(0).notes.size();
         sim.until(120 * S);
         assertEquals(before, sim.node(0).notes.size(), sim.node(0).notes.toString());
-        assertEquals(4, sim.node(0).membership().view().here());
+        assertEquals(4, sim.node(0).membership().view().liveCount());
     }
 
     /** Lists of 5, 6 and 7 names in other orders: each sees those whom it can, and none is taken for another. */
@@ -295,7 +302,7 @@
                 }
             }
         }
-        assertEquals(7, sim.node(0).membership().view().here());
+        assertEquals(7, sim.node(0).membership().view().liveCount());
         sim.kill(sim.node(4));
         sim.until(sim.us() + 2 * DEAD_BY);
         assertEquals(Member.State.DEAD, MemberSim.state(sim.node(0), sim.node(4)));
@@ -331,12 +338,12 @@
         sim.start(sim.node(0));
         sim.start(sim.node(1));
         for (int i = 0; i < 40; i++) {
-            sim.node(0).membership().onOldWord(1_700_000_000_000_000L + sim.us(), 2);
+            sim.node(0).membership().onLegacyDatagram(1_700_000_000_000_000L + sim.us(), 2);
             sim.until(sim.us() + 500_000);
         }
-        assertEquals(3, sim.node(0).membership().view().here());
+        assertEquals(3, sim.node(0).membership().view().liveCount());
         sim.until(sim.us() + 12 * S);
-        assertEquals(2, sim.node(0).membership().view().here(), "it has been silent for long");
+        assertEquals(2, sim.node(0).membership().view().liveCount(), "it has been silent for long");
     }
 
     /** Bytes spoilt, cut off or made up, from a known address: nothing is thrown, and nobody is called dead by it. */
@@ -344,9 +351,10 @@
     void spoiltDatagramsChangeNothing() {
         MemberSim sim = fleet(5, 17, 0);
         SplittableRandom random = new SplittableRandom(17);
-        Envelope good =
-                Envelope.from(Envelope.id("n1"), sim.node(1).membership().self().incarnation());
-        byte[] whole = good.add(6, ByteBuffer.allocate(36).put(new byte[36])).bytes(-1);
+        Envelope good = Envelope.from(
+                Envelope.idOf("n1"), sim.node(1).membership().self().incarnation());
+        byte[] whole =
+                good.addSection(6, ByteBuffer.allocate(36).put(new byte[36])).toBytes(-1);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = Arrays.copyOf(whole, random.nextInt(2) == 0 ? whole.length : random.nextInt(whole.length));
             for (int flips = random.nextInt(4) + (bytes.length == whole.length ? 1 : 0);
@@ -368,8 +376,8 @@
         long last = (1L << 48) - 1;
         long now = sim.node(2).membership().self().incarnation();
         for (long[] lie : new long[][] {{last, 2, 0}, {now, 9, 0}, {now, 2, 77}}) {
-            ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
-            Envelope.put48(b, Envelope.id("n2"));
+            ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
+            Envelope.put48(b, Envelope.idOf("n2"));
             Envelope.put48(b, lie[0]);
             b.put((byte) lie[1])
                     .put((byte) lie[2])
@@ -380,15 +388,15 @@
                     sim.node(1),
                     n0,
                     Envelope.from(
-                                    Envelope.id("n1"),
+                                    Envelope.idOf("n1"),
                                     sim.node(1).membership().self().incarnation())
-                            .add(6, b)
-                            .bytes(-1));
+                            .addSection(6, b)
+                            .toBytes(-1));
             assertEquals(Member.State.ALIVE, MemberSim.state(n0, sim.node(2)));
-            assertEquals(now, n0.membership().member(Envelope.id("n2")).incarnation());
+            assertEquals(now, n0.membership().member(Envelope.idOf("n2")).incarnation());
         }
-        sim.deliver(sim.node(1), n0, Envelope.from(Envelope.id("n9"), last).bytes(-1));
-        assertNull(n0.membership().member(Envelope.id("n9")));
+        sim.deliver(sim.node(1), n0, Envelope.from(Envelope.idOf("n9"), last).toBytes(-1));
+        assertNull(n0.membership().member(Envelope.idOf("n9")));
     }
 
     /** A false word of a death is refuted by the one whom it calls dead. */
@@ -396,8 +404,8 @@
     void aFalseDeathIsRefuted() {
         MemberSim sim = fleet(6, 19, 0.1);
         long incarnation = sim.node(3).membership().self().incarnation();
-        ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
-        Envelope.put48(b, Envelope.id("n3"));
+        ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
+        Envelope.put48(b, Envelope.idOf("n3"));
         Envelope.put48(b, incarnation + 5);
         b.put((byte) Member.State.DEAD.ordinal())
                 .put((byte) 0)
@@ -407,9 +415,11 @@
         sim.deliver(
                 sim.node(1),
                 sim.node(0),
-                Envelope.from(Envelope.id("n1"), sim.node(1).membership().self().incarnation())
-                        .add(6, b)
-                        .bytes(-1));
+                Envelope.from(
+                                Envelope.idOf("n1"),
+                                sim.node(1).membership().self().incarnation())
+                        .addSection(6, b)
+                        .toBytes(-1));
         assertEquals(Member.State.DEAD, MemberSim.state(sim.node(0), sim.node(3)));
         sim.until(sim.us() + 2 * S);
         wholeAgain(sim, HEALED_BY);
@@ -420,14 +430,14 @@
     @Test
     void anEnvelopeNeverHasTheLengthThatIsTaken() {
         for (int section = 0; section < 200; section++) {
-            Envelope e =
-                    Envelope.from(5, 6).add(200, ByteBuffer.allocate(section).put(new byte[section]));
-            int length = e.bytes(-1).length;
-            Envelope again =
-                    Envelope.from(5, 6).add(200, ByteBuffer.allocate(section).put(new byte[section]));
-            byte[] padded = again.bytes(length);
+            Envelope e = Envelope.from(5, 6)
+                    .addSection(200, ByteBuffer.allocate(section).put(new byte[section]));
+            int length = e.toBytes(-1).length;
+            Envelope again = Envelope.from(5, 6)
+                    .addSection(200, ByteBuffer.allocate(section).put(new byte[section]));
+            byte[] padded = again.toBytes(length);
             assertEquals(length + 1, padded.length);
-            assertEquals(1, Envelope.read(padded).sections().size());
+            assertEquals(1, Envelope.parse(padded).sections().size());
         }
     }
 
--- a/src/test/java/rushproxy/fleet/release/GateTest.java
+++ b/src/test/java/rushproxy/fleet/release/GateTest.java
@@ -12,31 +12,31 @@
 /** Which stages of a release go on, wait, are halted and taken back. */
 class GateTest {
     private static final long S = 1_000_000;
-    private static final Gate.Rule RULE = Gate.Rule.USUAL;
+    private static final Gate.Criteria RULE = Gate.Criteria.DEFAULT;
 
     private static Tally tally(int good, long us, int failed, int silent) {
         Tally t = new Tally();
         for (int i = 0; i < good; i++) {
-            t.good(us + i % 10 * us / 100);
+            t.addSuccess(us + i % 10 * us / 100);
         }
         for (int i = 0; i < failed; i++) {
-            t.failed();
+            t.addFailure();
         }
         for (int i = 0; i < silent; i++) {
-            t.silent();
+            t.addTimeout();
         }
         return t;
     }
 
     /** Batches of a second until a verdict other than to wait; null where there is none in the time. */
-    private static Gate.Ruling play(
+    private static Gate.Decision play(
             Gate gate,
             int seconds,
             java.util.function.IntFunction<Tally> fresh,
             java.util.function.IntFunction<Tally> control) {
         for (int s = 0; s < seconds; s++) {
-            gate.add("read in a", fresh.apply(s), control.apply(s));
-            Gate.Ruling r = gate.rule(s * S);
+            gate.addBatch("read in a", fresh.apply(s), control.apply(s));
+            Gate.Decision r = gate.decide(s * S);
             if (r.verdict() != Verdict.WAIT) {
                 return r;
             }
@@ -52,7 +52,7 @@
             Judged j = GateFigures.judge(Release.GOOD, 60, 0.2, RULE, seed);
             halted += j.verdict() == Verdict.ON ? 0 : 1;
         }
-        assertTrue(halted <= RULE.falseHalts() * 1_000, halted + " of 1000");
+        assertTrue(halted <= RULE.falseHaltProbability() * 1_000, halted + " of 1000");
     }
 
     @Test
@@ -62,7 +62,7 @@
                 Judged j = GateFigures.judge(bad, 200, 0.2, RULE, seed);
                 assertTrue(
                         j.verdict() == Verdict.HALT || j.verdict() == Verdict.BACK, bad + ", seed " + seed + ": " + j);
-                assertTrue(j.afterS() < RULE.leastUs() / S, "before it would have gone on: " + j);
+                assertTrue(j.afterS() < RULE.minDurationUs() / S, "before it would have gone on: " + j);
             }
         }
     }
@@ -70,27 +70,27 @@
     @Test
     void whatIsBadInOneStratumAloneIsFound() {
         Gate gate = new Gate(RULE);
-        Gate.Ruling r = null;
+        Gate.Decision r = null;
         for (int s = 0; s < 60 && (r == null || r.verdict() == Verdict.WAIT); s++) {
             for (int zone = 0; zone < 5; zone++) {
-                gate.add("read in z" + zone, tally(20, 10_000, zone == 3 ? 6 : 0, 0), tally(60, 10_000, 0, 0));
+                gate.addBatch("read in z" + zone, tally(20, 10_000, zone == 3 ? 6 : 0, 0), tally(60, 10_000, 0, 0));
             }
-            r = gate.rule(s * S);
+            r = gate.decide(s * S);
         }
-        assertTrue(r.verdict() != Verdict.ON && r.why().contains("most in read in z3"), r.toString());
+        assertTrue(r.verdict() != Verdict.ON && r.reason().contains("most in read in z3"), r.toString());
     }
 
     @Test
     void errorsThatComeFastAreNoGoodLatency() {
-        Gate.Ruling r = play(new Gate(RULE), 60, s -> tally(5, 1_000, 10, 0), s -> tally(60, 10_000, 0, 0));
+        Gate.Decision r = play(new Gate(RULE), 60, s -> tally(5, 1_000, 10, 0), s -> tally(60, 10_000, 0, 0));
         assertTrue(r.verdict() == Verdict.HALT || r.verdict() == Verdict.BACK);
-        assertTrue(r.why().startsWith("failures"), r.why());
+        assertTrue(r.reason().startsWith("failures"), r.reason());
     }
 
     @Test
     void goodForAMinuteAndThenBadIsFoundWhileTheStageLasts() {
-        Gate.Rule slow = new Gate.Rule(120 * S, 600 * S, 200, 0.01, 0.02, 1.25, 0.3);
-        Gate.Ruling r =
+        Gate.Criteria slow = new Gate.Criteria(120 * S, 600 * S, 200, 0.01, 0.02, 1.25, 0.3);
+        Gate.Decision r =
                 play(new Gate(slow), 115, s -> tally(20, 10_000, s < 60 ? 0 : 4, 0), s -> tally(60, 10_000, 0, 0));
         assertTrue(r.verdict() != Verdict.ON, r.toString());
     }
@@ -101,38 +101,38 @@
         assertEquals(null, play(gate, 60, s -> tally(10, 10_000, 10, 0), s -> tally(30, 10_000, 30, 0)));
         assertEquals(
                 "control servers fail too: nothing can be told",
-                gate.rule(60 * S).why());
+                gate.decide(60 * S).reason());
         // And slowness of both is none of the new ones'.
         Gate other = new Gate(RULE);
-        Gate.Ruling r = play(
+        Gate.Decision r = play(
                 other,
                 60,
                 s -> tally(20, s < 10 ? 10_000 : 40_000, 0, 0),
                 s -> tally(60, s < 10 ? 10_000 : 40_000, 0, 0));
-        assertEquals(Verdict.ON, r.verdict(), r.why());
+        assertEquals(Verdict.ON, r.verdict(), r.reason());
     }
 
     @Test
     void withTooLittleTrafficItWaitsAndSaysWhatIsMissingAndEndsInAHalt() {
         Gate gate = new Gate(RULE);
         for (int minute = 0; minute < 9; minute++) {
-            gate.add("read in a", tally(1, 10_000, 0, 0), tally(2, 10_000, 0, 0));
-            Gate.Ruling r = gate.rule(minute * 60 * S);
+            gate.addBatch("read in a", tally(1, 10_000, 0, 0), tally(2, 10_000, 0, 0));
+            Gate.Decision r = gate.decide(minute * 60 * S);
             assertEquals(Verdict.WAIT, r.verdict());
             assertEquals(
                     (minute + 1) + " answers of new and " + 2 * (minute + 1)
                             + " of control servers, 200 of each are wanted",
-                    r.why());
+                    r.reason());
         }
-        Gate.Ruling r = gate.rule(600 * S);
-        assertTrue(r.verdict() == Verdict.HALT && r.why().startsWith("it can't be told in time"), r.toString());
+        Gate.Decision r = gate.decide(600 * S);
+        assertTrue(r.verdict() == Verdict.HALT && r.reason().startsWith("it can't be told in time"), r.toString());
     }
 
     @Test
     void withoutControlNothingIsToldFor() {
-        Gate.Ruling r = play(new Gate(RULE), 700, s -> tally(20, 10_000, 10, 0), s -> new Tally());
+        Gate.Decision r = play(new Gate(RULE), 700, s -> tally(20, 10_000, 10, 0), s -> new Tally());
         assertEquals(Verdict.HALT, r.verdict());
-        assertTrue(r.why().contains("0 of control"), r.why());
+        assertTrue(r.reason().contains("0 of control"), r.reason());
     }
 
     @Test
@@ -140,8 +140,9 @@
         Tally before = tally(10, 10_000, 2, 1);
         Tally after = tally(15, 10_000, 2, 4);
         Tally d = after.since(before);
-        assertEquals("8 0 3 5", d.asked() + " " + d.failures() + " " + d.silences() + " " + d.answered());
+        assertEquals("8 0 3 5", d.attempts() + " " + d.failures() + " " + d.timeouts() + " " + d.successes());
         Tally anew = tally(3, 10_000, 0, 0).since(before);
-        assertEquals("3 0 0 3", anew.asked() + " " + anew.failures() + " " + anew.silences() + " " + anew.answered());
+        assertEquals(
+                "3 0 0 3", anew.attempts() + " " + anew.failures() + " " + anew.timeouts() + " " + anew.successes());
     }
 }
