--- a/src/test/java/rushproxy/fleet/release/ConductorTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseControllerTest.java
@@ -11,23 +11,23 @@
 import org.junit.jupiter.api.Test;
 
 /** The controller of a release: its stages, its end, its way back, and what it knows after it was killed. */
-class ConductorTest {
+class ReleaseControllerTest {
     private static final long S = 1_000_000;
-    static final Gate.Rule RULE = new Gate.Rule(10 * S, 300 * S, 100, 0.01, 0.02, 1.25, 0.3);
+    static final Gate.Criteria RULE = new Gate.Criteria(10 * S, 300 * S, 100, 0.01, 0.02, 1.25, 0.3);
     static final Plan PLAN = new Plan(
             "r1",
-            Order.Selector.of("kind=new"),
+            ReleaseOrder.Selector.parse("kind=new"),
             List.of(new Plan.Stage(0.05, RULE), new Plan.Stage(0.25, RULE), new Plan.Stage(1, RULE)),
             0.05,
             5 * S);
-    private final CountedFleet fleet = new CountedFleet();
-    private final List<Conductor.Step> kept = new ArrayList<>();
+    private final SimulatedReports fleet = new SimulatedReports();
+    private final List<ReleaseController.Step> kept = new ArrayList<>();
     private long now = 1_000 * S;
 
-    private void play(Conductor c, int seconds) {
+    private void play(ReleaseController c, int seconds) {
         for (int i = 0; i < seconds; i++) {
             now += S;
-            c.reports(now, fleet.second(), 4);
+            c.onReports(now, fleet.nextSecond(), 4);
         }
     }
 
@@ -41,24 +41,24 @@
 
     @Test
     void aGoodReleaseGoesThroughItsStagesToItsEnd() {
-        Conductor c = new Conductor(PLAN, 1, null, now, kept::add);
+        ReleaseController c = new ReleaseController(PLAN, 1, null, now, kept::add);
         play(c, 9);
         assertEquals("ON:0.05", steps());
-        assertTrue(c.waitsFor().endsWith("of 10 s"), c.waitsFor());
+        assertTrue(c.waitReason().endsWith("of 10 s"), c.waitReason());
         play(c, 60);
         assertEquals("ON:0.05 ON:0.25 ON:1.0 DONE:1.0", steps());
-        assertTrue(c.over());
+        assertTrue(c.isFinished());
     }
 
     @Test
     void aBadOneIsHaltedOrTakenBackByHalvesDownToNothing() {
-        Conductor c = new Conductor(PLAN, 1, null, now, kept::add);
+        ReleaseController c = new ReleaseController(PLAN, 1, null, now, kept::add);
         play(c, 15);
-        fleet.badOf20 = 8;
+        fleet.failuresPer20 = 8;
         play(c, 40);
-        assertTrue(c.over());
-        assertEquals(0, c.last().order().weight());
-        assertTrue(kept.get(2).why().startsWith("failures"), kept.get(2).why());
+        assertTrue(c.isFinished());
+        assertEquals(0, c.lastStep().order().weight());
+        assertTrue(kept.get(2).reason().startsWith("failures"), kept.get(2).reason());
         for (int i = 3; i < kept.size(); i++) {
             assertTrue(kept.get(i).order().weight() <= kept.get(i - 1).order().weight() / 2 + 1e-9, steps());
         }
@@ -66,43 +66,45 @@
 
     @Test
     void aHaltKeepsWeightsUntilOperatorsGoOnOrBack() {
-        Conductor c = new Conductor(PLAN, 1, null, now, kept::add);
+        ReleaseController c = new ReleaseController(PLAN, 1, null, now, kept::add);
         play(c, 15);
         c.halt(now, "by hand");
         play(c, 100);
         assertEquals("ON:0.05 ON:0.25 HALTED:0.25", steps());
         c.resume(now, "by hand");
         play(c, 12);
-        c.back(now, "by hand");
+        c.rollBack(now, "by hand");
         play(c, 3);
         c.halt(now, "the way back too");
         play(c, 20);
         assertEquals("ON:0.05 ON:0.25 HALTED:0.25 ON:0.25 ON:1.0 BACK:0.5 HALTED:0.5", steps());
         c.abort(now, "by hand");
-        assertTrue(c.over());
-        assertEquals(0, c.last().order().weight());
+        assertTrue(c.isFinished());
+        assertEquals(0, c.lastStep().order().weight());
     }
 
     @Test
     void withoutMostOfTheSidecarsNothingGoesOn() {
-        Conductor c = new Conductor(PLAN, 1, null, now, kept::add);
-        fleet.reach = 2;
+        ReleaseController c = new ReleaseController(PLAN, 1, null, now, kept::add);
+        fleet.reachableSidecars = 2;
         play(c, 200);
         assertEquals("ON:0.05", steps());
-        assertEquals("2 of 4 sidecars report, more than half are wanted", c.waitsFor());
-        fleet.reach = 3;
+        assertEquals("2 of 4 sidecars report, more than half are wanted", c.waitReason());
+        fleet.reachableSidecars = 3;
         play(c, 15);
         assertEquals("ON:0.05 ON:0.25", steps());
     }
 
     @Test
     void plansThatCantBeAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new Plan("r", Order.Selector.of("kind=k"), List.of(), 0, S));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Plan("r", ReleaseOrder.Selector.parse("kind=k"), List.of(), 0, S));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new Plan(
                         "r",
-                        Order.Selector.of("kind=k"),
+                        ReleaseOrder.Selector.parse("kind=k"),
                         List.of(new Plan.Stage(0.5, RULE), new Plan.Stage(0.2, RULE)),
                         0,
                         S));
@@ -111,18 +113,18 @@
     @Test
     void whatWasSeenGoesThroughItsTextUnchanged() {
         Tally t = new Tally();
-        t.good(5_000);
-        t.good(7_000);
-        t.failed();
-        t.silent();
-        Watch w = new Watch(null, 0);
-        assertTrue(w.view("none").isEmpty());
-        Tally again = Watch.read(4, 1, 1, text(t));
-        assertEquals(4, again.asked());
+        t.addSuccess(5_000);
+        t.addSuccess(7_000);
+        t.addFailure();
+        t.addTimeout();
+        ReleaseMonitor w = new ReleaseMonitor(null, 0);
+        assertTrue(w.exportTallies("none").isEmpty());
+        Tally again = ReleaseMonitor.parseTally(4, 1, 1, text(t));
+        assertEquals(4, again.attempts());
         assertEquals(t.percentileUs(50), again.percentileUs(50));
-        assertThrows(IllegalArgumentException.class, () -> Watch.read(9, 1, 1, text(t)));
-        assertThrows(IllegalArgumentException.class, () -> Watch.read(4, 1, 1, "AAAA"));
-        assertThrows(IllegalArgumentException.class, () -> Watch.read(4, 1, 1, "no base64"));
+        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(9, 1, 1, text(t)));
+        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(4, 1, 1, "AAAA"));
+        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(4, 1, 1, "no base64"));
         assertFalse(text(t).isEmpty());
     }
 
--- a/src/test/java/rushproxy/fleet/release/OrdersTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
@@ -16,10 +16,10 @@
 import rushproxy.lab.sim.SharedSim;
 
 /** What controllers of releases order, as each sidecar of a simulated fleet follows it. */
-class OrdersTest {
+class ReleaseOrdersTest {
     private static final long S = 1_000_000;
     private SharedSim sim;
-    private Orders[] orders;
+    private ReleaseOrders[] orders;
 
     @BeforeEach
     void start() {
@@ -27,9 +27,9 @@
                 .tables(Table.VERDICTS, Table.LIMITS, Table.COUNTS, Table.ORDERS);
         sim.startAll();
         sim.until(2 * S);
-        orders = new Orders[6];
+        orders = new ReleaseOrders[6];
         for (int i = 0; i < 6; i++) {
-            orders[i] = new Orders(sim.node(i).store(), sim.node(i).clock(), sim.node(i));
+            orders[i] = new ReleaseOrders(sim.node(i).store(), sim.node(i).clock(), sim.node(i));
         }
     }
 
@@ -37,30 +37,30 @@
         return new Upstream(id, zone, kind, pod, startedMs * 1_000, 1, UpstreamState.READY);
     }
 
-    private static Order order(int epoch, int step, Order.State state, double weight) {
-        return new Order("r1", epoch, step, state, weight, 0.05, Order.Selector.of("kind=new"));
+    private static ReleaseOrder order(int epoch, int step, ReleaseOrder.State state, double weight) {
+        return new ReleaseOrder("r1", epoch, step, state, weight, 0.05, ReleaseOrder.Selector.parse("kind=new"));
     }
 
-    private String give(int at, Order o) {
-        return orders[at].give(sim.node(at).clock(), o);
+    private String give(int at, ReleaseOrder o) {
+        return orders[at].submit(sim.node(at).clock(), o);
     }
 
     /** The weight that the node gives to a new server now. */
     private double weight(int at, boolean heard) {
-        orders[at].look(sim.node(at).clock(), heard);
+        orders[at].refresh(sim.node(at).clock(), heard);
         return orders[at].weights(List.of(up("s1", "new", "a", 1, 0))).getOrDefault("s1", 1.0);
     }
 
     @Test
     void anOrderToOneIsAllsWithinTheBoundOfTheStore() {
-        assertNull(give(2, order(1, 0, Order.State.ON, 0.1)));
+        assertNull(give(2, order(1, 0, ReleaseOrder.State.ON, 0.1)));
         sim.until(8 * S);
         for (int at = 0; at < 6; at++) {
             assertEquals(0.1, weight(at, true));
         }
         assertTrue(sim.node(5).notes.stream()
                 .anyMatch(n -> n.contains("release r1, epoch 1, step 0: on, weight 0.1 for kind=new")));
-        assertNull(give(0, order(1, 1, Order.State.DONE, 1)));
+        assertNull(give(0, order(1, 1, ReleaseOrder.State.DONE, 1)));
         sim.until(14 * S);
         assertEquals(1, weight(3, true));
     }
@@ -69,10 +69,10 @@
     @Test
     void theLaterEpochWinsAndTheOlderIsRefused() {
         sim.cut((a, b) -> a < 3 != b < 3);
-        assertNull(give(0, order(2, 0, Order.State.HALTED, 0.2)));
+        assertNull(give(0, order(2, 0, ReleaseOrder.State.HALTED, 0.2)));
         sim.until(3 * S);
         // Later in time, older by epoch, behind a cut.
-        assertNull(give(5, order(1, 7, Order.State.ON, 0.9)));
+        assertNull(give(5, order(1, 7, ReleaseOrder.State.ON, 0.9)));
         sim.until(10 * S);
         assertEquals(0.2, weight(1, true));
         assertEquals(0.9, weight(4, true));
@@ -80,46 +80,54 @@
         sim.until(25 * S);
         for (int at = 0; at < 6; at++) {
             assertEquals(0.2, weight(at, true), "n" + at);
-            assertEquals("epoch 2, step 0 is known", give(at, order(1, 8, Order.State.ON, 1)));
+            assertEquals("epoch 2, step 0 is known", give(at, order(1, 8, ReleaseOrder.State.ON, 1)));
         }
-        assertNull(give(4, order(2, 0, Order.State.HALTED, 0.2)), "said again");
-        assertEquals("another order of this epoch and step is known", give(4, order(2, 0, Order.State.ON, 0.5)));
+        assertNull(give(4, order(2, 0, ReleaseOrder.State.HALTED, 0.2)), "said again");
+        assertEquals("another order of this epoch and step is known", give(4, order(2, 0, ReleaseOrder.State.ON, 0.5)));
     }
 
     @Test
     void whoIsCutOffKeepsTheLastOrderForAWhileAndIsThenSafe() {
-        assertNull(give(0, order(1, 2, Order.State.ON, 0.5)));
+        assertNull(give(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
         sim.until(8 * S);
         assertEquals(0.5, weight(5, true));
         sim.cut((a, b) -> a == 5 || b == 5);
-        sim.until(8 * S + Orders.KEEPS_US - S);
+        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US - S);
         assertEquals(0.5, weight(5, false));
-        sim.until(8 * S + Orders.KEEPS_US + S);
+        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US + S);
         assertEquals(0.05, weight(5, false));
         assertEquals(0.5, weight(1, true));
         sim.cut((a, b) -> false);
-        sim.until(8 * S + Orders.KEEPS_US + 10 * S);
+        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US + 10 * S);
         assertEquals(0.5, weight(5, true));
     }
 
     @Test
     void oneThatStartsAnewLearnsTheOrder() {
-        assertNull(give(0, order(1, 2, Order.State.ON, 0.5)));
+        assertNull(give(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
         sim.until(8 * S);
         sim.kill(sim.node(3));
         sim.until(9 * S);
         sim.start(sim.node(3));
-        orders[3] = new Orders(sim.node(3).store(), sim.node(3).clock(), sim.node(3));
+        orders[3] = new ReleaseOrders(sim.node(3).store(), sim.node(3).clock(), sim.node(3));
         sim.until(14 * S);
         assertEquals(0.5, weight(3, true));
     }
 
     @Test
     void ofTwoReleasesTheLowerWeightHolds() {
-        assertNull(give(0, order(1, 0, Order.State.ON, 0.5)));
-        assertNull(
-                give(0, new Order("r2", 1, 0, Order.State.ON, 0.2, 0, Order.Selector.of("zone=a,started-after=1000"))));
-        orders[0].look(sim.node(0).clock(), true);
+        assertNull(give(0, order(1, 0, ReleaseOrder.State.ON, 0.5)));
+        assertNull(give(
+                0,
+                new ReleaseOrder(
+                        "r2",
+                        1,
+                        0,
+                        ReleaseOrder.State.ON,
+                        0.2,
+                        0,
+                        ReleaseOrder.Selector.parse("zone=a,started-after=1000"))));
+        orders[0].refresh(sim.node(0).clock(), true);
         Upstream both = up("s1", "new", "a", 1, 2_000);
         assertEquals(
                 Map.of("s1", 0.2, "s2", 0.5, "s3", 0.2),
@@ -128,15 +136,15 @@
                         up("s2", "new", "b", 1, 0),
                         up("s3", "old", "a", 1, 1_001),
                         up("s4", "old", "a", 1, 1_000))));
-        assertEquals(2, orders[0].of(both).size());
+        assertEquals(2, orders[0].releasesOf(both).size());
     }
 
     @Test
     void selectorsSayWhatIsWrongWithThem() {
         for (String words : new String[] {"kind=k,zone=z,pod=3,started-after=17", "ids=a+b+c", "pod=-1"}) {
-            assertEquals(words, Order.Selector.of(words).words());
+            assertEquals(words, ReleaseOrder.Selector.parse(words).expression());
         }
-        assertTrue(Order.Selector.of("ids=a+b").takes(up("b", "k", "z", 1, 0)));
+        assertTrue(ReleaseOrder.Selector.parse("ids=a+b").matches(up("b", "k", "z", 1, 0)));
         for (String[] bad : new String[][] {
             {"", "'' is no NAME=VALUE"},
             {"kind", "'kind' is no NAME=VALUE"},
@@ -144,40 +152,41 @@
             {"color=red", "'color' is not ids, kind, zone, pod or started-after"},
             {"ids=a,kind=k", "ids go with nothing else"}
         }) {
-            String said = assertThrows(IllegalArgumentException.class, () -> Order.Selector.of(bad[0]))
+            String said = assertThrows(IllegalArgumentException.class, () -> ReleaseOrder.Selector.parse(bad[0]))
                     .getMessage();
             assertTrue(said.contains(bad[1]), said);
         }
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Order(
+                () -> new ReleaseOrder(
                         "r",
                         1,
                         0,
-                        Order.State.ON,
+                        ReleaseOrder.State.ON,
                         1,
                         0,
-                        Order.Selector.of("ids=" + "server-of-a-long-name+".repeat(8) + "x")));
+                        ReleaseOrder.Selector.parse("ids=" + "server-of-a-long-name+".repeat(8) + "x")));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Order("r", 0, 0, Order.State.ON, 1, 0, Order.Selector.of("kind=k")));
+                () -> new ReleaseOrder("r", 0, 0, ReleaseOrder.State.ON, 1, 0, ReleaseOrder.Selector.parse("kind=k")));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Order("r", 1, 0, Order.State.ON, 1.1, 0, Order.Selector.of("kind=k")));
+                () -> new ReleaseOrder(
+                        "r", 1, 0, ReleaseOrder.State.ON, 1.1, 0, ReleaseOrder.Selector.parse("kind=k")));
     }
 
     @Test
     void bytesAreAnOrderOrNothing() {
-        Order o = order(3, 4, Order.State.BACK, 0.25);
-        assertEquals(o, Order.of(o.bytes()));
+        ReleaseOrder o = order(3, 4, ReleaseOrder.State.BACK, 0.25);
+        assertEquals(o, ReleaseOrder.decode(o.encode()));
         Random draw = new Random(5);
         for (int i = 0; i < 20_000; i++) {
             byte[] noise = new byte[draw.nextInt(60)];
             draw.nextBytes(noise);
-            Order.of(noise);
-            byte[] near = o.bytes();
+            ReleaseOrder.decode(noise);
+            byte[] near = o.encode();
             near[draw.nextInt(near.length)] = (byte) draw.nextInt();
-            Order.of(near);
+            ReleaseOrder.decode(near);
         }
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/LimitsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/FleetLimitsTest.java
@@ -11,16 +11,16 @@
 import rushproxy.Balancer.Scope;
 import rushproxy.Balancer.Share;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 import rushproxy.lab.sim.SharedFigures;
 import rushproxy.lab.sim.SharedSim;
 
 /** Leased shares of a limit: together never more than the limit, and where the demand is. */
-class LimitsTest {
+class FleetLimitsTest {
     private static final long S = 1_000_000;
     private static final double MOST = 100;
-    private static final Limits.Limit ALL = new Limits.Limit("all", Scope.ALL, "", false, MOST);
+    private static final FleetLimits.Limit ALL = new FleetLimits.Limit("all", Scope.ALL, "", false, MOST);
 
     private static double share(SharedSim.Node n) {
         return n.limits().shares(n.clock(), S).get(0).share();
@@ -29,7 +29,7 @@
     private static double sum(SharedSim sim) {
         return sim.nodes().stream()
                 .filter(SharedSim.Node::up)
-                .mapToDouble(LimitsTest::share)
+                .mapToDouble(FleetLimitsTest::share)
                 .sum();
     }
 
@@ -37,7 +37,7 @@
         sim.later(everyUs, () -> {
             sim.nodes().stream()
                     .filter(SharedSim.Node::up)
-                    .forEach(n -> n.limits().demand(n.clock(), "all", of.applyAsDouble(n.number)));
+                    .forEach(n -> n.limits().recordDemand(n.clock(), "all", of.applyAsDouble(n.number)));
             demand(sim, everyUs, of);
         });
     }
@@ -92,7 +92,7 @@
         sim.until(8 * S);
         assertTrue(share(sim.node(0)) > 60);
         sim.cut((a, b) -> a == 0 || b == 0);
-        sim.until(8 * S + Limits.LEASE_US + S);
+        sim.until(8 * S + FleetLimits.LEASE_US + S);
         sim.nodes().forEach(n -> assertEquals(MOST / 5, share(n), 1e-9, "n" + n.number));
     }
 
@@ -115,8 +115,10 @@
         SharedSim sim = new SharedSim(6, 4, 1, 0.1, 0, 30_000).limits(ALL);
         sim.startAll();
         sim.until(4 * S);
-        sim.node(1).limits().set(sim.node(1).clock(), new Limits.Limit("all", Scope.ALL, "", false, 40));
-        sim.node(2).limits().set(sim.node(2).clock(), new Limits.Limit("orders", Scope.CLASS, "order", true, 8));
+        sim.node(1).limits().setLimit(sim.node(1).clock(), new FleetLimits.Limit("all", Scope.ALL, "", false, 40));
+        sim.node(2)
+                .limits()
+                .setLimit(sim.node(2).clock(), new FleetLimits.Limit("orders", Scope.CLASS, "order", true, 8));
         sim.until(10 * S);
         for (SharedSim.Node n : sim.nodes()) {
             assertEquals(10, share(n), 1e-6);
@@ -126,14 +128,14 @@
                     && orders.of().equals("order")
                     && orders.share() == 2);
         }
-        assertTrue(sim.node(3).limits().unset(sim.node(3).clock(), "all"));
-        assertFalse(sim.node(3).limits().unset(sim.node(3).clock(), "none"));
+        assertTrue(sim.node(3).limits().removeLimit(sim.node(3).clock(), "all"));
+        assertFalse(sim.node(3).limits().removeLimit(sim.node(3).clock(), "none"));
         sim.until(16 * S);
         sim.nodes().forEach(n -> assertEquals(25, share(n), 1e-6));
         String text = "x".repeat(41);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Limits.checked(new Limits.Limit("n", Scope.TENANT, text, false, 1)));
+                () -> FleetLimits.validated(new FleetLimits.Limit("n", Scope.TENANT, text, false, 1)));
     }
 
     @Test
@@ -149,11 +151,11 @@
     void oneLendsToMoreThanAThousand() {
         int fleet = 1_100;
         List<Integer> lentTo = new java.util.ArrayList<>();
-        Host host = new Host() {
+        Environment host = new Environment() {
             @Override
             public void send(int peer, byte[] datagram) {
                 java.nio.ByteBuffer b = java.nio.ByteBuffer.wrap(
-                        Envelope.read(datagram).sections().get(0).bytes());
+                        Envelope.parse(datagram).sections().get(0).bytes());
                 Envelope.get48(b);
                 b.getShort();
                 if (b.getFloat() > 0) {
@@ -162,40 +164,41 @@
             }
 
             @Override
-            public void note(String event) {}
+            public void logEvent(String event) {}
         };
-        Group group = new Group() {
+        PeerDirectory group = new PeerDirectory() {
             @Override
             public int size() {
                 return fleet;
             }
 
             @Override
-            public int one(int part, java.util.SplittableRandom random) {
+            public int randomPeer(int part, java.util.SplittableRandom random) {
                 return -1;
             }
 
             @Override
-            public boolean here(long member) {
+            public boolean isLive(long member) {
                 return true;
             }
 
             @Override
-            public String name(long member) {
+            public String nameOf(long member) {
                 return "" + member;
             }
         };
-        Store store = new Store(1, 2, -1, List.of(Table.LIMITS), 0, 1, group, host);
-        Limits lender = new Limits(1, fleet, 2, -1, store, List.of(ALL), 0, 1, group, host);
-        long now = 2 * Limits.LEASE_US;
+        ReplicatedStore store = new ReplicatedStore(1, 2, -1, List.of(Table.LIMITS), 0, 1, group, host);
+        FleetLimits lender = new FleetLimits(1, fleet, 2, -1, store, List.of(ALL), 0, 1, group, host);
+        long now = 2 * FleetLimits.LEASE_US;
         for (int i = 1; i < fleet; i++) {
             java.nio.ByteBuffer ask = java.nio.ByteBuffer.allocate(16);
-            Envelope.put48(ask, Envelope.id("all"));
+            Envelope.put48(ask, Envelope.idOf("all"));
             ask.putShort((short) 1).putFloat((float) (MOST / fleet / fleet / 2)).putFloat((float) MOST);
-            lender.onLetter(
+            lender.onMessage(
                     now,
                     i,
-                    Envelope.read(Envelope.from(1_000 + i, 1).add(30, ask).bytes(-1)));
+                    Envelope.parse(
+                            Envelope.from(1_000 + i, 1).addSection(30, ask).toBytes(-1)));
         }
         assertEquals(fleet - 1, lentTo.size());
     }
--- a/src/test/java/rushproxy/fleet/shared/StoreTest.java
+++ b/src/test/java/rushproxy/fleet/shared/ReplicatedStoreTest.java
@@ -17,7 +17,7 @@
 import rushproxy.lab.sim.SharedSim;
 
 /** The store on a simulated network: what is written is known everywhere within its bounds, whatever happens between. */
-class StoreTest {
+class ReplicatedStoreTest {
     private static final long S = 1_000_000;
     private static final long DAY = 86_400 * S;
 
@@ -33,7 +33,7 @@
     }
 
     private static Integer limit(SharedSim.Node n, long key) {
-        Read r = n.store().read(n.clock(), Table.LIMITS, key, 0);
+        StoredEntry r = n.store().read(n.clock(), Table.LIMITS, key, 0);
         return r == null ? null : ByteBuffer.wrap(r.value()).getInt();
     }
 
@@ -66,7 +66,7 @@
                     case 3 -> sim.kill(n);
                     case 4 -> sim.start(n);
                     case 5 ->
-                        sim.node(step % 9).store().drop(sim.node(step % 9).clock(), Table.LIMITS, draw.nextInt(4));
+                        sim.node(step % 9).store().remove(sim.node(step % 9).clock(), Table.LIMITS, draw.nextInt(4));
                     default -> {
                         if (n.up()) {
                             n.store()
@@ -134,7 +134,7 @@
         assertEquals(1, limit(sim.node(3), 7));
         // Only comparisons run in this day: the fleet is small, and nothing is told.
         sim.cut((a, b) -> a == 3 || b == 3);
-        sim.node(1).store().drop(sim.node(1).clock(), Table.LIMITS, 7);
+        sim.node(1).store().remove(sim.node(1).clock(), Table.LIMITS, 7);
         sim.until(10 * S);
         assertNull(limit(sim.node(2), 7));
         sim.until(DAY + 60 * S);
@@ -151,14 +151,14 @@
         long id = sim.node(0).id;
         sim.node(0).store().put(sim.node(0).clock(), Table.VERDICTS, 7, value(1));
         sim.until(6 * S);
-        Read r = sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id);
-        assertTrue(r.holds() && Math.abs(r.ageUs() - 4 * S) < S / 2, r.toString());
+        StoredEntry r = sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id);
+        assertTrue(r.fresh() && Math.abs(r.ageUs() - 4 * S) < S / 2, r.toString());
         sim.cut((a, b) -> true);
         sim.until(12 * S);
         assertFalse(sim.node(2)
                 .store()
                 .read(sim.node(2).clock(), Table.VERDICTS, 7, id)
-                .holds());
+                .fresh());
         sim.until(18 * S);
         assertNull(sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id), "its lease has ended");
     }
@@ -176,7 +176,7 @@
         }
         sim.until(30 * S);
         assertTrue(sim.agree());
-        List<Read> kept = sim.node(0).store().all(sim.node(0).clock(), small);
+        List<StoredEntry> kept = sim.node(0).store().readAll(sim.node(0).clock(), small);
         assertEquals(20, kept.size());
         kept.forEach(r ->
                 assertTrue(kept.stream().filter(o -> o.key() == r.key()).count() <= 2));
@@ -215,7 +215,7 @@
             Envelope.put48(b, 7);
             Envelope.put48(b, sim.node(forged).id);
             b.putLong(liar.clock() / 1_000 << 16).putInt(10_000).put((byte) 4).put(value(1));
-            byte[] lie = Envelope.from(liar.id, 1).add(21, b).bytes(-1);
+            byte[] lie = Envelope.from(liar.id, 1).addSection(21, b).toBytes(-1);
             for (int to = 0; to < 4; to++) {
                 sim.deliver(liar, sim.node(to), lie);
                 sim.deliver(liar, sim.node(to), lie);
@@ -226,7 +226,7 @@
             assertTrue(
                     sim.node(at)
                             .store()
-                            .all(sim.node(at).clock(), Table.VERDICTS)
+                            .readAll(sim.node(at).clock(), Table.VERDICTS)
                             .isEmpty(),
                     "n" + at);
         }
@@ -243,8 +243,8 @@
             byte[] bytes = new byte[draw.nextInt(200)];
             draw.nextBytes(bytes);
             byte[] noise = Envelope.from(sim.node(0).id, 1)
-                    .add(20 + draw.nextInt(6), ByteBuffer.allocate(200).put(bytes))
-                    .bytes(-1);
+                    .addSection(20 + draw.nextInt(6), ByteBuffer.allocate(200).put(bytes))
+                    .toBytes(-1);
             sim.deliver(sim.node(0), sim.node(1), noise);
         }
         assertEquals(1, limit(sim.node(1), 7));
@@ -255,9 +255,9 @@
     @Test
     void countersOfAProcessAddUpOverItsRestarts() {
         SharedSim sim = fleet(13, 4, 0.1);
-        Counts[] counts = new Counts[4];
+        FleetCounters[] counts = new FleetCounters[4];
         for (int i = 0; i < 4; i++) {
-            counts[i] = new Counts(sim.node(i).store(), 100 + i);
+            counts[i] = new FleetCounters(sim.node(i).store(), 100 + i);
             counts[i].add("asked", 10 * (i + 1));
             counts[i].onTick(sim.node(i).clock());
         }
@@ -266,12 +266,12 @@
         sim.until(9 * S);
         sim.start(sim.node(0));
         sim.until(15 * S);
-        counts[0] = new Counts(sim.node(0).store(), 200);
+        counts[0] = new FleetCounters(sim.node(0).store(), 200);
         counts[0].add("asked", 5);
         counts[0].onTick(sim.node(0).clock());
         sim.until(25 * S);
         for (int i = 0; i < 4; i++) {
-            assertEquals(105, counts[i].total(sim.node(i).clock(), "asked"), "n" + i);
+            assertEquals(105, counts[i].sum(sim.node(i).clock(), "asked"), "n" + i);
         }
     }
 
@@ -292,7 +292,11 @@
             }
             assertEquals(1_024, own, n.notes.toString());
         }
-        assertTrue(Table.VERDICTS.most() >= 1_024 * Table.VERDICTS.mostPerKey(), "all witnesses of all servers");
-        assertTrue(Table.COUNTS.mostPerKey() >= 1_024 && Table.COUNTS.most() >= 1_024, "a counter of each process");
+        assertTrue(
+                Table.VERDICTS.maxEntries() >= 1_024 * Table.VERDICTS.maxWritersPerKey(),
+                "all witnesses of all servers");
+        assertTrue(
+                Table.COUNTS.maxWritersPerKey() >= 1_024 && Table.COUNTS.maxEntries() >= 1_024,
+                "a counter of each process");
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -33,7 +33,7 @@
     private void sees(String server, Evidence kind, double factor, long untilUs, int... members) {
         for (int m : members) {
             if (sim.node(m).up()) {
-                sim.node(m).verdicts().evidence(sim.node(m).clock(), server, kind, factor);
+                sim.node(m).verdicts().recordEvidence(sim.node(m).clock(), server, kind, factor);
             }
         }
         if (sim.us() + S < untilUs) {
@@ -41,7 +41,7 @@
         }
     }
 
-    private Verdicts.Case of(int member, String server) {
+    private Verdicts.Assessment of(int member, String server) {
         return sim.node(member).cases().stream()
                 .filter(c -> c.server().equals(server))
                 .findFirst()
@@ -49,7 +49,7 @@
     }
 
     private boolean holds(int member, String server) {
-        Verdicts.Case c = of(member, server);
+        Verdicts.Assessment c = of(member, server);
         return c != null && c.verdict().holds();
     }
 
@@ -75,7 +75,7 @@
         assertTrue(
                 noted(5, "s3 is silent by word of") && noted(5, "n0 ("),
                 sim.node(5).notes.toString());
-        sim.until(6 * S + (Table.VERDICTS.leaseMs() + 1_000) * 1_000 + Verdicts.FRESH_US);
+        sim.until(6 * S + (Table.VERDICTS.leaseMs() + 1_000) * 1_000 + Verdicts.EVIDENCE_TTL_US);
         assertTrue(whereHolds("s3").isEmpty());
         assertTrue(noted(5, "nothing is held against s3 any more"));
     }
@@ -85,7 +85,7 @@
         sees("s3", Evidence.FAILING, 1, 20 * S, 0);
         sim.until(10 * S);
         assertTrue(whereHolds("s3").isEmpty());
-        assertEquals("one witness alone", of(5, "s3").why());
+        assertEquals("one witness alone", of(5, "s3").reason());
     }
 
     @Test
@@ -94,7 +94,7 @@
         sees("s3", Evidence.SILENT, 1, 20 * S, 0, 2, 4);
         sim.until(10 * S);
         assertEquals(List.of(0, 2, 4, 6), whereHolds("s3"));
-        assertEquals("seen from one other zone alone", of(1, "s3").why());
+        assertEquals("seen from one other zone alone", of(1, "s3").reason());
     }
 
     @Test
@@ -112,7 +112,7 @@
         sees("s3", Evidence.GOOD, 1, 30 * S, 2, 3, 4);
         sim.until(12 * S);
         assertFalse(holds(5, "s3"));
-        assertEquals("others find it good", of(5, "s3").why());
+        assertEquals("others find it good", of(5, "s3").reason());
     }
 
     @Test
@@ -188,7 +188,7 @@
                     .put(
                             sim.node(1).clock(),
                             Table.VERDICTS,
-                            rushproxy.fleet.Envelope.id("s" + s),
+                            rushproxy.fleet.Envelope.idOf("s" + s),
                             java.util.Arrays.copyOf(word, 6));
         }
         sees("s2", Evidence.SILENT, 1, 30 * S, 4);
@@ -212,7 +212,9 @@
     void enoughWitnessesSufficeForThousands() {
         sees("s3", Evidence.SILENT, 1, 10 * S, 0, 1, 2, 3, 4, 5, 6, 7);
         sim.until(10 * S);
-        assertTrue(sim.node(3).store().all(sim.node(3).clock(), Table.VERDICTS).size() <= Table.VERDICTS.mostPerKey());
+        assertTrue(
+                sim.node(3).store().readAll(sim.node(3).clock(), Table.VERDICTS).size()
+                        <= Table.VERDICTS.maxWritersPerKey());
         assertEquals(8, whereHolds("s3").size());
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
+++ b/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /** A start that asks those who are here what they know. */
 class WarmStartTest {
@@ -21,18 +21,18 @@
     private record Sent(int to, byte[] bytes) {}
 
     /** Six places; who is asked is drawn by the store's own random source. */
-    private static final class Net implements Host, Group {
+    private static final class Net implements Environment, PeerDirectory {
         private final List<Sent> sent = new ArrayList<>();
         private int others = 6;
 
         @Override
         public void send(int peer, byte[] datagram) {
-            assertTrue(datagram.length <= Envelope.MOST);
+            assertTrue(datagram.length <= Envelope.MAX_BYTES);
             sent.add(new Sent(peer, datagram));
         }
 
         @Override
-        public void note(String event) {}
+        public void logEvent(String event) {}
 
         @Override
         public int size() {
@@ -40,17 +40,17 @@
         }
 
         @Override
-        public int one(int part, SplittableRandom random) {
+        public int randomPeer(int part, SplittableRandom random) {
             return others == 0 ? -1 : 1 + random.nextInt(others);
         }
 
         @Override
-        public boolean here(long member) {
+        public boolean isLive(long member) {
             return true;
         }
 
         @Override
-        public String name(long member) {
+        public String nameOf(long member) {
             return "" + member;
         }
     }
@@ -68,7 +68,7 @@
         net.sent.stream()
                 .filter(s -> s.to == place)
                 .limit(1)
-                .forEach(s -> old.onLetter(T, 0, Envelope.read(s.bytes), 7));
+                .forEach(s -> old.onMessage(T, 0, Envelope.parse(s.bytes), 7));
         return out.sent.stream().map(Sent::bytes).toList();
     }
 
@@ -87,35 +87,35 @@
             List<byte[]> parts = new ArrayList<>(answers(OLD, known(450, place), place));
             java.util.Collections.reverse(parts);
             for (byte[] part : parts) {
-                w.onLetter(T + 1_000, place, Envelope.read(part), 1);
-                w.onLetter(T + 1_000, place, Envelope.read(part), 1);
+                w.onMessage(T + 1_000, place, Envelope.parse(part), 1);
+                w.onMessage(T + 1_000, place, Envelope.parse(part), 1);
             }
             told += parts.isEmpty() ? 0 : 1;
         }
         w.onTick(T + 2_000, 1);
-        assertEquals(told >= 3, w.over());
+        assertEquals(told >= 3, w.isFinished());
         assertTrue(told >= 3, "the seed asks three at least at once");
-        List<byte[]> all = w.take();
+        List<byte[]> all = w.takeAnswers();
         assertEquals(told, all.size());
         all.forEach(k -> assertArrayEquals(known(450, k[0]), k));
-        assertTrue(w.take().isEmpty());
+        assertTrue(w.takeAnswers().isEmpty());
     }
 
     @Test
     void asksAgainAndEndsWithItsTimeWhereNobodyAnswers() {
         WarmStart w = fresh();
-        for (long us = 0; us < WarmStart.MOST_US; us += 100_000) {
+        for (long us = 0; us < WarmStart.MAX_WAIT_US; us += 100_000) {
             w.onTick(T + us, 1);
-            assertFalse(w.over());
+            assertFalse(w.isFinished());
         }
         assertEquals(36, net.sent.size());
-        w.onTick(T + WarmStart.MOST_US, 1);
-        assertTrue(w.over() && w.take().isEmpty());
+        w.onTick(T + WarmStart.MAX_WAIT_US, 1);
+        assertTrue(w.isFinished() && w.takeAnswers().isEmpty());
         net.others = 0;
         WarmStart alone = fresh();
         alone.onTick(T, 1);
-        alone.onTick(T + WarmStart.MOST_US, 1);
-        assertTrue(alone.over());
+        alone.onTick(T + WarmStart.MAX_WAIT_US, 1);
+        assertTrue(alone.isFinished());
         assertEquals(36, net.sent.size());
     }
 
@@ -134,14 +134,14 @@
         WarmStart w = fresh();
         w.onTick(T, 1);
         for (byte[] section : new byte[][] {{0, 0, 1}, {3, 2, 1}, {-1, 2, 1}, {0, 99, 1}, {0}}) {
-            w.onLetter(
+            w.onMessage(
                     T,
                     1,
-                    Envelope.read(Envelope.from(9, 1)
-                            .add(41, java.nio.ByteBuffer.allocate(8).put(section))
-                            .bytes(-1)),
+                    Envelope.parse(Envelope.from(9, 1)
+                            .addSection(41, java.nio.ByteBuffer.allocate(8).put(section))
+                            .toBytes(-1)),
                     1);
         }
-        assertTrue(w.take().isEmpty());
+        assertTrue(w.takeAnswers().isEmpty());
     }
 }
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -47,17 +47,17 @@
     private static byte[] said(int member, String server, int kind) {
         long now = System.currentTimeMillis();
         ByteBuffer b = ByteBuffer.allocate(60).put((byte) 1);
-        Envelope.put48(b, Envelope.id(server));
-        Envelope.put48(b, Envelope.id("n" + member));
+        Envelope.put48(b, Envelope.idOf(server));
+        Envelope.put48(b, Envelope.idOf("n" + member));
         b.putLong(now << 16).putInt(15_000).put((byte) 6).put(new byte[] {(byte) kind, 0, 16, 3, 0, 0});
-        return Envelope.from(Envelope.id("n" + member), now).add(21, b).bytes(WORD);
+        return Envelope.from(Envelope.idOf("n" + member), now).addSection(21, b).toBytes(WORD);
     }
 
-    private static Envelope.Letter next(DatagramSocket peer, DatagramPacket into) throws Exception {
+    private static Envelope.Message next(DatagramSocket peer, DatagramPacket into) throws Exception {
         into.setLength(1_000);
         peer.receive(into);
-        assertTrue(into.getLength() <= Envelope.MOST && into.getLength() != WORD, "" + into.getLength());
-        return Envelope.read(java.util.Arrays.copyOf(into.getData(), into.getLength()));
+        assertTrue(into.getLength() <= Envelope.MAX_BYTES && into.getLength() != WORD, "" + into.getLength());
+        return Envelope.parse(java.util.Arrays.copyOf(into.getData(), into.getLength()));
     }
 
     @Test
@@ -65,14 +65,14 @@
         try (DatagramSocket peer = socket();
                 Rig rig = rig(peer).start()) {
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
-            Envelope.Letter first = next(peer, got);
-            assertEquals(Envelope.id("n0"), first.sender());
+            Envelope.Message first = next(peer, got);
+            assertEquals(Envelope.idOf("n0"), first.sender());
             InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
-            byte[] ping = Envelope.from(Envelope.id("n1"), System.currentTimeMillis())
-                    .add(1, ByteBuffer.allocate(2).putShort((short) 77))
-                    .bytes(WORD);
+            byte[] ping = Envelope.from(Envelope.idOf("n1"), System.currentTimeMillis())
+                    .addSection(1, ByteBuffer.allocate(2).putShort((short) 77))
+                    .toBytes(WORD);
             peer.send(new DatagramPacket(ping, ping.length, sidecar));
-            Envelope.Letter answer;
+            Envelope.Message answer;
             do {
                 answer = next(peer, got);
             } while (answer.sections().get(0).type() != 2);
@@ -86,12 +86,12 @@
                     members);
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
-            Envelope.Letter last;
+            Envelope.Message last;
             do {
                 last = next(peer, got);
             } while (last.sections().get(0).type() != 6
                     || last.sections().get(0).bytes()[12] != 3);
-            assertEquals(Envelope.id("n0"), last.sender());
+            assertEquals(Envelope.idOf("n0"), last.sender());
             stopped.await();
         }
     }
