--- a/src/main/java/rushproxy/fleet/member/Dissemination.java
+++ b/src/main/java/rushproxy/fleet/member/Dissemination.java
@@ -16,30 +16,30 @@
 
     /** A change, and on how many more datagrams it goes. */
     private static final class Update {
-        private final Member of;
-        private int left;
+        private final Member member;
+        private int remaining;
 
         Update(Member of, int left) {
-            this.of = of;
-            this.left = left;
+            this.member = of;
+            this.remaining = left;
         }
     }
 
     /** By id, each told in turn. */
     private final Map<Long, Update> urgent = new LinkedHashMap<>();
 
-    private final Map<Long, Update> others = new LinkedHashMap<>();
+    private final Map<Long, Update> regular = new LinkedHashMap<>();
 
     /** A death, a leave, a return or a refutation; {@code members} is how many are remembered. */
-    void tell(Member m, int members) {
-        others.remove(m.id);
-        urgent.put(m.id, new Update(m, RETRANSMIT_FACTOR * log2(members)));
+    void enqueueUrgent(Member m, int memberCount) {
+        regular.remove(m.id);
+        urgent.put(m.id, new Update(m, RETRANSMIT_FACTOR * log2(memberCount)));
     }
 
     /** One that has come, or told of itself; one that is told urgently is told already. */
-    void tellInPassing(Member m, int members) {
+    void enqueueRegular(Member m, int memberCount) {
         if (m.hasMetadata() && !urgent.containsKey(m.id)) {
-            others.put(m.id, new Update(m, log2(members)));
+            regular.put(m.id, new Update(m, log2(memberCount)));
         }
     }
 
@@ -47,37 +47,37 @@
         return 32 - Integer.numberOfLeadingZeros(Math.max(2, members));
     }
 
-    boolean anyUrgent() {
+    boolean hasUrgent() {
         return !urgent.isEmpty();
     }
 
     boolean isEmpty() {
-        return urgent.isEmpty() && others.isEmpty();
+        return urgent.isEmpty() && regular.isEmpty();
     }
 
     void clear() {
         urgent.clear();
-        others.clear();
+        regular.clear();
     }
 
     /** Fills the buffer with changes, and counts them as told once more. */
-    void write(ByteBuffer to) {
-        write(urgent, to);
-        write(others, to);
+    void writeUpdates(ByteBuffer to) {
+        writeUpdates(urgent, to);
+        writeUpdates(regular, to);
     }
 
     /** The first go to the end of the line, or out of it. */
-    private static void write(Map<Long, Update> line, ByteBuffer to) {
+    private static void writeUpdates(Map<Long, Update> queue, ByteBuffer to) {
         List<Update> written = new ArrayList<>();
-        for (Iterator<Update> i = line.values().iterator(); i.hasNext() && to.hasRemaining(); ) {
+        for (Iterator<Update> i = queue.values().iterator(); i.hasNext() && to.hasRemaining(); ) {
             Update update = i.next();
-            update.of.write(to);
+            update.member.write(to);
             i.remove();
             written.add(update);
         }
         for (Update update : written) {
-            if (--update.left > 0) {
-                line.put(update.of.id, update);
+            if (--update.remaining > 0) {
+                queue.put(update.member.id, update);
             }
         }
     }
--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -49,64 +49,64 @@
     /** With evidence of one alone, whose own link may be at fault. */
     static final long LONE_SUSPICION_TIMEOUT_US = 4_000_000;
     /** Members asked to look for themselves when one does not answer. */
-    private static final int WITNESSES = 3;
+    private static final int INDIRECT_PROBERS = 3;
     /** Unanswered probes make its own answer time longer, up to so many times. */
-    private static final int MOST_DOUBT = 4;
+    private static final int MAX_SELF_DOUBT = 4;
     /** Who has heard nobody for so long doubts itself before others. */
-    private static final long DEAF_US = 1_000_000;
+    private static final long ISOLATION_SUSPECTED_US = 1_000_000;
     /** And for so long, is alone as far as it can tell. */
-    private static final long ALONE_US = 5_000_000;
+    private static final long ISOLATED_US = 5_000_000;
     /** A tick that comes later than this after its time was held up, and all that ran then ran without us. */
-    private static final long HELD_UP_US = 100_000;
+    private static final long PAUSE_THRESHOLD_US = 100_000;
 
-    private static final int EAGER = 3;
+    private static final int URGENT_FANOUT = 3;
     /** One in so many random probes goes to those held dead, so that halves of a fleet find each other again. */
-    private static final int DEAD_ONE_IN = 4;
+    private static final int DEAD_PROBE_RATIO = 4;
     /** One page of the state is compared with somebody's in this time, and many more after a start. */
-    private static final long COMPARE_US = 1_000_000;
+    private static final long COMPARE_INTERVAL_US = 1_000_000;
 
-    private static final long JOIN_US = 3_000_000;
-    private static final int JOIN_PAGES = 4;
+    private static final long JOIN_PHASE_US = 3_000_000;
+    private static final int JOIN_COMPARISONS = 4;
     /** The dead are forgotten after this: a member that comes back tells of itself. */
-    private static final long FORGET_US = 600_000_000;
+    private static final long REMOVE_AFTER_US = 600_000_000;
 
-    private static final long FORGET_LOOK_US = 10_000_000;
+    private static final long REMOVE_INTERVAL_US = 10_000_000;
     /** Word of the program before counts as life for so long. */
-    private static final long OLD_WORD_US = 10_000_000;
+    private static final long LEGACY_LIVENESS_US = 10_000_000;
     /** An incarnation further ahead of our clock is a lie or a fault. */
-    private static final long AHEAD_MS = 86_400_000;
+    private static final long MAX_INCARNATION_AHEAD_MS = 86_400_000;
     /** Refutations of another's claim to be us, in a minute, before we let it. */
-    private static final int MOST_CLAIMS = 3;
+    private static final int MAX_CLAIMS = 3;
 
-    private static final long CLAIMS_US = 60_000_000;
+    private static final long CLAIM_WINDOW_US = 60_000_000;
     /** A place that has heard from one member within this is no other's, nor is the member at another place. */
-    private static final long MOVE_US = 2_000_000;
+    private static final long PEER_INDEX_LOCK_US = 2_000_000;
 
-    private static final long NAME_EVERY = 8;
-    private static final int MOST_NAME = 48;
+    private static final long NAME_INTERVAL_MESSAGES = 8;
+    private static final int MAX_NAME_BYTES = 48;
     /** Draws for somebody who is here, in a list that names many who are not. */
-    private static final int TRIES = 16;
+    private static final int MAX_DRAWS = 16;
     /** Bytes before the name. */
-    private static final int FACTS = 5;
+    private static final int METADATA_BYTES = 5;
     /** A datagram with one change and nothing else, and one that compares a page. */
-    private static final int LEAST_NEWS = 40;
+    private static final int MIN_UPDATE_MESSAGE_BYTES = 40;
 
-    private static final int COMPARISON = 30;
+    private static final int COMPARE_MESSAGE_BYTES = 30;
     /** A question to one under suspicion; what is told and compared leaves room for some of them. */
-    private static final int QUESTION = 22;
+    private static final int PING_MESSAGE_BYTES = 22;
 
-    private static final int RESERVE = 200;
+    private static final int RESERVED_BYTES = 200;
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private static final int PING = 1;
     private static final int ACK = 2;
-    private static final int CHECK = 3;
-    private static final int ACCUSE = 4;
-    private static final int SEEN = 5;
+    private static final int PING_REQUEST = 3;
+    private static final int CONFIRM_SUSPICION = 4;
+    private static final int HEARD_BY_WITNESS = 5;
     private static final int UPDATES = 6;
     private static final int NAME = 7;
     private static final int COMPARE = 8;
-    private static final int PAGE_OF = 9;
+    private static final int BUCKET = 9;
 
     /**
      * What it is told of itself.
@@ -131,104 +131,104 @@
     private static final class Probe {
         private final Member target;
         /** Of our own accord, not since another has asked us to look. */
-        private final boolean own;
+        private final boolean direct;
 
         private long dueUs;
 
         Probe(Member target, boolean own, long dueUs) {
             this.target = target;
-            this.own = own;
+            this.direct = own;
             this.dueUs = dueUs;
         }
     }
 
     /** Own evidence against a member: it has not answered us. */
-    private static final class Accusation {
-        private final Set<Long> accusers = new HashSet<>();
+    private static final class Suspicion {
+        private final Set<Long> suspecters = new HashSet<>();
         private long sinceUs;
-        private long againUs;
-        private int asked;
+        private long nextPingUs;
+        private int pings;
         /** Not where it was another who made us look, or at a loss of 30% all would look for ever. */
-        private boolean asksOthers;
+        private boolean requestsIndirectProbes;
         /** Those who asked us to look, and hear what we saw. */
-        private final Set<Integer> askers = new HashSet<>();
+        private final Set<Integer> requesters = new HashSet<>();
 
         /** Who misses many answers is at the worse end of its links, and waits for longer. */
-        long dueUs(int doubt) {
+        long expiresUs(int doubt) {
             return sinceUs
-                    + (accusers.size() >= 2 ? CONFIRMED_SUSPICION_TIMEOUT_US : LONE_SUSPICION_TIMEOUT_US)
-                            * (MOST_DOUBT + doubt)
-                            / MOST_DOUBT;
+                    + (suspecters.size() >= 2 ? CONFIRMED_SUSPICION_TIMEOUT_US : LONE_SUSPICION_TIMEOUT_US)
+                            * (MAX_SELF_DOUBT + doubt)
+                            / MAX_SELF_DOUBT;
         }
     }
 
-    private final Self self;
-    private final Environment host;
+    private final Self config;
+    private final Environment environment;
     private final SplittableRandom random;
     private final SendBudget budget;
-    private final Member me;
+    private final Member localMember;
     private final Map<Long, Member> members = new HashMap<>();
     /** All but the dead and those who left, in the order that all share. */
     private final NavigableMap<Long, Member> ring = new TreeMap<>();
     /** By place in the configured list; null where nobody is known. */
-    private final Member[] slots;
+    private final Member[] byPeerIndex;
 
-    private final long[] oldWordUs;
+    private final long[] legacyHeardUs;
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-    private final Map<Long, Accusation> accusations = new LinkedHashMap<>();
+    private final Map<Long, Suspicion> suspicions = new LinkedHashMap<>();
     /** Who asked us to look at whom, until our own probe has ended. */
-    private final Map<Long, Set<Integer>> asked = new LinkedHashMap<>();
+    private final Map<Long, Set<Integer>> probeRequesters = new LinkedHashMap<>();
 
     private final Dissemination dissemination = new Dissemination();
     private final StateDigest digest = new StateDigest(members.values());
     private final long startedUs;
     private long nowUs;
-    private long tickedUs;
-    private long periodUs;
-    private long compareUs;
-    private long forgetUs;
-    private long heardUs = NEVER;
-    private long lookUs;
+    private long lastTickUs;
+    private long nextProbeUs;
+    private long nextCompareUs;
+    private long nextRemoveUs;
+    private long lastHeardUs = NEVER;
+    private long nextViewUs;
     /** A change to be told on at once; one of the view. */
-    private boolean fresh;
+    private boolean urgentPending;
 
-    private boolean changed;
-    private boolean quiet;
-    private int doubt;
+    private boolean viewStale;
+    private boolean stopped;
+    private int selfDoubt;
     private int sequence;
-    private int bucket;
-    private long sentCount;
-    private final List<Long> claims = new ArrayList<>();
+    private int nextBucket;
+    private long messageCount;
+    private final List<Long> claimTimesUs = new ArrayList<>();
     private MembershipView view;
 
     public Membership(Self self, long nowUs, long seed, Environment host) {
-        this.self = self;
-        this.host = host;
+        this.config = self;
+        this.environment = host;
         random = new SplittableRandom(seed);
-        this.nowUs = tickedUs = startedUs = nowUs;
+        this.nowUs = lastTickUs = startedUs = nowUs;
         budget = new SendBudget(nowUs);
-        me = new Member(Envelope.idOf(self.name()));
-        me.incarnation = self.startMs();
-        me.state = State.ALIVE;
-        me.zone = self.zone();
-        me.ownIndex = self.index();
-        me.version = self.version();
-        me.features = self.features();
-        me.name = self.name();
-        me.peerIndex = self.index();
-        me.sinceUs = nowUs;
-        slots = new Member[self.peerCount()];
-        oldWordUs = new long[self.peerCount()];
-        Arrays.fill(oldWordUs, NEVER);
-        if (self.index() >= 0 && self.index() < slots.length) {
-            slots[self.index()] = me;
-        }
-        members.put(me.id, me);
-        ring.put(Member.ringPosition(me.id), me);
-        periodUs = nowUs + random.nextLong(PROBE_PERIOD_US);
-        compareUs = nowUs;
-        tell(me);
-        view = look(null);
+        localMember = new Member(Envelope.idOf(self.name()));
+        localMember.incarnation = self.startMs();
+        localMember.state = State.ALIVE;
+        localMember.zone = self.zone();
+        localMember.ownIndex = self.index();
+        localMember.version = self.version();
+        localMember.features = self.features();
+        localMember.name = self.name();
+        localMember.peerIndex = self.index();
+        localMember.sinceUs = nowUs;
+        byPeerIndex = new Member[self.peerCount()];
+        legacyHeardUs = new long[self.peerCount()];
+        Arrays.fill(legacyHeardUs, NEVER);
+        if (self.index() >= 0 && self.index() < byPeerIndex.length) {
+            byPeerIndex[self.index()] = localMember;
+        }
+        members.put(localMember.id, localMember);
+        ring.put(Member.ringPosition(localMember.id), localMember);
+        nextProbeUs = nowUs + random.nextLong(PROBE_PERIOD_US);
+        nextCompareUs = nowUs;
+        disseminateUrgently(localMember);
+        view = computeView(null);
     }
 
     // ---- what users see ---------------------------------------------------------------------------
@@ -248,12 +248,12 @@
     }
 
     public Member self() {
-        return me;
+        return localMember;
     }
 
     /** Another process of its name has come after it: it takes no part any more. */
     public boolean isStopped() {
-        return quiet;
+        return stopped;
     }
 
     @Override
@@ -263,9 +263,9 @@
 
     @Override
     public int randomPeer(int part, SplittableRandom by) {
-        for (int tries = 0; tries < TRIES && slots.length > 0; tries++) {
-            Member m = slots[by.nextInt(slots.length)];
-            if (m != null && m != me && m.state == State.ALIVE && (m.features & part) != 0) {
+        for (int tries = 0; tries < MAX_DRAWS && byPeerIndex.length > 0; tries++) {
+            Member m = byPeerIndex[by.nextInt(byPeerIndex.length)];
+            if (m != null && m != localMember && m.state == State.ALIVE && (m.features & part) != 0) {
                 return m.peerIndex;
             }
         }
@@ -290,116 +290,116 @@
     /** Wants to be called every {@link #TICK_INTERVAL_US}. A time that goes back is taken as no time at all. */
     public void onTick(long now) {
         advance(now);
-        long heldUpUs = nowUs - tickedUs - TICK_INTERVAL_US;
-        tickedUs = nowUs;
-        if (quiet) {
+        long pauseUs = nowUs - lastTickUs - TICK_INTERVAL_US;
+        lastTickUs = nowUs;
+        if (stopped) {
             return;
         }
-        if (heldUpUs > HELD_UP_US) {
-            heldUp(heldUpUs);
+        if (pauseUs > PAUSE_THRESHOLD_US) {
+            compensateForPause(pauseUs);
         }
-        lateProbes();
-        lateAccusations();
-        if (nowUs >= periodUs) {
-            periodUs = Math.max(periodUs + PROBE_PERIOD_US, nowUs + PROBE_PERIOD_US / 2);
-            period();
+        expireProbes();
+        processSuspicions();
+        if (nowUs >= nextProbeUs) {
+            nextProbeUs = Math.max(nextProbeUs + PROBE_PERIOD_US, nowUs + PROBE_PERIOD_US / 2);
+            runProbePeriod();
         }
-        if (nowUs >= compareUs) {
-            compare();
+        if (nowUs >= nextCompareUs) {
+            startComparison();
         }
-        if (fresh) {
-            eager();
+        if (urgentPending) {
+            sendUrgentUpdates();
         }
-        if (changed || nowUs >= lookUs) {
-            changed = false;
-            lookUs = nowUs + COMPARE_US;
-            view = look(view);
+        if (viewStale || nowUs >= nextViewUs) {
+            viewStale = false;
+            nextViewUs = nowUs + COMPARE_INTERVAL_US;
+            view = computeView(view);
         }
     }
 
     private void advance(long now) {
         nowUs = Math.max(nowUs, now);
-        budget.advance(nowUs);
+        budget.refill(nowUs);
     }
 
     /** What lay in our socket meanwhile has not been read: nobody's time ran. */
-    private void heldUp(long us) {
-        doubt = Math.min(MOST_DOUBT, doubt + 1);
-        probes.values().forEach(p -> p.dueUs += us);
-        accusations.values().forEach(a -> a.sinceUs += us);
-        heardUs = heardUs == NEVER ? NEVER : heardUs + us;
+    private void compensateForPause(long pauseUs) {
+        selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
+        probes.values().forEach(p -> p.dueUs += pauseUs);
+        suspicions.values().forEach(a -> a.sinceUs += pauseUs);
+        lastHeardUs = lastHeardUs == NEVER ? NEVER : lastHeardUs + pauseUs;
     }
 
-    private boolean deaf() {
-        return nowUs - heardUs > DEAF_US;
+    private boolean isPossiblyIsolated() {
+        return nowUs - lastHeardUs > ISOLATION_SUSPECTED_US;
     }
 
-    private void lateProbes() {
+    private void expireProbes() {
         for (Iterator<Map.Entry<Integer, Probe>> i = probes.entrySet().iterator(); i.hasNext(); ) {
             Probe p = i.next().getValue();
             if (nowUs < p.dueUs) {
                 continue;
             }
             i.remove();
-            doubt = Math.min(MOST_DOUBT, doubt + 1);
+            selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
             if (p.target.state == State.ALIVE || p.target.state == State.SUSPECT) {
-                accuse(p.target, p.own);
+                suspect(p.target, p.direct);
             }
         }
     }
 
-    private void accuse(Member m, boolean own) {
-        if (accusations.containsKey(m.id) || deaf() && heardUs != NEVER) {
+    private void suspect(Member m, boolean direct) {
+        if (suspicions.containsKey(m.id) || isPossiblyIsolated() && lastHeardUs != NEVER) {
             return;
         }
-        Accusation a = new Accusation();
-        a.accusers.add(me.id);
+        Suspicion a = new Suspicion();
+        a.suspecters.add(localMember.id);
         a.sinceUs = nowUs;
-        a.againUs = nowUs;
-        a.asksOthers = own;
-        accusations.put(m.id, a);
-        for (int slot : asked.getOrDefault(m.id, Set.of())) {
-            a.askers.add(slot);
-            send(slot, letter().addSection(ACCUSE, about(m)).toBytes(self.reservedLength()));
-        }
-        asked.remove(m.id);
+        a.nextPingUs = nowUs;
+        a.requestsIndirectProbes = direct;
+        suspicions.put(m.id, a);
+        for (int requester : probeRequesters.getOrDefault(m.id, Set.of())) {
+            a.requesters.add(requester);
+            send(requester, newEnvelope().addSection(CONFIRM_SUSPICION, encodeIdentity(m)).toBytes(config.reservedLength()));
+        }
+        probeRequesters.remove(m.id);
         if (m.state == State.ALIVE) {
-            become(m, State.SUSPECT, "no answer to our probe");
+            setState(m, State.SUSPECT, "no answer to our probe");
         }
     }
 
     /** Asks again; the second time others too, since most that is missed is one datagram lost. */
-    private void askAgain(Accusation a, Member m) {
-        a.againUs = nowUs + SUSPECT_PING_INTERVAL_US;
+    private void pingSuspect(Suspicion a, Member m) {
+        a.nextPingUs = nowUs + SUSPECT_PING_INTERVAL_US;
         ping(m);
-        if (++a.asked == 2 && a.asksOthers) {
-            for (Member w : some(WITNESSES, m)) {
-                send(w.peerIndex, letter().addSection(CHECK, about(m)).toBytes(self.reservedLength()));
+        if (++a.pings == 2 && a.requestsIndirectProbes) {
+            for (Member w : randomAliveMembers(INDIRECT_PROBERS, m)) {
+                send(w.peerIndex, newEnvelope().addSection(PING_REQUEST, encodeIdentity(m)).toBytes(config.reservedLength()));
             }
         }
     }
 
-    private void lateAccusations() {
-        for (Map.Entry<Long, Accusation> e : List.copyOf(accusations.entrySet())) {
-            Accusation a = e.getValue();
+    private void processSuspicions() {
+        for (Map.Entry<Long, Suspicion> e : List.copyOf(suspicions.entrySet())) {
+            Suspicion a = e.getValue();
             Member m = members.get(e.getKey());
             if (m == null || m.state == State.DEAD || m.state == State.LEFT) {
-                accusations.remove(e.getKey());
-            } else if (nowUs >= a.dueUs(doubt) && !deaf()) {
-                accusations.remove(e.getKey());
-                become(m, State.DEAD, a.accusers.size() >= 2 ? "silent for us and " + name(a) : "silent for us alone");
-            } else if (nowUs >= a.againUs && budget.admits(QUESTION)) {
-                askAgain(a, m);
-            } else if (nowUs >= a.againUs) {
+                suspicions.remove(e.getKey());
+            } else if (nowUs >= a.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
+                suspicions.remove(e.getKey());
+                setState(m, State.DEAD, a.suspecters.size() >= 2 ? "silent for us and " + otherSuspecters(a) : "silent for us alone");
+            } else if (nowUs >= a.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
+                pingSuspect(a, m);
+            } else if (nowUs >= a.nextPingUs) {
                 // Many are silent at once. Who could not be asked has not failed to answer: its time waits too.
                 a.sinceUs += TICK_INTERVAL_US;
             }
         }
     }
 
-    private String name(Accusation a) {
-        return a.accusers.stream()
-                .filter(id -> id != me.id)
+    private String otherSuspecters(Suspicion a) {
+        return a.suspecters.stream()
+                .filter(id -> id != localMember.id)
                 .map(id -> members.containsKey(id) ? members.get(id).name() : String.format("%012x", id))
                 .sorted()
                 .reduce((x, y) -> x + " and " + y)
@@ -407,38 +407,38 @@
     }
 
     /** Probes of a period: the next in the ring and one at random. */
-    private void period() {
-        int wanted = RING_TARGETS;
-        Member at = me;
-        for (int i = 0; i < ring.size() - 1 && wanted > 0; i++) {
-            Map.Entry<Long, Member> next = ring.higherEntry(Member.ringPosition(at.id));
-            at = next == null ? ring.firstEntry().getValue() : next.getValue();
-            if (at.peerIndex >= 0 && at != me) {
-                if (!accusations.containsKey(at.id)) {
-                    probe(at, true);
+    private void runProbePeriod() {
+        int remaining = RING_TARGETS;
+        Member current = localMember;
+        for (int i = 0; i < ring.size() - 1 && remaining > 0; i++) {
+            Map.Entry<Long, Member> next = ring.higherEntry(Member.ringPosition(current.id));
+            current = next == null ? ring.firstEntry().getValue() : next.getValue();
+            if (current.peerIndex >= 0 && current != localMember) {
+                if (!suspicions.containsKey(current.id)) {
+                    probe(current, true);
                 }
                 // Beyond one under suspicion is somebody who would have nobody left to look at him.
-                wanted -= at.state == State.SUSPECT ? 0 : 1;
+                remaining -= current.state == State.SUSPECT ? 0 : 1;
             }
         }
-        int slot = random.nextInt(slots.length);
-        Member m = slots[slot];
+        int peerIndex = random.nextInt(byPeerIndex.length);
+        Member m = byPeerIndex[peerIndex];
         if (m == null) {
             // Nobody is known there yet, or the program before is.
-            ping(slot);
-        } else if (m != me) {
-            boolean gone = m.state == State.DEAD || m.state == State.LEFT;
-            if (!gone || random.nextInt(DEAD_ONE_IN) == 0) {
+            ping(peerIndex);
+        } else if (m != localMember) {
+            boolean isGone = m.state == State.DEAD || m.state == State.LEFT;
+            if (!isGone || random.nextInt(DEAD_PROBE_RATIO) == 0) {
                 probe(m, true);
             }
         }
-        if (random.nextInt(DEAD_ONE_IN) == 0) {
-            oneOfTheDead();
+        if (random.nextInt(DEAD_PROBE_RATIO) == 0) {
+            pingRandomDeadMember();
         }
-        forget();
+        removeOldMembers();
     }
 
-    private void oneOfTheDead() {
+    private void pingRandomDeadMember() {
         List<Member> dead = new ArrayList<>();
         for (Member m : members.values()) {
             if (m.state == State.DEAD && m.peerIndex >= 0) {
@@ -452,27 +452,27 @@
     }
 
     /** Seldom: it goes through all members. */
-    private void forget() {
-        if (nowUs < forgetUs) {
+    private void removeOldMembers() {
+        if (nowUs < nextRemoveUs) {
             return;
         }
-        forgetUs = nowUs + FORGET_LOOK_US;
+        nextRemoveUs = nowUs + REMOVE_INTERVAL_US;
         members.values().removeIf(m -> {
-            boolean old = (m.state == State.DEAD || m.state == State.LEFT) && nowUs - m.sinceUs > FORGET_US;
-            if (old && m.peerIndex >= 0 && slots[m.peerIndex] == m) {
-                slots[m.peerIndex] = null;
+            boolean old = (m.state == State.DEAD || m.state == State.LEFT) && nowUs - m.sinceUs > REMOVE_AFTER_US;
+            if (old && m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
+                byPeerIndex[m.peerIndex] = null;
             }
             if (old) {
-                digest.changed();
+                digest.invalidate();
             }
             return old;
         });
     }
 
-    private void probe(Member m, boolean own) {
+    private void probe(Member m, boolean direct) {
         int number = ping(m);
-        if (!accusations.containsKey(m.id)) {
-            probes.put(number, new Probe(m, own, nowUs + ACK_TIMEOUT_US * (4 + doubt) / 4));
+        if (!suspicions.containsKey(m.id)) {
+            probes.put(number, new Probe(m, direct, nowUs + ACK_TIMEOUT_US * (4 + selfDoubt) / 4));
         }
     }
 
@@ -481,46 +481,46 @@
     }
 
     /** Whoever is there answers, and says by it who that is. */
-    private int ping(int slot) {
+    private int ping(int peerIndex) {
         int number = sequence = sequence + 1 & 0xFFFF;
         ByteBuffer b = ByteBuffer.allocate(2).putShort((short) number);
-        Envelope e = letter().addSection(PING, b);
-        if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
-            addName(e);
+        Envelope e = newEnvelope().addSection(PING, b);
+        if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
+            addNameSection(e);
         }
-        send(slot, withUpdates(e).toBytes(self.reservedLength()));
+        send(peerIndex, addUpdates(e).toBytes(config.reservedLength()));
         return number;
     }
 
     /** Who we are: zone, number, version, parts, and the name. */
-    private void addName(Envelope e) {
-        byte[] name = self.name().getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(FACTS + MOST_NAME);
-        b.put((byte) me.zone)
-                .putShort((short) me.ownIndex)
-                .put((byte) me.version)
-                .put((byte) me.features);
-        b.put(name, 0, Math.min(MOST_NAME, name.length));
+    private void addNameSection(Envelope e) {
+        byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
+        ByteBuffer b = ByteBuffer.allocate(METADATA_BYTES + MAX_NAME_BYTES);
+        b.put((byte) localMember.zone)
+                .putShort((short) localMember.ownIndex)
+                .put((byte) localMember.version)
+                .put((byte) localMember.features);
+        b.put(name, 0, Math.min(MAX_NAME_BYTES, name.length));
         e.addSection(NAME, b);
     }
 
     /** One page of the state with somebody's: only a hash goes out where both have the same. */
-    private void compare() {
-        boolean joining = nowUs - startedUs < JOIN_US;
-        compareUs = nowUs + (joining ? TICK_INTERVAL_US : COMPARE_US);
-        for (int i = 0; i < (joining ? JOIN_PAGES : 1); i++) {
-            List<Member> one = some(1, null);
-            int slot = one.isEmpty() ? random.nextInt(slots.length) : one.get(0).peerIndex;
-            if (slot == self.index() || !budget.admits(COMPARISON + RESERVE)) {
+    private void startComparison() {
+        boolean joining = nowUs - startedUs < JOIN_PHASE_US;
+        nextCompareUs = nowUs + (joining ? TICK_INTERVAL_US : COMPARE_INTERVAL_US);
+        for (int i = 0; i < (joining ? JOIN_COMPARISONS : 1); i++) {
+            List<Member> one = randomAliveMembers(1, null);
+            int peerIndex = one.isEmpty() ? random.nextInt(byPeerIndex.length) : one.get(0).peerIndex;
+            if (peerIndex == config.index() || !budget.canSend(COMPARE_MESSAGE_BYTES + RESERVED_BYTES)) {
                 continue;
             }
-            int buckets = digest.buckets(slots.length);
-            bucket = (bucket + 1) % buckets;
+            int buckets = digest.bucketCount(byPeerIndex.length);
+            nextBucket = (nextBucket + 1) % buckets;
             ByteBuffer b = ByteBuffer.allocate(8)
-                    .putShort((short) bucket)
+                    .putShort((short) nextBucket)
                     .putShort((short) buckets)
-                    .putInt(digest.hash(bucket, buckets));
-            send(slot, withUpdates(letter().addSection(COMPARE, b)).toBytes(self.reservedLength()));
+                    .putInt(digest.bucketHash(nextBucket, buckets));
+            send(peerIndex, addUpdates(newEnvelope().addSection(COMPARE, b)).toBytes(config.reservedLength()));
         }
     }
 
@@ -529,16 +529,16 @@
     /** The program before, which speaks no envelopes, has said something: its peer lives. */
     public void onLegacyDatagram(long now, int from) {
         advance(now);
-        if (from >= 0 && from < oldWordUs.length) {
-            oldWordUs[from] = nowUs;
+        if (from >= 0 && from < legacyHeardUs.length) {
+            legacyHeardUs[from] = nowUs;
         }
     }
 
     /** {@link #onMessage} of what is an envelope. */
-    public void onDatagram(long now, int from, byte[] datagram) {
-        Envelope.Message letter = Envelope.parse(datagram);
-        if (letter != null) {
-            onMessage(now, from, letter);
+    public void onDatagram(long now, int peerIndex, byte[] datagram) {
+        Envelope.Message message = Envelope.parse(datagram);
+        if (message != null) {
+            onMessage(now, peerIndex, message);
         }
     }
 
@@ -549,28 +549,28 @@
      */
     public boolean onMessage(long now, int from, Envelope.Message letter) {
         advance(now);
-        if (from < 0 || from >= slots.length || quiet || letter.sender() == 0 || ahead(letter.incarnation())) {
+        if (from < 0 || from >= byPeerIndex.length || stopped || letter.sender() == 0 || isTooFarAhead(letter.incarnation())) {
             return false;
         }
-        if (letter.sender() == me.id) {
-            mirror(letter, from);
+        if (letter.sender() == localMember.id) {
+            onDuplicateId(letter, from);
             return false;
         }
-        Member sender = another(letter.sender(), from) ? null : heard(letter, from);
+        Member sender = conflictsWithRecentSender(letter.sender(), from) ? null : identifySender(letter, from);
         if (sender == null) {
             return false;
         }
         for (Envelope.Section s : letter.sections()) {
             ByteBuffer b = ByteBuffer.wrap(s.bytes());
             switch (s.type()) {
-                case PING -> pinged(sender, b);
-                case ACK -> acked(sender, b);
-                case CHECK -> checked(sender, b);
-                case ACCUSE -> accused(sender, b);
-                case SEEN -> seen(b);
-                case UPDATES -> updated(sender, b);
-                case COMPARE -> compared(sender, b);
-                case PAGE_OF -> page(b);
+                case PING -> onPing(sender, b);
+                case ACK -> onAck(sender, b);
+                case PING_REQUEST -> onPingRequest(sender, b);
+                case CONFIRM_SUSPICION -> onSuspicionConfirmed(sender, b);
+                case HEARD_BY_WITNESS -> onHeardByWitness(b);
+                case UPDATES -> onUpdates(sender, b);
+                case COMPARE -> onCompare(sender, b);
+                case BUCKET -> onBucket(b);
                 default -> {}
             }
         }
@@ -578,500 +578,500 @@
     }
 
     /** A place speaks for one member, and a member from one place: another has to wait until the one is silent. */
-    private boolean another(long sender, int from) {
+    private boolean conflictsWithRecentSender(long sender, int peerIndex) {
         Member m = members.get(sender);
-        Member before = slots[from];
-        return m != null && m.peerIndex != from && m.peerIndex >= 0 && speaks(m)
-                || before != null && before != m && speaks(before);
+        Member before = byPeerIndex[peerIndex];
+        return m != null && m.peerIndex != peerIndex && m.peerIndex >= 0 && wasHeardRecently(m)
+                || before != null && before != m && wasHeardRecently(before);
     }
 
-    private boolean speaks(Member m) {
-        return m != me && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.lastHeardUs < MOVE_US;
+    private boolean wasHeardRecently(Member m) {
+        return m != localMember && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.lastHeardUs < PEER_INDEX_LOCK_US;
     }
 
-    private boolean ahead(long incarnation) {
-        return incarnation > nowUs / 1_000 + AHEAD_MS;
+    private boolean isTooFarAhead(long incarnation) {
+        return incarnation > nowUs / 1_000 + MAX_INCARNATION_AHEAD_MS;
     }
 
     /** Somebody else has our name. The later process stays, the earlier goes quiet and leaves the name to it. */
-    private void mirror(Envelope.Message letter, int from) {
-        if (from == self.index() && letter.incarnation() == me.incarnation) {
+    private void onDuplicateId(Envelope.Message message, int peerIndex) {
+        if (peerIndex == config.index() && message.incarnation() == localMember.incarnation) {
             return;
         }
-        if (letter.incarnation() > me.incarnation && nowUs - startedUs >= JOIN_US) {
+        if (message.incarnation() > localMember.incarnation && nowUs - startedUs >= JOIN_PHASE_US) {
             // The last word: the other would not know that there was one before it.
-            send(from, letter().toBytes(self.reservedLength()));
-            goQuiet("another process of this name, started later, speaks from place " + from);
-        } else if (letter.incarnation() > me.incarnation) {
-            host.logEvent("another process of this name speaks from place " + from);
-            refute(letter.incarnation(), "place " + from);
+            send(peerIndex, newEnvelope().toBytes(config.reservedLength()));
+            stop("another process of this name, started later, speaks from place " + peerIndex);
+        } else if (message.incarnation() > localMember.incarnation) {
+            environment.logEvent("another process of this name speaks from place " + peerIndex);
+            refute(message.incarnation(), "place " + peerIndex);
         } else {
-            host.logEvent("another process of this name, started before, speaks from place " + from);
+            environment.logEvent("another process of this name, started before, speaks from place " + peerIndex);
         }
     }
 
-    private void goQuiet(String why) {
-        quiet = true;
+    private void stop(String reason) {
+        stopped = true;
         probes.clear();
-        accusations.clear();
+        suspicions.clear();
         dissemination.clear();
-        host.logEvent("takes no part among members any more: " + why);
-        view = look(view);
+        environment.logEvent("takes no part among members any more: " + reason);
+        view = computeView(view);
     }
 
     /** What a datagram says by having come: its sender lives, is this one, and is reached there. */
-    private Member heard(Envelope.Message letter, int from) {
-        Member m = members.get(letter.sender());
+    private Member identifySender(Envelope.Message message, int peerIndex) {
+        Member m = members.get(message.sender());
         if (m == null) {
-            m = new Member(letter.sender());
+            m = new Member(message.sender());
             m.ownIndex = Member.UNKNOWN_INDEX;
-            m.incarnation = letter.incarnation();
+            m.incarnation = message.incarnation();
             m.state = State.LEFT;
-            facts(m, letter);
+            applyMetadata(m, message);
             members.put(m.id, m);
-            place(m, from);
-            heardNow(m);
-            become(m, State.ALIVE, "has come");
+            assignPeerIndex(m, peerIndex);
+            recordContact(m);
+            setState(m, State.ALIVE, "has come");
             return m;
         }
-        if (letter.incarnation() < m.incarnation) {
+        if (message.incarnation() < m.incarnation) {
             // A process of before, or one that does not know yet what was said of it: it is told, and may answer that.
-            if ((m.peerIndex < 0 || m.peerIndex == from) && budget.admits(LEAST_NEWS)) {
+            if ((m.peerIndex < 0 || m.peerIndex == peerIndex) && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
                 ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 m.write(b);
-                send(from, letter().addSection(UPDATES, b).toBytes(self.reservedLength()));
+                send(peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
             }
             return null;
         }
-        facts(m, letter);
-        place(m, from);
-        heardNow(m);
-        if (letter.incarnation() > m.incarnation) {
-            m.incarnation = letter.incarnation();
-            digest.changed();
-            become(m, State.ALIVE, "has come back");
-            tell(m);
+        applyMetadata(m, message);
+        assignPeerIndex(m, peerIndex);
+        recordContact(m);
+        if (message.incarnation() > m.incarnation) {
+            m.incarnation = message.incarnation();
+            digest.invalidate();
+            setState(m, State.ALIVE, "has come back");
+            disseminateUrgently(m);
         } else if (m.state == State.SUSPECT) {
-            become(m, State.ALIVE, "has answered");
+            setState(m, State.ALIVE, "has answered");
         }
-        Accusation a = accusations.remove(m.id);
-        for (int slot : a == null ? Set.<Integer>of() : a.askers) {
-            sendSeen(slot, m.id);
+        Suspicion a = suspicions.remove(m.id);
+        for (int requester : a == null ? Set.<Integer>of() : a.requesters) {
+            sendHeardByWitness(requester, m.id);
         }
         return m;
     }
 
-    private void heardNow(Member m) {
+    private void recordContact(Member m) {
         m.lastHeardUs = nowUs;
-        heardUs = nowUs;
+        lastHeardUs = nowUs;
         if (m.peerIndex >= 0) {
-            oldWordUs[m.peerIndex] = NEVER;
+            legacyHeardUs[m.peerIndex] = NEVER;
         }
     }
 
-    private void place(Member m, int from) {
-        if (m.peerIndex == from || from == self.index()) {
+    private void assignPeerIndex(Member m, int peerIndex) {
+        if (m.peerIndex == peerIndex || peerIndex == config.index()) {
             return;
         }
-        if (m.peerIndex >= 0 && slots[m.peerIndex] == m) {
-            slots[m.peerIndex] = null;
+        if (m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
+            byPeerIndex[m.peerIndex] = null;
         }
-        Member before = slots[from];
-        if (before != null && before != me) {
+        Member before = byPeerIndex[peerIndex];
+        if (before != null && before != localMember) {
             before.peerIndex = -1;
         }
-        slots[from] = m;
-        m.peerIndex = from;
+        byPeerIndex[peerIndex] = m;
+        m.peerIndex = peerIndex;
     }
 
-    private static boolean has(ByteBuffer b, int bytes) {
+    private static boolean hasRemaining(ByteBuffer b, int bytes) {
         return b.remaining() >= bytes;
     }
 
-    private void pinged(Member sender, ByteBuffer b) {
-        if (!has(b, 2)) {
+    private void onPing(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 2)) {
             return;
         }
         short number = b.getShort();
         ByteBuffer ack = ByteBuffer.allocate(2).putShort(number);
-        Envelope e = letter().addSection(ACK, ack);
-        if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
-            addName(e);
+        Envelope e = newEnvelope().addSection(ACK, ack);
+        if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
+            addNameSection(e);
         }
-        send(sender.peerIndex, withUpdates(e).toBytes(self.reservedLength()));
+        send(sender.peerIndex, addUpdates(e).toBytes(config.reservedLength()));
     }
 
-    private void acked(Member sender, ByteBuffer b) {
-        if (!has(b, 2)) {
+    private void onAck(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 2)) {
             return;
         }
         Probe p = probes.remove(b.getShort() & 0xFFFF);
         if (p != null && p.target == sender) {
-            doubt = Math.max(0, doubt - 1);
+            selfDoubt = Math.max(0, selfDoubt - 1);
         }
-        Set<Integer> askers = asked.remove(sender.id);
-        if (askers != null) {
-            askers.forEach(slot -> sendSeen(slot, sender.id));
+        Set<Integer> requesters = probeRequesters.remove(sender.id);
+        if (requesters != null) {
+            requesters.forEach(requester -> sendHeardByWitness(requester, sender.id));
         }
     }
 
     /** A member that has not heard from another asks us to look for ourselves. */
-    private void checked(Member sender, ByteBuffer b) {
-        Member m = has(b, 12) ? members.get(Envelope.get48(b)) : null;
+    private void onPingRequest(Member sender, ByteBuffer b) {
+        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
         long incarnation = m == null ? 0 : Envelope.get48(b);
         if (m == null
-                || m == me
+                || m == localMember
                 || incarnation < m.incarnation
                 || m.peerIndex < 0
                 || m.state == State.DEAD
                 || m.state == State.LEFT) {
             return;
         }
-        Accusation own = accusations.get(m.id);
-        if (own != null) {
-            own.accusers.add(sender.id);
-            own.askers.add(sender.peerIndex);
-            send(sender.peerIndex, letter().addSection(ACCUSE, about(m)).toBytes(self.reservedLength()));
+        Suspicion suspicion = suspicions.get(m.id);
+        if (suspicion != null) {
+            suspicion.suspecters.add(sender.id);
+            suspicion.requesters.add(sender.peerIndex);
+            send(sender.peerIndex, newEnvelope().addSection(CONFIRM_SUSPICION, encodeIdentity(m)).toBytes(config.reservedLength()));
         } else {
-            asked.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
+            probeRequesters.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
             probe(m, false);
         }
     }
 
-    private void accused(Member sender, ByteBuffer b) {
-        Accusation a = has(b, 12) ? accusations.get(Envelope.get48(b)) : null;
+    private void onSuspicionConfirmed(Member sender, ByteBuffer b) {
+        Suspicion a = hasRemaining(b, 12) ? suspicions.get(Envelope.get48(b)) : null;
         if (a != null) {
-            a.accusers.add(sender.id);
+            a.suspecters.add(sender.id);
         }
     }
 
     /** A witness has heard from the one that does not answer us: the link between us is bad, not the member. */
-    private void seen(ByteBuffer b) {
-        Member m = has(b, 12) ? members.get(Envelope.get48(b)) : null;
-        if (m != null && accusations.remove(m.id) != null && m.state == State.SUSPECT) {
+    private void onHeardByWitness(ByteBuffer b) {
+        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
+        if (m != null && suspicions.remove(m.id) != null && m.state == State.SUSPECT) {
             m.lastHeardUs = nowUs;
-            become(m, State.ALIVE, "was heard by a witness");
+            setState(m, State.ALIVE, "was heard by a witness");
         }
     }
 
-    private void sendSeen(int slot, long id) {
+    private void sendHeardByWitness(int peerIndex, long id) {
         Member m = members.get(id);
-        send(slot, letter().addSection(SEEN, about(m)).toBytes(self.reservedLength()));
+        send(peerIndex, newEnvelope().addSection(HEARD_BY_WITNESS, encodeIdentity(m)).toBytes(config.reservedLength()));
     }
 
-    private void updated(Member sender, ByteBuffer b) {
-        while (has(b, Member.WIRE_BYTES)) {
-            Member word = Member.read(b);
-            if (word == null) {
+    private void onUpdates(Member sender, ByteBuffer b) {
+        while (hasRemaining(b, Member.WIRE_BYTES)) {
+            Member update = Member.read(b);
+            if (update == null) {
                 return;
             }
-            take(word, sender.name(), false);
+            applyUpdate(update, sender.name(), false);
         }
     }
 
     /** What it says of itself; only the name that the id stands for. */
-    private void facts(Member m, Envelope.Message letter) {
-        for (Envelope.Section s : letter.sections()) {
-            if (s.type() != NAME || s.bytes().length < FACTS) {
+    private void applyMetadata(Member m, Envelope.Message message) {
+        for (Envelope.Section s : message.sections()) {
+            if (s.type() != NAME || s.bytes().length < METADATA_BYTES) {
                 continue;
             }
             ByteBuffer b = ByteBuffer.wrap(s.bytes());
             int zone = b.get() & 255;
-            if (zone < Math.max(1, self.zoneCount())) {
-                boolean news = !m.hasMetadata();
-                if (news) {
-                    digest.changed();
+            if (zone < Math.max(1, config.zoneCount())) {
+                boolean first = !m.hasMetadata();
+                if (first) {
+                    digest.invalidate();
                 }
                 m.zone = zone;
                 m.ownIndex = b.getShort() & 0xFFFF;
                 m.version = b.get() & 255;
                 m.features = b.get() & 255;
-                if (news && m.hasMetadata() && m.state == State.ALIVE) {
-                    tellInPassing(m);
+                if (first && m.hasMetadata() && m.state == State.ALIVE) {
+                    disseminate(m);
                 }
             }
             if (m.name == null) {
-                String name = new String(s.bytes(), FACTS, s.bytes().length - FACTS, StandardCharsets.UTF_8);
+                String name = new String(s.bytes(), METADATA_BYTES, s.bytes().length - METADATA_BYTES, StandardCharsets.UTF_8);
                 m.name = Envelope.idOf(name) == m.id ? name : null;
             }
         }
     }
 
-    private void compared(Member sender, ByteBuffer b) {
-        if (!has(b, 8)) {
+    private void onCompare(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 8)) {
             return;
         }
-        int of = b.getShort() & 0xFFFF;
+        int bucket = b.getShort() & 0xFFFF;
         int buckets = b.getShort() & 0xFFFF;
         if (buckets == 0
-                || of >= buckets
-                || !budget.admits(Envelope.MAX_BYTES + RESERVE)
-                || b.getInt() == digest.hash(of, buckets)) {
+                || bucket >= buckets
+                || !budget.canSend(Envelope.MAX_BYTES + RESERVED_BYTES)
+                || b.getInt() == digest.bucketHash(bucket, buckets)) {
             return;
         }
-        ByteBuffer page = ByteBuffer.allocate(Member.WIRE_BYTES * StateDigest.PAGE);
-        digest.write(of, buckets, page);
-        send(sender.peerIndex, letter().addSection(PAGE_OF, page).toBytes(self.reservedLength()));
+        ByteBuffer content = ByteBuffer.allocate(Member.WIRE_BYTES * StateDigest.MEMBERS_PER_BUCKET);
+        digest.writeBucket(bucket, buckets, content);
+        send(sender.peerIndex, newEnvelope().addSection(BUCKET, content).toBytes(config.reservedLength()));
     }
 
-    private void page(ByteBuffer b) {
-        while (has(b, Member.WIRE_BYTES)) {
-            Member word = Member.read(b);
-            if (word == null) {
+    private void onBucket(ByteBuffer b) {
+        while (hasRemaining(b, Member.WIRE_BYTES)) {
+            Member update = Member.read(b);
+            if (update == null) {
                 return;
             }
-            take(word, "a page", true);
+            applyUpdate(update, "a page", true);
         }
     }
 
     /** Somebody's word on a member. What can't be true is left out. */
-    private void take(Member word, String who, boolean paged) {
-        boolean zoneFits = word.zone < Math.max(1, self.zoneCount());
-        if (word.id == 0 || !zoneFits || ahead(word.incarnation)) {
+    private void applyUpdate(Member update, String source, boolean fromBucket) {
+        boolean zoneFits = update.zone < Math.max(1, config.zoneCount());
+        if (update.id == 0 || !zoneFits || isTooFarAhead(update.incarnation)) {
             return;
         }
-        if (word.id == me.id) {
-            if (word.incarnation > me.incarnation || word.incarnation == me.incarnation && word.state != State.ALIVE) {
-                claimed(word, who);
+        if (update.id == localMember.id) {
+            if (update.incarnation > localMember.incarnation || update.incarnation == localMember.incarnation && update.state != State.ALIVE) {
+                onFalseUpdateAboutSelf(update, source);
             }
             return;
         }
-        Member m = members.get(word.id);
-        if (m != null && !m.hasMetadata() && word.hasMetadata() && word.incarnation == m.incarnation) {
-            adopt(m, word);
-            presume(m);
+        Member m = members.get(update.id);
+        if (m != null && !m.hasMetadata() && update.hasMetadata() && update.incarnation == m.incarnation) {
+            copyMetadata(m, update);
+            assumePeerIndex(m);
         }
         if (m == null) {
-            if (word.state == State.DEAD || word.state == State.LEFT) {
+            if (update.state == State.DEAD || update.state == State.LEFT) {
                 return;
             }
-            m = new Member(word.id);
+            m = new Member(update.id);
             m.state = State.LEFT;
             members.put(m.id, m);
-            adopt(m, word);
-            presume(m);
-            become(m, State.ALIVE, "by word of " + who);
+            copyMetadata(m, update);
+            assumePeerIndex(m);
+            setState(m, State.ALIVE, "by word of " + source);
             return;
         }
         if (!Member.supersedes(
-                        word.incarnation, word.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
-                || word.state == State.SUSPECT && word.incarnation == m.incarnation) {
+                        update.incarnation, update.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
+                || update.state == State.SUSPECT && update.incarnation == m.incarnation) {
             return;
         }
-        boolean deadByPage = paged
-                && word.state == State.DEAD
-                && word.incarnation == m.incarnation
+        boolean deathInBucket = fromBucket
+                && update.state == State.DEAD
+                && update.incarnation == m.incarnation
                 && (m.state == State.ALIVE || m.state == State.SUSPECT);
-        boolean heardJustNow =
-                word.state == State.DEAD && word.incarnation == m.incarnation && nowUs - m.lastHeardUs < DEAF_US;
-        if (deadByPage || heardJustNow) {
+        boolean deathOfRecentlyHeard =
+                update.state == State.DEAD && update.incarnation == m.incarnation && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
+        if (deathInBucket || deathOfRecentlyHeard) {
             // An old page, or a quarrel: it hears of it, and says itself whether it lives.
-            if (m.peerIndex >= 0 && budget.admits(LEAST_NEWS)) {
+            if (m.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
                 ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
-                word.write(b);
-                send(m.peerIndex, letter().addSection(UPDATES, b).toBytes(self.reservedLength()));
+                update.write(b);
+                send(m.peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
             }
             return;
         }
         // Suspicions are not told: one that is says no more than that it lives.
-        State now = word.state == State.SUSPECT ? State.ALIVE : word.state;
-        adopt(m, word);
-        presume(m);
-        become(m, now, "by word of " + who);
-        tell(m);
+        State newState = update.state == State.SUSPECT ? State.ALIVE : update.state;
+        copyMetadata(m, update);
+        assumePeerIndex(m);
+        setState(m, newState, "by word of " + source);
+        disseminateUrgently(m);
     }
 
-    private void adopt(Member m, Member word) {
-        digest.changed();
-        m.incarnation = word.incarnation;
-        m.zone = word.zone;
-        m.ownIndex = word.ownIndex;
-        m.version = word.version;
-        m.features = word.features;
+    private void copyMetadata(Member m, Member update) {
+        digest.invalidate();
+        m.incarnation = update.incarnation;
+        m.zone = update.zone;
+        m.ownIndex = update.ownIndex;
+        m.version = update.version;
+        m.features = update.features;
     }
 
     /** Where nothing else is known, it is reached at the place that it says it has: its first datagram tells better. */
-    private void presume(Member m) {
-        if (m.peerIndex < 0 && m.ownIndex < slots.length && slots[m.ownIndex] == null) {
+    private void assumePeerIndex(Member m) {
+        if (m.peerIndex < 0 && m.ownIndex < byPeerIndex.length && byPeerIndex[m.ownIndex] == null) {
             m.peerIndex = m.ownIndex;
-            slots[m.ownIndex] = m;
+            byPeerIndex[m.ownIndex] = m;
         }
     }
 
     /** Word on ourselves that is not so. */
-    private void claimed(Member word, String who) {
-        if (word.state == State.ALIVE && nowUs - startedUs >= JOIN_US) {
-            claims.removeIf(at -> nowUs - at > CLAIMS_US);
-            claims.add(nowUs);
-            if (claims.size() > MOST_CLAIMS) {
-                goQuiet("another process of this name goes on claiming it, by word of " + who);
+    private void onFalseUpdateAboutSelf(Member update, String source) {
+        if (update.state == State.ALIVE && nowUs - startedUs >= JOIN_PHASE_US) {
+            claimTimesUs.removeIf(at -> nowUs - at > CLAIM_WINDOW_US);
+            claimTimesUs.add(nowUs);
+            if (claimTimesUs.size() > MAX_CLAIMS) {
+                stop("another process of this name goes on claiming it, by word of " + source);
                 return;
             }
         }
-        refute(word.incarnation, who);
+        refute(update.incarnation, source);
     }
 
-    private void refute(long incarnation, String who) {
-        me.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
-        digest.changed();
-        me.sinceUs = nowUs;
-        host.logEvent("refutes what " + who + " says of it");
-        tell(me);
+    private void refute(long incarnation, String source) {
+        localMember.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
+        digest.invalidate();
+        localMember.sinceUs = nowUs;
+        environment.logEvent("refutes what " + source + " says of it");
+        disseminateUrgently(localMember);
     }
 
     // ---- changes ------------------------------------------------------------------------------------
 
-    private void become(Member m, State state, String why) {
-        digest.changed();
-        boolean was = m.state == State.ALIVE || m.state == State.SUSPECT;
+    private void setState(Member m, State state, String reason) {
+        digest.invalidate();
+        boolean wasLive = m.state == State.ALIVE || m.state == State.SUSPECT;
         // One that is new here was in no state before.
-        boolean gone = !was && m.sinceUs != 0;
+        boolean wasGone = !wasLive && m.sinceUs != 0;
         if (m.state != state
                 && (state != State.SUSPECT && m.state != State.SUSPECT || state == State.DEAD || state == State.LEFT)) {
-            host.logEvent(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
+            environment.logEvent(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
         }
         if (m.state != state) {
             m.sinceUs = nowUs;
-            m.reason = why;
+            m.reason = reason;
         }
         m.state = state;
-        boolean is = state == State.ALIVE || state == State.SUSPECT;
-        if (is && !was) {
+        boolean isLive = state == State.ALIVE || state == State.SUSPECT;
+        if (isLive && !wasLive) {
             ring.put(Member.ringPosition(m.id), m);
-        } else if (!is) {
+        } else if (!isLive) {
             ring.remove(Member.ringPosition(m.id));
-            accusations.remove(m.id);
+            suspicions.remove(m.id);
         }
         if (state == State.ALIVE) {
-            Accusation a = accusations.remove(m.id);
+            Suspicion a = suspicions.remove(m.id);
             if (a != null) {
-                a.askers.forEach(slot -> sendSeen(slot, m.id));
+                a.requesters.forEach(requester -> sendHeardByWitness(requester, m.id));
             }
         }
-        changed = true;
-        if (!is || gone) {
-            tell(m);
-        } else if (!was) {
-            tellInPassing(m);
+        viewStale = true;
+        if (!isLive || wasGone) {
+            disseminateUrgently(m);
+        } else if (!wasLive) {
+            disseminate(m);
         }
     }
 
-    private void tell(Member m) {
-        dissemination.tell(m, members.size());
-        fresh = true;
+    private void disseminateUrgently(Member m) {
+        dissemination.enqueueUrgent(m, members.size());
+        urgentPending = true;
     }
 
-    private void tellInPassing(Member m) {
-        dissemination.tellInPassing(m, members.size());
+    private void disseminate(Member m) {
+        dissemination.enqueueRegular(m, members.size());
     }
 
     /** Fills what room is left with changes. */
-    private Envelope withUpdates(Envelope e) {
-        int affordable = (budget.left() - RESERVE - SendBudget.HEADERS - (Envelope.MAX_BYTES - e.remainingBytes()))
+    private Envelope addUpdates(Envelope e) {
+        int affordable = (budget.availableBytes() - RESERVED_BYTES - SendBudget.IP_UDP_HEADER_BYTES - (Envelope.MAX_BYTES - e.remainingBytes()))
                 / Member.WIRE_BYTES;
-        int most = Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.PAGE), affordable);
-        if (most <= 0 || dissemination.isEmpty()) {
+        int count = Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
+        if (count <= 0 || dissemination.isEmpty()) {
             return e;
         }
-        ByteBuffer b = ByteBuffer.allocate(most * Member.WIRE_BYTES);
-        dissemination.write(b);
+        ByteBuffer b = ByteBuffer.allocate(count * Member.WIRE_BYTES);
+        dissemination.writeUpdates(b);
         return e.addSection(UPDATES, b);
     }
 
     /** News does not wait for the next probe, but for room in the budget. */
-    private void eager() {
-        fresh = false;
-        for (Member m : some(EAGER, null)) {
-            if (!dissemination.anyUrgent()) {
+    private void sendUrgentUpdates() {
+        urgentPending = false;
+        for (Member m : randomAliveMembers(URGENT_FANOUT, null)) {
+            if (!dissemination.hasUrgent()) {
                 return;
             }
-            if (!budget.admits(LEAST_NEWS + RESERVE)) {
-                fresh = true;
+            if (!budget.canSend(MIN_UPDATE_MESSAGE_BYTES + RESERVED_BYTES)) {
+                urgentPending = true;
                 return;
             }
-            send(m.peerIndex, withUpdates(letter()).toBytes(self.reservedLength()));
+            send(m.peerIndex, addUpdates(newEnvelope()).toBytes(config.reservedLength()));
         }
     }
 
     /** So many of those here that can be reached, at random, without one. */
-    private List<Member> some(int n, Member but) {
-        List<Member> some = new ArrayList<>(n);
-        for (int tries = 0; tries < 4 * n && some.size() < n; tries++) {
-            Member m = slots.length == 0 ? null : slots[random.nextInt(slots.length)];
-            if (m != null && m != me && m != but && m.state == State.ALIVE && !some.contains(m)) {
-                some.add(m);
+    private List<Member> randomAliveMembers(int count, Member excluded) {
+        List<Member> chosen = new ArrayList<>(count);
+        for (int tries = 0; tries < 4 * count && chosen.size() < count; tries++) {
+            Member m = byPeerIndex.length == 0 ? null : byPeerIndex[random.nextInt(byPeerIndex.length)];
+            if (m != null && m != localMember && m != excluded && m.state == State.ALIVE && !chosen.contains(m)) {
+                chosen.add(m);
             }
         }
-        return some;
+        return chosen;
     }
 
-    private ByteBuffer about(Member m) {
+    private ByteBuffer encodeIdentity(Member m) {
         ByteBuffer b = ByteBuffer.allocate(12);
         Envelope.put48(b, m.id);
         Envelope.put48(b, m.incarnation);
         return b;
     }
 
-    private void send(int slot, byte[] datagram) {
+    private void send(int peerIndex, byte[] datagram) {
         budget.spend(datagram.length);
-        host.send(slot, datagram);
+        environment.send(peerIndex, datagram);
     }
 
-    private Envelope letter() {
-        return Envelope.from(me.id, me.incarnation);
+    private Envelope newEnvelope() {
+        return Envelope.from(localMember.id, localMember.incarnation);
     }
 
     /** The process leaves of its own will: told to several, since some word is lost. Nothing follows. */
     public void leave(long now) {
         advance(now);
-        if (quiet) {
+        if (stopped) {
             return;
         }
-        me.state = State.LEFT;
-        digest.changed();
+        localMember.state = State.LEFT;
+        digest.invalidate();
         ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
-        me.write(b);
-        for (Member m : some(2 * EAGER, null)) {
+        localMember.write(b);
+        for (Member m : randomAliveMembers(2 * URGENT_FANOUT, null)) {
             ByteBuffer copy = ByteBuffer.allocate(Member.WIRE_BYTES).put(b.array());
-            send(m.peerIndex, letter().addSection(UPDATES, copy).toBytes(self.reservedLength()));
+            send(m.peerIndex, newEnvelope().addSection(UPDATES, copy).toBytes(config.reservedLength()));
         }
-        quiet = true;
-        host.logEvent("has told that it leaves");
+        stopped = true;
+        environment.logEvent("has told that it leaves");
     }
 
-    private MembershipView look(MembershipView before) {
-        int here = 0;
-        int gone = 0;
-        int[] zones = new int[Math.max(1, self.zoneCount())];
+    private MembershipView computeView(MembershipView before) {
+        int live = 0;
+        int left = 0;
+        int[] liveByZone = new int[Math.max(1, config.zoneCount())];
         // Whom it has not heard of for so long it can't call dead, nor count.
-        boolean alone = nowUs - Math.max(startedUs, heardUs) > ALONE_US;
-        if (alone) {
-            here = 1;
-            zones[Math.min(zones.length - 1, me.zone)]++;
+        boolean isolated = nowUs - Math.max(startedUs, lastHeardUs) > ISOLATED_US;
+        if (isolated) {
+            live = 1;
+            liveByZone[Math.min(liveByZone.length - 1, localMember.zone)]++;
         }
-        if (!quiet && !alone) {
+        if (!stopped && !isolated) {
             for (Member m : members.values()) {
                 if (m.state == State.LEFT) {
-                    gone += m.peerIndex >= 0 ? 1 : 0;
+                    left += m.peerIndex >= 0 ? 1 : 0;
                 } else if (m.state != State.DEAD) {
-                    here++;
-                    zones[Math.min(zones.length - 1, m.zone)]++;
+                    live++;
+                    liveByZone[Math.min(liveByZone.length - 1, m.zone)]++;
                 }
             }
-            for (int i = 0; i < slots.length; i++) {
-                here += slots[i] == null && nowUs - oldWordUs[i] < OLD_WORD_US ? 1 : 0;
+            for (int i = 0; i < byPeerIndex.length; i++) {
+                live += byPeerIndex[i] == null && nowUs - legacyHeardUs[i] < LEGACY_LIVENESS_US ? 1 : 0;
             }
         }
-        int expected = Math.max(1, slots.length - gone);
-        MembershipView.Standing standing = here <= 1 && expected > 1
+        int expected = Math.max(1, byPeerIndex.length - left);
+        MembershipView.Standing standing = live <= 1 && expected > 1
                 ? MembershipView.Standing.NOBODY
-                : 2 * here > expected ? MembershipView.Standing.MAJORITY : MembershipView.Standing.MINORITY;
-        boolean same = before != null && before.standing() == standing;
+                : 2 * live > expected ? MembershipView.Standing.MAJORITY : MembershipView.Standing.MINORITY;
+        boolean standingUnchanged = before != null && before.standing() == standing;
         return new MembershipView(
                 expected,
-                here,
-                Arrays.stream(zones).boxed().toList(),
+                live,
+                Arrays.stream(liveByZone).boxed().toList(),
                 standing,
-                same ? before.standingSinceUs() : nowUs);
+                standingUnchanged ? before.standingSinceUs() : nowUs);
     }
 }
--- a/src/main/java/rushproxy/fleet/member/StateDigest.java
+++ b/src/main/java/rushproxy/fleet/member/StateDigest.java
@@ -12,7 +12,7 @@
  */
 final class StateDigest {
     /** Members of a bucket on average: a datagram's worth. */
-    static final int PAGE = 12;
+    static final int MEMBERS_PER_BUCKET = 12;
 
     private final Collection<Member> members;
     private int[] hashes = new int[0];
@@ -24,13 +24,13 @@
     }
 
     /** Some member's state, incarnation or presence is another than before. */
-    void changed() {
+    void invalidate() {
         stale = true;
     }
 
     /** {@code places}: length of the configured list. */
-    int buckets(int places) {
-        return Math.max(1, Math.max(places, members.size()) / PAGE);
+    int bucketCount(int peerCount) {
+        return Math.max(1, Math.max(peerCount, members.size()) / MEMBERS_PER_BUCKET);
     }
 
     private static int bucketOf(long id, int buckets) {
@@ -38,7 +38,7 @@
     }
 
     /** The other side may have another number of buckets than this one. */
-    int hash(int of, int buckets) {
+    int bucketHash(int bucket, int buckets) {
         if (stale || hashes.length != buckets) {
             stale = false;
             hashes = hashes.length == buckets ? hashes : new int[buckets];
@@ -46,24 +46,24 @@
             for (Member m : members) {
                 if (m.hasMetadata()) {
                     // The sum: in whatever order the members come.
-                    hashes[bucketOf(m.id, buckets)] += hash(m);
+                    hashes[bucketOf(m.id, buckets)] += memberHash(m);
                 }
             }
         }
-        return hashes[of];
+        return hashes[bucket];
     }
 
     /** A suspicion is its holder's own, and no difference. */
-    private static int hash(Member m) {
+    private static int memberHash(Member m) {
         State state = m.state == State.SUSPECT ? State.ALIVE : m.state;
         long mixed = Member.ringPosition(m.id ^ m.incarnation << 3 ^ state.ordinal());
         return (int) (mixed ^ mixed >>> 32);
     }
 
     /** Writes the bucket's members, as far as there is room. */
-    void write(int of, int buckets, ByteBuffer to) {
+    void writeBucket(int bucket, int buckets, ByteBuffer to) {
         for (Member m : members) {
-            if (bucketOf(m.id, buckets) == of && to.hasRemaining() && m.hasMetadata()) {
+            if (bucketOf(m.id, buckets) == bucket && to.hasRemaining() && m.hasMetadata()) {
                 m.write(to);
             }
         }
