--- a/src/main/java/rushproxy/fleet/Envelope.java
+++ b/src/main/java/rushproxy/fleet/Envelope.java
@@ -62,32 +62,35 @@
     }
 
     /** {@code taken} is the length that the program before would take for its own; -1 where there is none. */
-    public byte[] toBytes(int taken) {
-        if (buffer.position() == taken) {
+    public byte[] toBytes(int reservedLength) {
+        if (buffer.position() == reservedLength) {
             // A section of no length would take two: the type alone is skipped too.
             buffer.put((byte) PADDING);
         }
-        byte[] all = new byte[buffer.position()];
-        buffer.flip().get(all);
-        ByteBuffer.wrap(all).putInt(2, checksum(all));
-        return all;
+        byte[] datagram = new byte[buffer.position()];
+        buffer.flip().get(datagram);
+        ByteBuffer.wrap(datagram).putInt(2, checksum(datagram));
+        return datagram;
     }
 
-    private static int checksum(byte[] all) {
+    private static int checksum(byte[] datagram) {
         CRC32 crc = new CRC32();
-        crc.update(all, CHECKSUM_START, all.length - CHECKSUM_START);
+        crc.update(datagram, CHECKSUM_START, datagram.length - CHECKSUM_START);
         return (int) crc.getValue();
     }
 
     /** Null where the bytes are no whole envelope of this version: nothing is to be taken from them. */
-    public static Message parse(byte[] all) {
-        if (all.length < HEADER_BYTES || all.length > MAX_BYTES || all[0] != MAGIC || all[1] != VERSION) {
+    public static Message parse(byte[] datagram) {
+        if (datagram.length < HEADER_BYTES
+                || datagram.length > MAX_BYTES
+                || datagram[0] != MAGIC
+                || datagram[1] != VERSION) {
             return null;
         }
-        if (checksum(all) != ByteBuffer.wrap(all).getInt(2)) {
+        if (checksum(datagram) != ByteBuffer.wrap(datagram).getInt(2)) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(all, CHECKSUM_START, all.length - CHECKSUM_START);
+        ByteBuffer b = ByteBuffer.wrap(datagram, CHECKSUM_START, datagram.length - CHECKSUM_START);
         long sender = get48(b);
         long incarnation = get48(b);
         List<Section> sections = new ArrayList<>(3);
--- a/src/main/java/rushproxy/fleet/PeerDirectory.java
+++ b/src/main/java/rushproxy/fleet/PeerDirectory.java
@@ -6,7 +6,7 @@
     int size();
 
     /** The place in the configured list of one that is here and speaks the part, drawn by {@code random}; -1 for nobody. */
-    int randomPeer(int part, java.util.SplittableRandom random);
+    int randomPeer(int feature, java.util.SplittableRandom random);
 
     /** Whether it is here. */
     boolean isLive(long member);
--- a/src/main/java/rushproxy/fleet/member/Member.java
+++ b/src/main/java/rushproxy/fleet/member/Member.java
@@ -121,7 +121,9 @@
     }
 
     /** Of two words on the same member the later: by incarnation, then by state; a leave is final for its incarnation. */
-    static boolean supersedes(long incarnation, State state, long than, State thanState) {
-        return incarnation != than ? incarnation > than : state.ordinal() > thanState.ordinal();
+    static boolean supersedes(long incarnation, State state, long otherIncarnation, State otherState) {
+        return incarnation != otherIncarnation
+                ? incarnation > otherIncarnation
+                : state.ordinal() > otherState.ordinal();
     }
 }
--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -262,10 +262,10 @@
     }
 
     @Override
-    public int randomPeer(int part, SplittableRandom by) {
+    public int randomPeer(int feature, SplittableRandom random) {
         for (int tries = 0; tries < MAX_DRAWS && byPeerIndex.length > 0; tries++) {
-            Member m = byPeerIndex[by.nextInt(byPeerIndex.length)];
-            if (m != null && m != localMember && m.state == State.ALIVE && (m.features & part) != 0) {
+            Member m = byPeerIndex[random.nextInt(byPeerIndex.length)];
+            if (m != null && m != localMember && m.state == State.ALIVE && (m.features & feature) != 0) {
                 return m.peerIndex;
             }
         }
@@ -360,7 +360,11 @@
         suspicions.put(m.id, a);
         for (int requester : probeRequesters.getOrDefault(m.id, Set.of())) {
             a.requesters.add(requester);
-            send(requester, newEnvelope().addSection(CONFIRM_SUSPICION, encodeIdentity(m)).toBytes(config.reservedLength()));
+            send(
+                    requester,
+                    newEnvelope()
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .toBytes(config.reservedLength()));
         }
         probeRequesters.remove(m.id);
         if (m.state == State.ALIVE) {
@@ -374,7 +378,11 @@
         ping(m);
         if (++a.pings == 2 && a.requestsIndirectProbes) {
             for (Member w : randomAliveMembers(INDIRECT_PROBERS, m)) {
-                send(w.peerIndex, newEnvelope().addSection(PING_REQUEST, encodeIdentity(m)).toBytes(config.reservedLength()));
+                send(
+                        w.peerIndex,
+                        newEnvelope()
+                                .addSection(PING_REQUEST, encodeIdentity(m))
+                                .toBytes(config.reservedLength()));
             }
         }
     }
@@ -387,7 +395,10 @@
                 suspicions.remove(e.getKey());
             } else if (nowUs >= a.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
                 suspicions.remove(e.getKey());
-                setState(m, State.DEAD, a.suspecters.size() >= 2 ? "silent for us and " + otherSuspecters(a) : "silent for us alone");
+                setState(
+                        m,
+                        State.DEAD,
+                        a.suspecters.size() >= 2 ? "silent for us and " + otherSuspecters(a) : "silent for us alone");
             } else if (nowUs >= a.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
                 pingSuspect(a, m);
             } else if (nowUs >= a.nextPingUs) {
@@ -527,10 +538,10 @@
     // ---- datagrams ----------------------------------------------------------------------------------
 
     /** The program before, which speaks no envelopes, has said something: its peer lives. */
-    public void onLegacyDatagram(long now, int from) {
+    public void onLegacyDatagram(long now, int peerIndex) {
         advance(now);
-        if (from >= 0 && from < legacyHeardUs.length) {
-            legacyHeardUs[from] = nowUs;
+        if (peerIndex >= 0 && peerIndex < legacyHeardUs.length) {
+            legacyHeardUs[peerIndex] = nowUs;
         }
     }
 
@@ -547,20 +558,25 @@
      *
      * @return whether it is its sender's: another part may take its own sections then
      */
-    public boolean onMessage(long now, int from, Envelope.Message letter) {
+    public boolean onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
-        if (from < 0 || from >= byPeerIndex.length || stopped || letter.sender() == 0 || isTooFarAhead(letter.incarnation())) {
+        if (peerIndex < 0
+                || peerIndex >= byPeerIndex.length
+                || stopped
+                || message.sender() == 0
+                || isTooFarAhead(message.incarnation())) {
             return false;
         }
-        if (letter.sender() == localMember.id) {
-            onDuplicateId(letter, from);
+        if (message.sender() == localMember.id) {
+            onDuplicateId(message, peerIndex);
             return false;
         }
-        Member sender = conflictsWithRecentSender(letter.sender(), from) ? null : identifySender(letter, from);
+        Member sender =
+                conflictsWithRecentSender(message.sender(), peerIndex) ? null : identifySender(message, peerIndex);
         if (sender == null) {
             return false;
         }
-        for (Envelope.Section s : letter.sections()) {
+        for (Envelope.Section s : message.sections()) {
             ByteBuffer b = ByteBuffer.wrap(s.bytes());
             switch (s.type()) {
                 case PING -> onPing(sender, b);
@@ -574,7 +590,7 @@
                 default -> {}
             }
         }
-        return sender.peerIndex == from;
+        return sender.peerIndex == peerIndex;
     }
 
     /** A place speaks for one member, and a member from one place: another has to wait until the one is silent. */
@@ -586,7 +602,9 @@
     }
 
     private boolean wasHeardRecently(Member m) {
-        return m != localMember && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.lastHeardUs < PEER_INDEX_LOCK_US;
+        return m != localMember
+                && (m.state == State.ALIVE || m.state == State.SUSPECT)
+                && nowUs - m.lastHeardUs < PEER_INDEX_LOCK_US;
     }
 
     private boolean isTooFarAhead(long incarnation) {
@@ -731,7 +749,11 @@
         if (suspicion != null) {
             suspicion.suspecters.add(sender.id);
             suspicion.requesters.add(sender.peerIndex);
-            send(sender.peerIndex, newEnvelope().addSection(CONFIRM_SUSPICION, encodeIdentity(m)).toBytes(config.reservedLength()));
+            send(
+                    sender.peerIndex,
+                    newEnvelope()
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .toBytes(config.reservedLength()));
         } else {
             probeRequesters.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
             probe(m, false);
@@ -756,7 +778,9 @@
 
     private void sendHeardByWitness(int peerIndex, long id) {
         Member m = members.get(id);
-        send(peerIndex, newEnvelope().addSection(HEARD_BY_WITNESS, encodeIdentity(m)).toBytes(config.reservedLength()));
+        send(
+                peerIndex,
+                newEnvelope().addSection(HEARD_BY_WITNESS, encodeIdentity(m)).toBytes(config.reservedLength()));
     }
 
     private void onUpdates(Member sender, ByteBuffer b) {
@@ -791,7 +815,8 @@
                 }
             }
             if (m.name == null) {
-                String name = new String(s.bytes(), METADATA_BYTES, s.bytes().length - METADATA_BYTES, StandardCharsets.UTF_8);
+                String name = new String(
+                        s.bytes(), METADATA_BYTES, s.bytes().length - METADATA_BYTES, StandardCharsets.UTF_8);
                 m.name = Envelope.idOf(name) == m.id ? name : null;
             }
         }
@@ -831,7 +856,8 @@
             return;
         }
         if (update.id == localMember.id) {
-            if (update.incarnation > localMember.incarnation || update.incarnation == localMember.incarnation && update.state != State.ALIVE) {
+            if (update.incarnation > localMember.incarnation
+                    || update.incarnation == localMember.incarnation && update.state != State.ALIVE) {
                 onFalseUpdateAboutSelf(update, source);
             }
             return;
@@ -854,7 +880,10 @@
             return;
         }
         if (!Member.supersedes(
-                        update.incarnation, update.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
+                        update.incarnation,
+                        update.state,
+                        m.incarnation,
+                        m.state == State.SUSPECT ? State.ALIVE : m.state)
                 || update.state == State.SUSPECT && update.incarnation == m.incarnation) {
             return;
         }
@@ -862,8 +891,9 @@
                 && update.state == State.DEAD
                 && update.incarnation == m.incarnation
                 && (m.state == State.ALIVE || m.state == State.SUSPECT);
-        boolean deathOfRecentlyHeard =
-                update.state == State.DEAD && update.incarnation == m.incarnation && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
+        boolean deathOfRecentlyHeard = update.state == State.DEAD
+                && update.incarnation == m.incarnation
+                && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
         if (deathInBucket || deathOfRecentlyHeard) {
             // An old page, or a quarrel: it hears of it, and says itself whether it lives.
             if (m.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
@@ -967,9 +997,13 @@
 
     /** Fills what room is left with changes. */
     private Envelope addUpdates(Envelope e) {
-        int affordable = (budget.availableBytes() - RESERVED_BYTES - SendBudget.IP_UDP_HEADER_BYTES - (Envelope.MAX_BYTES - e.remainingBytes()))
+        int affordable = (budget.availableBytes()
+                        - RESERVED_BYTES
+                        - SendBudget.IP_UDP_HEADER_BYTES
+                        - (Envelope.MAX_BYTES - e.remainingBytes()))
                 / Member.WIRE_BYTES;
-        int count = Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
+        int count =
+                Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
         if (count <= 0 || dissemination.isEmpty()) {
             return e;
         }
--- a/src/main/java/rushproxy/fleet/shared/FleetCounters.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetCounters.java
@@ -10,17 +10,17 @@
  * nothing from what was counted before (a G-counter, Shapiro et al. 2011). One thread.
  */
 public final class FleetCounters {
-    private static final int BYTES = 20;
+    private static final int VALUE_BYTES = 20;
     /** Changes are told together; one that is quiet is renewed before its lease ends. */
-    private static final long TELL_US = 1_000_000;
+    private static final long PUBLISH_INTERVAL_US = 1_000_000;
 
-    private static final long RENEW_US = Table.COUNTS.leaseMs() * 1_000 / 3;
+    private static final long RENEW_INTERVAL_US = Table.COUNTS.leaseMs() * 1_000 / 3;
 
     private final ReplicatedStore store;
     private final long incarnation;
-    private final Map<Long, Long> own = new LinkedHashMap<>();
-    private final Map<Long, Long> told = new LinkedHashMap<>();
-    private long toldUs = Long.MIN_VALUE / 2;
+    private final Map<Long, Long> local = new LinkedHashMap<>();
+    private final Map<Long, Long> published = new LinkedHashMap<>();
+    private long publishedUs = Long.MIN_VALUE / 2;
     private long renewedUs = Long.MIN_VALUE / 2;
 
     /** {@code incarnation} is the process's first one: a refutation is no new process. */
@@ -30,20 +30,20 @@
     }
 
     public void add(String counter, long n) {
-        own.merge(Envelope.idOf(counter), n, Long::sum);
+        local.merge(Envelope.idOf(counter), n, Long::sum);
     }
 
     public void onTick(long nowUs) {
-        if (nowUs - toldUs < TELL_US) {
+        if (nowUs - publishedUs < PUBLISH_INTERVAL_US) {
             return;
         }
-        toldUs = nowUs;
-        boolean renew = nowUs - renewedUs >= RENEW_US;
+        publishedUs = nowUs;
+        boolean renew = nowUs - renewedUs >= RENEW_INTERVAL_US;
         renewedUs = renew ? nowUs : renewedUs;
-        own.forEach((id, count) -> {
-            if (renew || !count.equals(told.get(id))) {
-                told.put(id, count);
-                ByteBuffer b = ByteBuffer.allocate(BYTES);
+        local.forEach((id, count) -> {
+            if (renew || !count.equals(published.get(id))) {
+                published.put(id, count);
+                ByteBuffer b = ByteBuffer.allocate(VALUE_BYTES);
                 Envelope.put48(b, id);
                 Envelope.put48(b, incarnation);
                 store.put(
@@ -58,10 +58,10 @@
     /** Of all that is known, own counts with it as they are now. */
     public long sum(long nowUs, String counter) {
         long id = Envelope.idOf(counter);
-        long sum = own.getOrDefault(id, 0L);
+        long sum = local.getOrDefault(id, 0L);
         for (StoredEntry r : store.readAll(nowUs, Table.COUNTS)) {
             ByteBuffer b = ByteBuffer.wrap(r.value());
-            if (r.value().length == BYTES
+            if (r.value().length == VALUE_BYTES
                     && Envelope.get48(b) == id
                     && !(Envelope.get48(b) == incarnation && r.writer() == store.selfId())) {
                 sum += b.getLong();
--- a/src/main/java/rushproxy/fleet/shared/FleetLimits.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetLimits.java
@@ -39,35 +39,35 @@
     /** Of the own part this much is never lent: whoever is asked after a pause can answer some at once. */
     public static final double RESERVED_SHARE = 0.2;
     /** The demand is met with so much to spare. */
-    private static final double SPARE = 1.05;
+    private static final double DEMAND_HEADROOM = 1.05;
 
-    private static final double DEMAND_GAIN = 0.35;
+    private static final double DEMAND_SMOOTHING = 0.35;
     /** Asks at a tick, of all limits together. */
-    private static final int ASKS = 6;
+    private static final int MAX_REQUESTS_PER_TICK = 6;
     /** Renewed with this much left: two asks may be lost. */
-    private static final long RENEW_US = 1_300_000;
+    private static final long RENEW_BEFORE_US = 1_300_000;
     /** Who had nothing to lend is not asked for so long. */
-    private static final long NOTHING_US = 1_000_000;
+    private static final long REFUSAL_BACKOFF_US = 1_000_000;
     /** Borrowers of one lender, more than a fleet has processes: a bound on what liars can fill. */
-    private static final int MOST_LEASES = 4_096;
+    private static final int MAX_BORROWERS = 4_096;
 
-    private static final int ASK = 30;
-    private static final int LEND = 31;
-    private static final int BYTES = 16;
+    private static final int LEASE_REQUEST = 30;
+    private static final int LEASE_GRANT = 31;
+    private static final int SECTION_BYTES = 16;
 
     /** {@code max} a second, or in flight. */
     public record Limit(String name, Scope scope, String subject, boolean inFlight, double max) {
-        private static final int HEAD = 7;
+        private static final int HEADER_BYTES = 7;
 
         /** As the store has it; throws where the names are too long. */
         byte[] encode() {
             byte[] o = subject.getBytes(StandardCharsets.UTF_8);
             byte[] n = name.getBytes(StandardCharsets.UTF_8);
-            if (HEAD + o.length + n.length > Table.LIMITS.maxValueBytes()) {
+            if (HEADER_BYTES + o.length + n.length > Table.LIMITS.maxValueBytes()) {
                 throw new IllegalArgumentException("'" + name + "' and '" + subject + "' are " + (o.length + n.length)
-                        + " bytes, " + (Table.LIMITS.maxValueBytes() - HEAD) + " at most");
+                        + " bytes, " + (Table.LIMITS.maxValueBytes() - HEADER_BYTES) + " at most");
             }
-            return ByteBuffer.allocate(HEAD + o.length + n.length)
+            return ByteBuffer.allocate(HEADER_BYTES + o.length + n.length)
                     .put((byte) scope.ordinal())
                     .put((byte) (inFlight ? 1 : 0))
                     .putFloat((float) max)
@@ -80,7 +80,7 @@
         /** Null where the bytes are no limit. */
         static Limit decode(byte[] bytes) {
             ByteBuffer b = ByteBuffer.wrap(bytes);
-            if (bytes.length <= HEAD || bytes[0] < 0 || bytes[0] >= Scope.values().length) {
+            if (bytes.length <= HEADER_BYTES || bytes[0] < 0 || bytes[0] >= Scope.values().length) {
                 return null;
             }
             Scope scope = Scope.values()[b.get()];
@@ -114,9 +114,9 @@
             Limit limit, double baseShare, double share, double lent, double borrowed, double demand) {}
 
     /** Lent to one, or borrowed from one: of several leases between two the largest that lives counts. */
-    private record Lease(int sequence, double amount, long untilUs) {}
+    private record Lease(int sequence, double amount, long expiresUs) {}
 
-    private static final class State {
+    private static final class LimitState {
         private Limit limit;
         private double demand;
         private long freshUs;
@@ -125,46 +125,46 @@
         /** By lender's place, the latest answer of each. */
         private final Map<Integer, Lease> borrowed = new LinkedHashMap<>();
         /** Asked and not answered yet, by place. */
-        private final Map<Integer, Asked> asked = new HashMap<>();
+        private final Map<Integer, LeaseRequest> pendingRequests = new HashMap<>();
 
-        private final Map<Integer, Long> nothingUntilUs = new HashMap<>();
+        private final Map<Integer, Long> refusedUntilUs = new HashMap<>();
 
-        double lent(long nowUs, long but) {
+        double totalLent(long nowUs, long excludedBorrower) {
             double sum = 0;
             for (Map.Entry<Long, List<Lease>> e : lent.entrySet()) {
-                sum += e.getKey() == but ? 0 : most(e.getValue(), nowUs);
+                sum += e.getKey() == excludedBorrower ? 0 : largestLive(e.getValue(), nowUs);
             }
             return sum;
         }
 
-        private static double most(List<Lease> leases, long nowUs) {
+        private static double largestLive(List<Lease> leases, long nowUs) {
             return leases.stream()
-                    .filter(l -> l.untilUs > nowUs)
+                    .filter(l -> l.expiresUs > nowUs)
                     .mapToDouble(Lease::amount)
                     .max()
                     .orElse(0);
         }
 
-        double borrowed(long nowUs) {
+        double totalBorrowed(long nowUs) {
             return borrowed.values().stream()
-                    .filter(l -> l.untilUs > nowUs)
+                    .filter(l -> l.expiresUs > nowUs)
                     .mapToDouble(Lease::amount)
                     .sum();
         }
     }
 
-    private record Asked(int sequence, double amount, long atUs) {}
+    private record LeaseRequest(int sequence, double amount, long sentUs) {}
 
-    private final long me;
-    private final int configured;
-    private final int part;
-    private final int taken;
+    private final long selfId;
+    private final int sidecarCount;
+    private final int feature;
+    private final int reservedLength;
     private final ReplicatedStore store;
-    private final PeerDirectory group;
-    private final Environment host;
+    private final PeerDirectory peers;
+    private final Environment environment;
     private final SplittableRandom random;
-    private final List<Limit> own;
-    private final Map<Long, State> limits = new LinkedHashMap<>();
+    private final List<Limit> configuredLimits;
+    private final Map<Long, LimitState> limits = new LinkedHashMap<>();
     private final long startUs;
     private long incarnation;
     private long nowUs;
@@ -175,34 +175,34 @@
      * @param own        the configuration's limits; one of the same name that operators set later goes before
      */
     public FleetLimits(
-            long me,
-            int configured,
-            int part,
-            int taken,
+            long selfId,
+            int sidecarCount,
+            int feature,
+            int reservedLength,
             ReplicatedStore store,
-            List<Limit> own,
+            List<Limit> configuredLimits,
             long nowUs,
             long seed,
-            PeerDirectory group,
-            Environment host) {
-        this.me = me;
-        this.configured = Math.max(1, configured);
-        this.part = part;
-        this.taken = taken;
+            PeerDirectory peers,
+            Environment environment) {
+        this.selfId = selfId;
+        this.sidecarCount = Math.max(1, sidecarCount);
+        this.feature = feature;
+        this.reservedLength = reservedLength;
         this.store = store;
-        this.own = List.copyOf(own);
-        this.group = group;
-        this.host = host;
+        this.configuredLimits = List.copyOf(configuredLimits);
+        this.peers = peers;
+        this.environment = environment;
         this.nowUs = startUs = nowUs;
         random = new SplittableRandom(seed);
-        define();
+        refreshDefinitions();
     }
 
     /** Operators set a limit for the fleet, from here. Throws where its names are too long. */
     public void setLimit(long now, Limit limit) {
         advance(now);
         store.put(nowUs, Table.LIMITS, Envelope.idOf(limit.name()), limit.encode());
-        define();
+        refreshDefinitions();
     }
 
     /** False where no limit of the name was set by a call; the configuration's own hold on. */
@@ -210,33 +210,33 @@
         advance(now);
         boolean known = store.read(nowUs, Table.LIMITS, Envelope.idOf(name), 0) != null;
         store.remove(nowUs, Table.LIMITS, Envelope.idOf(name));
-        define();
+        refreshDefinitions();
         return known;
     }
 
-    private void define() {
-        Map<Long, Limit> now = new LinkedHashMap<>();
-        own.forEach(l -> now.put(Envelope.idOf(l.name()), l));
+    private void refreshDefinitions() {
+        Map<Long, Limit> definitions = new LinkedHashMap<>();
+        configuredLimits.forEach(l -> definitions.put(Envelope.idOf(l.name()), l));
         for (StoredEntry r : store.readAll(nowUs, Table.LIMITS)) {
             Limit l = Limit.decode(r.value());
             if (l != null) {
-                now.put(r.key(), l);
+                definitions.put(r.key(), l);
             }
         }
-        limits.keySet().retainAll(now.keySet());
-        now.forEach((key, limit) -> {
-            State s = limits.get(key);
+        limits.keySet().retainAll(definitions.keySet());
+        definitions.forEach((key, limit) -> {
+            LimitState s = limits.get(key);
             if (s == null || s.limit.inFlight() != limit.inFlight()) {
-                s = new State();
+                s = new LimitState();
                 limits.put(key, s);
             }
             if (s.limit == null || !s.limit.equals(limit)) {
                 if (s.limit != null) {
                     // Leases are parts of the old limit: none counts for the new one, here or at others.
                     s.borrowed.clear();
-                    s.asked.clear();
+                    s.pendingRequests.clear();
                 }
-                host.logEvent("limit " + limit.name() + ": " + limit.max()
+                environment.logEvent("limit " + limit.name() + ": " + limit.max()
                         + (limit.inFlight() ? " in flight" : " a second") + " for "
                         + limit.scope().name().toLowerCase(java.util.Locale.ROOT) + " " + limit.subject());
             }
@@ -251,9 +251,9 @@
     /** What is asked of the limit here: requests a second, or in flight, also those that were refused by it. */
     public void recordDemand(long now, String name, double demand) {
         advance(now);
-        State s = limits.get(Envelope.idOf(name));
+        LimitState s = limits.get(Envelope.idOf(name));
         if (s != null) {
-            s.demand += DEMAND_GAIN * (demand - s.demand);
+            s.demand += DEMAND_SMOOTHING * (demand - s.demand);
         }
     }
 
@@ -261,145 +261,150 @@
     public void onTick(long now, long incarnation) {
         advance(now);
         this.incarnation = incarnation;
-        define();
-        int asks = ASKS;
-        for (Map.Entry<Long, State> e : limits.entrySet()) {
-            State s = e.getValue();
-            s.lent.values().forEach(l -> l.removeIf(lease -> lease.untilUs <= nowUs));
+        refreshDefinitions();
+        int requestsLeft = MAX_REQUESTS_PER_TICK;
+        for (Map.Entry<Long, LimitState> e : limits.entrySet()) {
+            LimitState s = e.getValue();
+            s.lent.values().forEach(l -> l.removeIf(lease -> lease.expiresUs <= nowUs));
             s.lent.values().removeIf(List::isEmpty);
-            s.borrowed.values().removeIf(l -> l.untilUs <= nowUs);
-            s.asked.values().removeIf(a -> a.atUs + LEASE_US <= nowUs);
-            s.nothingUntilUs.values().removeIf(until -> until <= nowUs);
-            asks = borrow(e.getKey(), s, asks);
+            s.borrowed.values().removeIf(l -> l.expiresUs <= nowUs);
+            s.pendingRequests.values().removeIf(a -> a.sentUs + LEASE_US <= nowUs);
+            s.refusedUntilUs.values().removeIf(until -> until <= nowUs);
+            requestsLeft = requestLeases(e.getKey(), s, requestsLeft);
         }
     }
 
-    private double alone(State s) {
-        return s.limit.max() / configured;
+    private double equalShare(LimitState s) {
+        return s.limit.max() / sidecarCount;
     }
 
     /** What the own part is at least while those whom a process before lent to may use it still. */
-    private double byRight(State s) {
-        return nowUs - startUs < LEASE_US ? RESERVED_SHARE * alone(s) : alone(s);
+    private double baseShare(LimitState s) {
+        return nowUs - startUs < LEASE_US ? RESERVED_SHARE * equalShare(s) : equalShare(s);
     }
 
-    private double share(State s) {
-        return Math.max(0, byRight(s) - s.lent(nowUs, 0)) + s.borrowed(nowUs);
+    private double effectiveShare(LimitState s) {
+        return Math.max(0, baseShare(s) - s.totalLent(nowUs, 0)) + s.totalBorrowed(nowUs);
     }
 
-    private int borrow(long key, State s, int asks) {
-        double wanted = SPARE * s.demand;
-        double need = wanted - Math.max(0, byRight(s) - s.lent(nowUs, 0));
-        int left = asks;
+    private int requestLeases(long key, LimitState s, int maxRequests) {
+        double wanted = DEMAND_HEADROOM * s.demand;
+        double need = wanted - Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+        int requestsLeft = maxRequests;
         // First those who have lent: the part that is wanted still.
         for (Map.Entry<Integer, Lease> e : List.copyOf(s.borrowed.entrySet())) {
             Lease l = e.getValue();
-            if (need <= 0 || left == 0) {
+            if (need <= 0 || requestsLeft == 0) {
                 break;
             }
-            if (l.untilUs - nowUs < RENEW_US && !justAsked(s, e.getKey())) {
-                ask(key, s, e.getKey(), Math.min(need, alone(s)));
-                left--;
+            if (l.expiresUs - nowUs < RENEW_BEFORE_US && !hasRecentRequest(s, e.getKey())) {
+                requestLease(key, s, e.getKey(), Math.min(need, equalShare(s)));
+                requestsLeft--;
             }
             need -= l.amount;
         }
-        for (Map.Entry<Integer, Asked> a : s.asked.entrySet()) {
-            need -= s.borrowed.containsKey(a.getKey()) || nowUs - a.getValue().atUs > TICK_INTERVAL_US
+        for (Map.Entry<Integer, LeaseRequest> a : s.pendingRequests.entrySet()) {
+            need -= s.borrowed.containsKey(a.getKey()) || nowUs - a.getValue().sentUs > TICK_INTERVAL_US
                     ? 0
                     : a.getValue().amount;
         }
-        for (int tries = 4 * left; tries > 0 && left > 0 && need > 1e-3 * s.limit.max() / configured; tries--) {
-            int place = group.randomPeer(part, random);
-            if (place < 0
-                    || s.borrowed.containsKey(place)
-                    || justAsked(s, place)
-                    || s.nothingUntilUs.containsKey(place)) {
+        for (int tries = 4 * requestsLeft;
+                tries > 0 && requestsLeft > 0 && need > 1e-3 * s.limit.max() / sidecarCount;
+                tries--) {
+            int peerIndex = peers.randomPeer(feature, random);
+            if (peerIndex < 0
+                    || s.borrowed.containsKey(peerIndex)
+                    || hasRecentRequest(s, peerIndex)
+                    || s.refusedUntilUs.containsKey(peerIndex)) {
                 continue;
             }
-            double amount = Math.min(need, alone(s));
-            ask(key, s, place, amount);
+            double amount = Math.min(need, equalShare(s));
+            requestLease(key, s, peerIndex, amount);
             need -= amount;
-            left--;
+            requestsLeft--;
         }
-        return left;
+        return requestsLeft;
     }
 
-    private boolean justAsked(State s, int place) {
-        Asked a = s.asked.get(place);
-        return a != null && nowUs - a.atUs < TICK_INTERVAL_US;
+    private boolean hasRecentRequest(LimitState s, int peerIndex) {
+        LeaseRequest request = s.pendingRequests.get(peerIndex);
+        return request != null && nowUs - request.sentUs < TICK_INTERVAL_US;
     }
 
-    private void ask(long key, State s, int place, double amount) {
+    private void requestLease(long key, LimitState s, int peerIndex, double amount) {
         sequence = sequence + 1 & 0xFFFF;
-        s.asked.put(place, new Asked(sequence, amount, nowUs));
-        send(place, ASK, key, s, sequence, amount);
+        s.pendingRequests.put(peerIndex, new LeaseRequest(sequence, amount, nowUs));
+        send(peerIndex, LEASE_REQUEST, key, s, sequence, amount);
     }
 
-    private void send(int place, int type, long key, State s, int number, double amount) {
-        ByteBuffer b = ByteBuffer.allocate(BYTES);
+    private void send(int peerIndex, int type, long key, LimitState s, int number, double amount) {
+        ByteBuffer b = ByteBuffer.allocate(SECTION_BYTES);
         Envelope.put48(b, key);
         b.putShort((short) number).putFloat((float) amount).putFloat((float) s.limit.max());
-        host.send(place, Envelope.from(me, incarnation).addSection(type, b).toBytes(taken));
+        environment.send(
+                peerIndex,
+                Envelope.from(selfId, incarnation).addSection(type, b).toBytes(reservedLength));
     }
 
     /** From the member at this place of the list. */
-    public void onMessage(long now, int from, Envelope.Message letter) {
+    public void onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
-        for (Envelope.Section section : letter.sections()) {
+        for (Envelope.Section section : message.sections()) {
             ByteBuffer b = ByteBuffer.wrap(section.bytes());
-            if (section.type() != ASK && section.type() != LEND || b.remaining() < BYTES) {
+            if (section.type() != LEASE_REQUEST && section.type() != LEASE_GRANT || b.remaining() < SECTION_BYTES) {
                 continue;
             }
             long key = Envelope.get48(b);
             int number = b.getShort() & 0xFFFF;
             double amount = b.getFloat();
-            State s = limits.get(key);
+            LimitState s = limits.get(key);
             // Another size is another limit, of before or to come: their parts don't add up.
             if (s == null || !(amount >= 0) || b.getFloat() != (float) s.limit.max()) {
                 continue;
             }
-            if (section.type() == ASK) {
-                asked(from, key, s, letter.sender(), number, amount);
+            if (section.type() == LEASE_REQUEST) {
+                onLeaseRequest(peerIndex, key, s, message.sender(), number, amount);
             } else {
-                lent(from, s, number, amount);
+                onLeaseGrant(peerIndex, s, number, amount);
             }
         }
     }
 
-    private void asked(int from, long key, State s, long borrower, int number, double amount) {
+    private void onLeaseRequest(int peerIndex, long key, LimitState s, long borrower, int number, double amount) {
         List<Lease> leases = s.lent.getOrDefault(borrower, List.of());
         for (Lease l : leases) {
-            if (l.sequence == number && l.untilUs > nowUs) {
+            if (l.sequence == number && l.expiresUs > nowUs) {
                 // The network has doubled it: it has its answer.
                 return;
             }
         }
-        double ownNeed = Math.min(alone(s), Math.max(RESERVED_SHARE * alone(s), SPARE * s.demand));
-        double free = byRight(s) - ownNeed - s.lent(nowUs, borrower);
-        boolean full = leases.isEmpty() && s.lent.size() >= MOST_LEASES;
+        double localNeed =
+                Math.min(equalShare(s), Math.max(RESERVED_SHARE * equalShare(s), DEMAND_HEADROOM * s.demand));
+        double free = baseShare(s) - localNeed - s.totalLent(nowUs, borrower);
+        boolean full = leases.isEmpty() && s.lent.size() >= MAX_BORROWERS;
         // As the borrower reads it: a rounding up would be lent twice.
         double lent = full ? 0 : Math.nextDown((float) Math.max(0, Math.min(amount, free)));
         if (lent > 0) {
             s.lent.computeIfAbsent(borrower, b -> new ArrayList<>()).add(new Lease(number, lent, nowUs + LEASE_US));
         }
-        send(from, LEND, key, s, number, Math.max(0, lent));
+        send(peerIndex, LEASE_GRANT, key, s, number, Math.max(0, lent));
     }
 
-    private void lent(int from, State s, int number, double amount) {
-        Asked a = s.asked.get(from);
-        if (a == null || a.sequence != number || nowUs - a.atUs >= LEASE_US) {
+    private void onLeaseGrant(int peerIndex, LimitState s, int number, double amount) {
+        LeaseRequest request = s.pendingRequests.get(peerIndex);
+        if (request == null || request.sequence != number || nowUs - request.sentUs >= LEASE_US) {
             return;
         }
-        s.asked.remove(from);
-        if (amount > a.amount * (1 + 1e-6)) {
+        s.pendingRequests.remove(peerIndex);
+        if (amount > request.amount * (1 + 1e-6)) {
             return;
         }
         if (amount <= 0) {
-            s.nothingUntilUs.put(from, nowUs + NOTHING_US);
+            s.refusedUntilUs.put(peerIndex, nowUs + REFUSAL_BACKOFF_US);
             // An earlier lease of theirs runs on to its own end.
             return;
         }
-        s.borrowed.put(from, new Lease(number, amount, a.atUs + LEASE_US));
+        s.borrowed.put(peerIndex, new Lease(number, amount, request.sentUs + LEASE_US));
     }
 
     // ---- users ----------------------------------------------------------------------------------------
@@ -408,19 +413,25 @@
     public List<Share> shares(long now, long validUs) {
         advance(now);
         List<Share> shares = new ArrayList<>();
-        for (State s : limits.values()) {
-            double alone = Math.max(0, byRight(s) - s.lent(nowUs, 0));
-            double share = alone;
-            long until = nowUs + validUs;
+        for (LimitState s : limits.values()) {
+            double baseShare = Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+            double share = baseShare;
+            long validUntilUs = nowUs + validUs;
             for (Lease l : s.borrowed.values()) {
                 // One that ends before the next telling would take all the others with it.
-                if (l.untilUs > nowUs + TICK_INTERVAL_US) {
+                if (l.expiresUs > nowUs + TICK_INTERVAL_US) {
                     share += l.amount;
-                    until = Math.min(until, l.untilUs);
+                    validUntilUs = Math.min(validUntilUs, l.expiresUs);
                 }
             }
             shares.add(new Share(
-                    s.limit.name(), s.limit.scope(), s.limit.subject(), s.limit.inFlight(), share, alone, until));
+                    s.limit.name(),
+                    s.limit.scope(),
+                    s.limit.subject(),
+                    s.limit.inFlight(),
+                    share,
+                    baseShare,
+                    validUntilUs));
         }
         return shares;
     }
@@ -428,7 +439,13 @@
     public Collection<LimitStatus> status(long now) {
         advance(now);
         return limits.values().stream()
-                .map(s -> new LimitStatus(s.limit, alone(s), share(s), s.lent(nowUs, 0), s.borrowed(nowUs), s.demand))
+                .map(s -> new LimitStatus(
+                        s.limit,
+                        equalShare(s),
+                        effectiveShare(s),
+                        s.totalLent(nowUs, 0),
+                        s.totalBorrowed(nowUs),
+                        s.demand))
                 .toList();
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/HybridClock.java
+++ b/src/main/java/rushproxy/fleet/shared/HybridClock.java
@@ -13,20 +13,20 @@
     /** Clocks that are kept by a time service differ by far less; a store's word may be this far from the order of events. */
     public static final long MAX_DRIFT_MS = 5_000;
     /** As many members are heard for the middle; with fewer than three nobody can say whose clock is wrong. */
-    private static final int HEARD = 15;
+    private static final int MAX_PEERS = 15;
 
-    private static final int FEWEST = 3;
-    private static final int ORDER_BITS = 16;
+    private static final int MIN_PEERS = 3;
+    private static final int SEQUENCE_BITS = 16;
 
-    private long last;
+    private long lastStamp;
     private long correctionMs;
     /** How far each is ahead of the own clock, the longest unheard first. */
-    private final Map<Long, Long> aheadMs = new LinkedHashMap<>();
+    private final Map<Long, Long> offsetsMs = new LinkedHashMap<>();
 
     /** A stamp for an event of now. */
     public long stamp(long nowUs) {
-        last = Math.max(last + 1, correctedMs(nowUs) << ORDER_BITS);
-        return last;
+        lastStamp = Math.max(lastStamp + 1, correctedMs(nowUs) << SEQUENCE_BITS);
+        return lastStamp;
     }
 
     /** The own time, corrected: what the others hear of. */
@@ -35,7 +35,7 @@
     }
 
     public static long millisOf(long stamp) {
-        return stamp >>> ORDER_BITS;
+        return stamp >>> SEQUENCE_BITS;
     }
 
     /** False where the stamp is too far ahead to be taken; else what follows is stamped after it. */
@@ -43,7 +43,7 @@
         if (millisOf(stamp) > correctedMs(nowUs) + MAX_DRIFT_MS) {
             return false;
         }
-        last = Math.max(last, stamp);
+        lastStamp = Math.max(lastStamp, stamp);
         return true;
     }
 
@@ -52,25 +52,25 @@
      *
      * @return whether the own time is another by it: what was stamped before may be ahead of all, and wants a new stamp
      */
-    public boolean onRemoteTime(long member, long theirMs, long nowUs) {
-        aheadMs.remove(member);
-        aheadMs.put(member, theirMs - nowUs / 1_000);
-        if (aheadMs.size() > HEARD) {
-            aheadMs.remove(aheadMs.keySet().iterator().next());
+    public boolean onRemoteTime(long member, long remoteMs, long nowUs) {
+        offsetsMs.remove(member);
+        offsetsMs.put(member, remoteMs - nowUs / 1_000);
+        if (offsetsMs.size() > MAX_PEERS) {
+            offsetsMs.remove(offsetsMs.keySet().iterator().next());
         }
-        if (aheadMs.size() < FEWEST) {
+        if (offsetsMs.size() < MIN_PEERS) {
             return false;
         }
         long[] sorted =
-                aheadMs.values().stream().mapToLong(Long::longValue).sorted().toArray();
-        long middle = sorted[sorted.length / 2];
-        long wanted = Math.abs(middle) > MAX_DRIFT_MS ? middle : 0;
+                offsetsMs.values().stream().mapToLong(Long::longValue).sorted().toArray();
+        long median = sorted[sorted.length / 2];
+        long newCorrectionMs = Math.abs(median) > MAX_DRIFT_MS ? median : 0;
         // The middle moves a little with each datagram; time that does so too would be no time.
-        if (Math.abs(wanted - correctionMs) <= MAX_DRIFT_MS) {
+        if (Math.abs(newCorrectionMs - correctionMs) <= MAX_DRIFT_MS) {
             return false;
         }
-        correctionMs = wanted;
-        last = Math.min(last, correctedMs(nowUs) + MAX_DRIFT_MS << ORDER_BITS);
+        correctionMs = newCorrectionMs;
+        lastStamp = Math.min(lastStamp, correctedMs(nowUs) + MAX_DRIFT_MS << SEQUENCE_BITS);
         return true;
     }
 
--- a/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
+++ b/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
@@ -31,48 +31,48 @@
     public static final long TICK_INTERVAL_US = 100_000;
 
     static final long COMPARE_INTERVAL_US = 1_000_000;
-    private static final long JOIN_US = 2_000_000;
+    private static final long JOIN_PHASE_US = 2_000_000;
     /** Reads hold while somebody was heard within this: three comparisons, each with its answer. */
     public static final long CONTACT_TIMEOUT_US = 5_000_000;
     /** A change is told on so many times log2 of the fleet's size datagrams. */
-    private static final double TOLD = 2;
+    private static final double RETRANSMIT_FACTOR = 2;
     /** Members told at a tick; more by the writer, whose word alone needs no second. */
-    private static final int FAN = 2;
+    private static final int GOSSIP_FANOUT = 2;
 
-    private static final int OWN_FAN = 6;
+    private static final int WRITER_GOSSIP_FANOUT = 6;
     /** Of changes that others have told us already, so many tellings are saved. */
-    private static final int KNOWN = 1;
+    private static final int DUPLICATE_DISCOUNT = 1;
 
-    private static final int FANOUT = 32;
-    private static final int LEAVES_MOST = 3;
+    private static final int TREE_FANOUT = 32;
+    private static final int MAX_LEAF_SECTIONS = 3;
     /** Entries that one exchange sends at most. */
-    private static final int REPAIR = 3;
+    private static final int MAX_REPAIR_DATAGRAMS = 3;
     /** Of one sender, and of all, as yet unconfirmed. */
-    private static final int PENDING_EACH = 64;
+    private static final int MAX_PENDING_PER_SENDER = 64;
 
-    private static final int PENDING = 512;
-    private static final long PENDING_US = 10_000_000;
+    private static final int MAX_PENDING = 512;
+    private static final long PENDING_TIMEOUT_US = 10_000_000;
     /** What has less than this left is not compared: it ends here and there at about that time. */
-    private static final long ENDING_US = 1_000_000;
+    private static final long MIN_COMPARED_LEASE_US = 1_000_000;
 
-    private static final long SWEEP_US = 500_000;
-    private static final long NOTE_US = 60_000_000;
+    private static final long SWEEP_INTERVAL_US = 500_000;
+    private static final long LOG_INTERVAL_US = 60_000_000;
     private static final long NEVER = Long.MIN_VALUE / 2;
-    private static final int NO_END = -1;
-    private static final int GRAVE = 0x80;
-    private static final int HEAD = 26;
+    private static final int NO_EXPIRY = -1;
+    private static final int TOMBSTONE_FLAG = 0x80;
+    private static final int ENTRY_HEADER_BYTES = 26;
 
     static final int CLOCK = 20;
     private static final int ENTRIES = 21;
     private static final int DIGEST = 22;
     private static final int LEAVES = 23;
-    private static final int WANT = 24;
+    private static final int REQUEST = 24;
 
     /** A record's own {@code equals} and {@code hashCode} are made at their first call, which holds the event loop up. */
-    private record Id(int table, long key, long writer) {
+    private record EntryKey(int table, long key, long writer) {
         @Override
         public boolean equals(Object o) {
-            return o instanceof Id other && table == other.table && key == other.key && writer == other.writer;
+            return o instanceof EntryKey other && table == other.table && key == other.key && writer == other.writer;
         }
 
         @Override
@@ -82,17 +82,17 @@
     }
 
     /** {@code value} is null where it was taken back. */
-    private static final class Held {
-        private final Id id;
+    private static final class Entry {
+        private final EntryKey id;
         private final long writer;
         private final byte[] value;
         private final long stamp;
         /** {@code Long.MAX_VALUE} for no end. */
-        private final long untilUs;
+        private final long expiresUs;
 
         private final long rank;
 
-        Held(Table t, Id id, long writer, byte[] value, long stamp, long untilUs) {
+        Entry(Table t, EntryKey id, long writer, byte[] value, long stamp, long untilUs) {
             rank = t.ranked() && value != null && value.length >= Long.BYTES
                     ? ByteBuffer.wrap(value).getLong()
                     : 0;
@@ -100,10 +100,10 @@
             this.writer = writer;
             this.value = value;
             this.stamp = stamp;
-            this.untilUs = untilUs;
+            this.expiresUs = untilUs;
         }
 
-        boolean laterThan(Held other) {
+        boolean supersedes(Entry other) {
             if (rank != other.rank) {
                 return rank > other.rank;
             }
@@ -115,34 +115,34 @@
             return order != 0 ? order > 0 : writer > other.writer;
         }
 
-        boolean same(Held other) {
+        boolean isSameVersion(Entry other) {
             return stamp == other.stamp && writer == other.writer && Arrays.equals(value, other.value);
         }
     }
 
-    /** {@code from} is the place of the one who told it: names can be made up, places can't. */
-    private record Pending(Held word, int from, long atUs) {}
+    /** {@code peerIndex} is the place of the one who told it: names can be made up, places can't. */
+    private record Pending(Entry entry, int peerIndex, long receivedUs) {}
 
     private final long selfId;
-    private final int part;
-    private final int taken;
-    private final PeerDirectory group;
-    private final Environment host;
+    private final int feature;
+    private final int reservedLength;
+    private final PeerDirectory peers;
+    private final Environment environment;
     private final SplittableRandom random;
     private final HybridClock clock = new HybridClock();
     private final Map<Integer, Table> tables = new LinkedHashMap<>();
-    private final Map<Integer, Map<Id, Held>> entries = new HashMap<>();
-    private final Map<Id, Pending> pending = new LinkedHashMap<>();
+    private final Map<Integer, Map<EntryKey, Entry>> entries = new HashMap<>();
+    private final Map<EntryKey, Pending> unconfirmed = new LinkedHashMap<>();
     /** What is news, and how often it is still to be told. */
-    private final Map<Id, Integer> news = new LinkedHashMap<>();
+    private final Map<EntryKey, Integer> pendingUpdates = new LinkedHashMap<>();
 
     private final long startUs;
     private long incarnation;
     private long nowUs;
-    private long compareUs;
-    private long sweepUs;
-    private long contactUs = NEVER;
-    private final Map<String, Long> noted = new HashMap<>();
+    private long nextCompareUs;
+    private long nextSweepUs;
+    private long lastContactUs = NEVER;
+    private final Map<String, Long> loggedUs = new HashMap<>();
 
     /**
      * @param me    the own member's id
@@ -150,23 +150,23 @@
      * @param taken a datagram's length that is somebody else's, -1 for none
      */
     public ReplicatedStore(
-            long me,
-            int part,
-            int taken,
+            long selfId,
+            int feature,
+            int reservedLength,
             List<Table> tables,
             long nowUs,
             long seed,
-            PeerDirectory group,
-            Environment host) {
-        this.selfId = me;
-        this.part = part;
-        this.taken = taken;
-        this.group = group;
-        this.host = host;
+            PeerDirectory peers,
+            Environment environment) {
+        this.selfId = selfId;
+        this.feature = feature;
+        this.reservedLength = reservedLength;
+        this.peers = peers;
+        this.environment = environment;
         random = new SplittableRandom(seed);
         this.nowUs = nowUs;
         startUs = nowUs;
-        compareUs = nowUs;
+        nextCompareUs = nowUs;
         for (Table t : tables) {
             this.tables.put(t.id(), t);
             entries.put(t.id(), new HashMap<>());
@@ -189,50 +189,51 @@
 
     /** Takes it back: all forget it, and a grave keeps old copies from coming back. */
     public void remove(long now, Table t, long key) {
-        Held held = entries.get(t.id()).get(id(t, key, selfId));
-        if (held != null && held.value != null) {
+        Entry entry = entries.get(t.id()).get(keyOf(t, key, selfId));
+        if (entry != null && entry.value != null) {
             write(now, t, key, null);
         }
     }
 
     private void write(long now, Table t, long key, byte[] value) {
         advance(now);
-        long left = value == null ? t.tombstoneMs() : t.leaseMs();
-        Held held = new Held(
+        long lifetimeMs = value == null ? t.tombstoneMs() : t.leaseMs();
+        Entry entry = new Entry(
                 t,
-                id(t, key, selfId),
+                keyOf(t, key, selfId),
                 selfId,
                 value,
                 clock.stamp(nowUs),
-                left == 0 ? Long.MAX_VALUE : nowUs + left * 1_000);
-        hold(t, held);
+                lifetimeMs == 0 ? Long.MAX_VALUE : nowUs + lifetimeMs * 1_000);
+        install(t, entry);
     }
 
     /** Null where nothing is known, or no more. */
     public StoredEntry read(long now, Table t, long key, long writer) {
         advance(now);
-        Held h = entries.get(t.id()).get(id(t, key, writer));
-        return h == null || h.value == null || h.untilUs <= nowUs ? null : reading(t, h);
+        Entry h = entries.get(t.id()).get(keyOf(t, key, writer));
+        return h == null || h.value == null || h.expiresUs <= nowUs ? null : toStoredEntry(t, h);
     }
 
     /** All that is known of a table and has not ended, in no order. */
     public List<StoredEntry> readAll(long now, Table t) {
         advance(now);
         List<StoredEntry> all = new ArrayList<>();
-        for (Held h : entries.get(t.id()).values()) {
-            if (h.value != null && h.untilUs > nowUs) {
-                all.add(reading(t, h));
+        for (Entry h : entries.get(t.id()).values()) {
+            if (h.value != null && h.expiresUs > nowUs) {
+                all.add(toStoredEntry(t, h));
             }
         }
         return all;
     }
 
-    private StoredEntry reading(Table t, Held h) {
-        long age = t.leaseMs() > 0
-                ? t.leaseMs() * 1_000 - (h.untilUs - nowUs)
+    private StoredEntry toStoredEntry(Table t, Entry h) {
+        long ageUs = t.leaseMs() > 0
+                ? t.leaseMs() * 1_000 - (h.expiresUs - nowUs)
                 : Math.max(0, (clock.correctedMs(nowUs) - HybridClock.millisOf(h.stamp)) * 1_000);
         boolean own = h.writer == selfId;
-        return new StoredEntry(h.id.key, h.writer, h.value.clone(), age, own || nowUs - contactUs < CONTACT_TIMEOUT_US);
+        return new StoredEntry(
+                h.id.key, h.writer, h.value.clone(), ageUs, own || nowUs - lastContactUs < CONTACT_TIMEOUT_US);
     }
 
     long selfId() {
@@ -248,11 +249,11 @@
     public long fingerprint(long now, LongUnaryOperator sinceMs) {
         advance(now);
         long sum = 0;
-        for (Map.Entry<Integer, Map<Id, Held>> table : entries.entrySet()) {
-            for (Held h : table.getValue().values()) {
+        for (Map.Entry<Integer, Map<EntryKey, Entry>> table : entries.entrySet()) {
+            for (Entry h : table.getValue().values()) {
                 boolean counts = !tables.get(table.getKey()).owned()
                         || HybridClock.millisOf(h.stamp) >= sinceMs.applyAsLong(h.writer);
-                sum += counts && h.untilUs > nowUs && h.value != null ? mixed(h, Arrays.hashCode(h.value)) : 0;
+                sum += counts && h.expiresUs > nowUs && h.value != null ? hashOf(h, Arrays.hashCode(h.value)) : 0;
             }
         }
         return sum;
@@ -264,23 +265,23 @@
     public void onTick(long now, long incarnation) {
         advance(now);
         this.incarnation = incarnation;
-        if (nowUs >= sweepUs) {
-            sweepUs = nowUs + SWEEP_US;
-            sweep();
+        if (nowUs >= nextSweepUs) {
+            nextSweepUs = nowUs + SWEEP_INTERVAL_US;
+            removeExpired();
         }
-        boolean own = news.keySet().stream().anyMatch(id -> id.writer == selfId);
-        for (int i = 0; i < (own ? OWN_FAN : FAN) && !news.isEmpty(); i++) {
-            int to = group.randomPeer(part, random);
+        boolean hasOwnUpdates = pendingUpdates.keySet().stream().anyMatch(id -> id.writer == selfId);
+        for (int i = 0; i < (hasOwnUpdates ? WRITER_GOSSIP_FANOUT : GOSSIP_FANOUT) && !pendingUpdates.isEmpty(); i++) {
+            int to = peers.randomPeer(feature, random);
             if (to >= 0) {
-                host.send(to, withNews(letter()).toBytes(taken));
+                environment.send(to, addUpdates(newEnvelope()).toBytes(reservedLength));
             }
         }
-        if (nowUs >= compareUs) {
+        if (nowUs >= nextCompareUs) {
             // Who has just come has missed all.
-            compareUs = nowUs - startUs < JOIN_US
+            nextCompareUs = nowUs - startUs < JOIN_PHASE_US
                     ? nowUs + TICK_INTERVAL_US
-                    : Math.max(compareUs + COMPARE_INTERVAL_US, nowUs + COMPARE_INTERVAL_US / 2);
-            compare();
+                    : Math.max(nextCompareUs + COMPARE_INTERVAL_US, nowUs + COMPARE_INTERVAL_US / 2);
+            startComparison();
         }
     }
 
@@ -288,48 +289,50 @@
         nowUs = Math.max(nowUs, now);
     }
 
-    private void sweep() {
-        for (Map<Id, Held> table : entries.values()) {
-            table.values().removeIf(h -> h.untilUs <= nowUs);
+    private void removeExpired() {
+        for (Map<EntryKey, Entry> table : entries.values()) {
+            table.values().removeIf(h -> h.expiresUs <= nowUs);
         }
-        pending.values().removeIf(p -> p.atUs + PENDING_US <= nowUs);
+        unconfirmed.values().removeIf(p -> p.receivedUs + PENDING_TIMEOUT_US <= nowUs);
     }
 
-    private Envelope letter() {
+    private Envelope newEnvelope() {
         ByteBuffer b = ByteBuffer.allocate(6);
         Envelope.put48(b, clock.correctedMs(nowUs));
         return Envelope.from(selfId, incarnation).addSection(CLOCK, b);
     }
 
     /** The first in line are told and go to its end, or out of it. */
-    private Envelope withNews(Envelope e) {
+    private Envelope addUpdates(Envelope e) {
         ByteBuffer b = ByteBuffer.allocate(Math.max(0, e.remainingBytes()));
-        Map<Id, Integer> again = new LinkedHashMap<>();
-        for (Iterator<Map.Entry<Id, Integer>> i = news.entrySet().iterator(); i.hasNext() && b.remaining() > HEAD; ) {
-            Map.Entry<Id, Integer> n = i.next();
-            Held h = entries.get(n.getKey().table).get(n.getKey());
-            if (h != null && h.untilUs > nowUs && !append(b, h)) {
+        Map<EntryKey, Integer> requeued = new LinkedHashMap<>();
+        for (Iterator<Map.Entry<EntryKey, Integer>> i =
+                        pendingUpdates.entrySet().iterator();
+                i.hasNext() && b.remaining() > ENTRY_HEADER_BYTES; ) {
+            Map.Entry<EntryKey, Integer> n = i.next();
+            Entry h = entries.get(n.getKey().table).get(n.getKey());
+            if (h != null && h.expiresUs > nowUs && !encodeEntry(b, h)) {
                 break;
             }
             i.remove();
             if (h != null && n.getValue() > 1) {
-                again.put(n.getKey(), n.getValue() - 1);
+                requeued.put(n.getKey(), n.getValue() - 1);
             }
         }
-        news.putAll(again);
+        pendingUpdates.putAll(requeued);
         return b.position() == 0 ? e : e.addSection(ENTRIES, b);
     }
 
     /** False where it has no room. */
-    private boolean append(ByteBuffer b, Held h) {
+    private boolean encodeEntry(ByteBuffer b, Entry h) {
         int length = h.value == null ? 0 : h.value.length;
-        if (b.remaining() < HEAD + length) {
+        if (b.remaining() < ENTRY_HEADER_BYTES + length) {
             return false;
         }
-        b.put((byte) (h.id.table | (h.value == null ? GRAVE : 0)));
+        b.put((byte) (h.id.table | (h.value == null ? TOMBSTONE_FLAG : 0)));
         Envelope.put48(b, h.id.key);
         Envelope.put48(b, h.writer);
-        b.putLong(h.stamp).putInt(h.untilUs == Long.MAX_VALUE ? NO_END : (int) ((h.untilUs - nowUs) / 1_000));
+        b.putLong(h.stamp).putInt(h.expiresUs == Long.MAX_VALUE ? NO_EXPIRY : (int) ((h.expiresUs - nowUs) / 1_000));
         b.put((byte) length);
         if (length > 0) {
             b.put(h.value);
@@ -340,30 +343,30 @@
     // ---- comparing ------------------------------------------------------------------------------------
 
     /** The upper level of the tree goes to one member; equal stores end it with that. */
-    private void compare() {
-        int to = group.randomPeer(part, random);
+    private void startComparison() {
+        int to = peers.randomPeer(feature, random);
         if (to < 0) {
             return;
         }
         int salt = random.nextInt();
-        ByteBuffer b = ByteBuffer.allocate(4 + 4 * FANOUT).putInt(salt);
-        for (long hash : hashes(salt, -1)) {
+        ByteBuffer b = ByteBuffer.allocate(4 + 4 * TREE_FANOUT).putInt(salt);
+        for (long hash : treeHashes(salt, -1)) {
             b.putInt((int) hash);
         }
-        host.send(to, letter().addSection(DIGEST, b).toBytes(taken));
+        environment.send(to, newEnvelope().addSection(DIGEST, b).toBytes(reservedLength));
     }
 
     /** Of the buckets, or of the leaves of one: sums, so that the order does not matter; salted, so that no two stay equal by chance. */
-    private long[] hashes(int salt, int bucket) {
-        long[] hashes = new long[FANOUT];
-        for (Map<Id, Held> table : entries.values()) {
-            for (Held h : table.values()) {
-                if (h.untilUs - ENDING_US > nowUs) {
-                    int place = place(h.id);
+    private long[] treeHashes(int salt, int bucket) {
+        long[] hashes = new long[TREE_FANOUT];
+        for (Map<EntryKey, Entry> table : entries.values()) {
+            for (Entry h : table.values()) {
+                if (h.expiresUs - MIN_COMPARED_LEASE_US > nowUs) {
+                    int place = treePosition(h.id);
                     if (bucket < 0) {
-                        hashes[place >>> 5 & FANOUT - 1] += mixed(h, salt);
-                    } else if ((place >>> 5 & FANOUT - 1) == bucket) {
-                        hashes[place & FANOUT - 1] += mixed(h, salt);
+                        hashes[place >>> 5 & TREE_FANOUT - 1] += hashOf(h, salt);
+                    } else if ((place >>> 5 & TREE_FANOUT - 1) == bucket) {
+                        hashes[place & TREE_FANOUT - 1] += hashOf(h, salt);
                     }
                 }
             }
@@ -371,101 +374,102 @@
         return hashes;
     }
 
-    private static long mixed(Held h, long salt) {
+    private static long hashOf(Entry h, long salt) {
         return mix(h.id.key ^ Long.rotateLeft(h.writer, 21) ^ mix(h.stamp ^ salt << 32 ^ h.id.table));
     }
 
-    private static int place(Id id) {
+    private static int treePosition(EntryKey id) {
         return (int) mix(id.key ^ Long.rotateLeft(id.writer, 17) ^ (long) id.table << 56);
     }
 
-    private void digest(int from, ByteBuffer b) {
-        if (b.remaining() < 4 + 4 * FANOUT) {
+    private void onDigest(int peerIndex, ByteBuffer b) {
+        if (b.remaining() < 4 + 4 * TREE_FANOUT) {
             return;
         }
         int salt = b.getInt();
-        long[] own = hashes(salt, -1);
-        List<Integer> differ = new ArrayList<>();
-        for (int i = 0; i < FANOUT; i++) {
-            if (b.getInt() != (int) own[i]) {
-                differ.add(i);
+        long[] localHashes = treeHashes(salt, -1);
+        List<Integer> differing = new ArrayList<>();
+        for (int i = 0; i < TREE_FANOUT; i++) {
+            if (b.getInt() != (int) localHashes[i]) {
+                differing.add(i);
             }
         }
-        if (differ.isEmpty()) {
+        if (differing.isEmpty()) {
             return;
         }
-        Envelope e = letter();
-        for (int n = 0; n < LEAVES_MOST && !differ.isEmpty(); n++) {
-            int bucket = differ.remove(random.nextInt(differ.size()));
+        Envelope e = newEnvelope();
+        for (int n = 0; n < MAX_LEAF_SECTIONS && !differing.isEmpty(); n++) {
+            int bucket = differing.remove(random.nextInt(differing.size()));
             ByteBuffer l =
-                    ByteBuffer.allocate(5 + 2 * FANOUT).put((byte) bucket).putInt(salt);
-            for (long hash : hashes(salt, bucket)) {
+                    ByteBuffer.allocate(5 + 2 * TREE_FANOUT).put((byte) bucket).putInt(salt);
+            for (long hash : treeHashes(salt, bucket)) {
                 l.putShort((short) hash);
             }
             e.addSection(LEAVES, l);
         }
-        host.send(from, e.toBytes(taken));
+        environment.send(peerIndex, e.toBytes(reservedLength));
     }
 
     /** Where leaves differ the own entries go out and the other's are asked for. */
-    private void leaves(int from, ByteBuffer b) {
-        if (b.remaining() < 5 + 2 * FANOUT) {
+    private void onLeaves(int peerIndex, ByteBuffer b) {
+        if (b.remaining() < 5 + 2 * TREE_FANOUT) {
             return;
         }
-        int bucket = b.get() & FANOUT - 1;
-        long[] own = hashes(b.getInt(), bucket);
+        int bucket = b.get() & TREE_FANOUT - 1;
+        long[] localHashes = treeHashes(b.getInt(), bucket);
         int mask = 0;
-        for (int i = 0; i < FANOUT; i++) {
-            mask |= b.getShort() != (short) own[i] ? 1 << i : 0;
+        for (int i = 0; i < TREE_FANOUT; i++) {
+            mask |= b.getShort() != (short) localHashes[i] ? 1 << i : 0;
         }
         if (mask != 0) {
-            ByteBuffer want = ByteBuffer.allocate(5).put((byte) bucket).putInt(mask);
-            host.send(from, letter().addSection(WANT, want).toBytes(taken));
-            give(from, bucket, mask);
+            ByteBuffer request = ByteBuffer.allocate(5).put((byte) bucket).putInt(mask);
+            environment.send(
+                    peerIndex, newEnvelope().addSection(REQUEST, request).toBytes(reservedLength));
+            sendEntries(peerIndex, bucket, mask);
         }
     }
 
-    private void give(int to, int bucket, int mask) {
-        List<Held> wanted = new ArrayList<>();
-        for (Map<Id, Held> table : entries.values()) {
-            for (Held h : table.values()) {
-                int place = place(h.id);
-                if ((place >>> 5 & FANOUT - 1) == bucket
-                        && (mask & 1 << (place & FANOUT - 1)) != 0
-                        && h.untilUs > nowUs) {
+    private void sendEntries(int to, int bucket, int mask) {
+        List<Entry> wanted = new ArrayList<>();
+        for (Map<EntryKey, Entry> table : entries.values()) {
+            for (Entry h : table.values()) {
+                int place = treePosition(h.id);
+                if ((place >>> 5 & TREE_FANOUT - 1) == bucket
+                        && (mask & 1 << (place & TREE_FANOUT - 1)) != 0
+                        && h.expiresUs > nowUs) {
                     wanted.add(h);
                 }
             }
         }
-        for (int n = 0; n < REPAIR && !wanted.isEmpty(); n++) {
-            Envelope e = letter();
+        for (int n = 0; n < MAX_REPAIR_DATAGRAMS && !wanted.isEmpty(); n++) {
+            Envelope e = newEnvelope();
             ByteBuffer b = ByteBuffer.allocate(e.remainingBytes());
-            while (!wanted.isEmpty() && append(b, wanted.get(wanted.size() - 1))) {
+            while (!wanted.isEmpty() && encodeEntry(b, wanted.get(wanted.size() - 1))) {
                 wanted.remove(wanted.size() - 1);
             }
-            host.send(to, e.addSection(ENTRIES, b).toBytes(taken));
+            environment.send(to, e.addSection(ENTRIES, b).toBytes(reservedLength));
         }
     }
 
     // ---- datagrams ------------------------------------------------------------------------------------
 
     /** From the member at this place of the list, which has been taken for the letter's sender; what can't be true is left out. */
-    public void onMessage(long now, int from, Envelope.Message letter) {
+    public void onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
-        if (letter.sender() == selfId) {
+        if (message.sender() == selfId) {
             return;
         }
-        contact();
-        for (Envelope.Section s : letter.sections()) {
+        recordContact();
+        for (Envelope.Section s : message.sections()) {
             ByteBuffer b = ByteBuffer.wrap(s.bytes());
             switch (s.type()) {
-                case CLOCK -> time(letter.sender(), b);
-                case ENTRIES -> words(letter.sender(), from, b);
-                case DIGEST -> digest(from, b);
-                case LEAVES -> leaves(from, b);
-                case WANT -> {
+                case CLOCK -> onClock(message.sender(), b);
+                case ENTRIES -> onEntries(message.sender(), peerIndex, b);
+                case DIGEST -> onDigest(peerIndex, b);
+                case LEAVES -> onLeaves(peerIndex, b);
+                case REQUEST -> {
                     if (b.remaining() >= 5) {
-                        give(from, b.get() & FANOUT - 1, b.getInt());
+                        sendEntries(peerIndex, b.get() & TREE_FANOUT - 1, b.getInt());
                     }
                 }
                 default -> {}
@@ -473,26 +477,26 @@
         }
     }
 
-    private void time(long sender, ByteBuffer b) {
+    private void onClock(long sender, ByteBuffer b) {
         if (b.remaining() < 6) {
             return;
         }
         if (clock.onRemoteTime(sender, Envelope.get48(b), nowUs)) {
-            host.logEvent(
+            environment.logEvent(
                     "the own clock is off by " + -clock.correctionMs() + " ms of the others', and is corrected by it");
             // What it has written is ahead of all time, or will be passed by what was written before it.
-            for (Map.Entry<Integer, Map<Id, Held>> table : entries.entrySet()) {
-                for (Held h : List.copyOf(table.getValue().values())) {
+            for (Map.Entry<Integer, Map<EntryKey, Entry>> table : entries.entrySet()) {
+                for (Entry h : List.copyOf(table.getValue().values())) {
                     if (h.writer == selfId) {
-                        hold(
+                        install(
                                 tables.get(table.getKey()),
-                                new Held(
+                                new Entry(
                                         tables.get(table.getKey()),
                                         h.id,
                                         selfId,
                                         h.value,
                                         clock.stamp(nowUs),
-                                        h.untilUs));
+                                        h.expiresUs));
                     }
                 }
             }
@@ -500,144 +504,152 @@
     }
 
     /** Who was alone for longer than graves are kept may hold what was taken back long ago. */
-    private void contact() {
-        if (contactUs != NEVER && nowUs - contactUs > Table.TOMBSTONE_MS * 1_000) {
+    private void recordContact() {
+        if (lastContactUs != NEVER && nowUs - lastContactUs > Table.TOMBSTONE_MS * 1_000) {
             int before = size();
-            entries.values().forEach(t -> t.values().removeIf(h -> h.untilUs == Long.MAX_VALUE));
-            host.logEvent(
+            entries.values().forEach(t -> t.values().removeIf(h -> h.expiresUs == Long.MAX_VALUE));
+            environment.logEvent(
                     "was alone for longer than a day: " + (before - size()) + " entries without an end are forgotten");
         }
-        contactUs = nowUs;
+        lastContactUs = nowUs;
     }
 
-    private void words(long sender, int from, ByteBuffer b) {
-        while (b.remaining() >= HEAD) {
+    private void onEntries(long sender, int peerIndex, ByteBuffer b) {
+        while (b.remaining() >= ENTRY_HEADER_BYTES) {
             int type = b.get() & 255;
             long key = Envelope.get48(b);
             long writer = Envelope.get48(b);
             long stamp = b.getLong();
-            int left = b.getInt();
+            int remainingMs = b.getInt();
             int length = b.get() & 255;
             if (length > b.remaining()) {
                 return;
             }
             byte[] value = new byte[length];
             b.get(value);
-            Table t = tables.get(type & ~GRAVE);
-            boolean grave = (type & GRAVE) != 0;
-            if (t == null || writer == 0 || length > t.maxValueBytes() || grave && length > 0) {
+            Table t = tables.get(type & ~TOMBSTONE_FLAG);
+            boolean tombstone = (type & TOMBSTONE_FLAG) != 0;
+            if (t == null || writer == 0 || length > t.maxValueBytes() || tombstone && length > 0) {
                 continue;
             }
-            long most = grave ? t.tombstoneMs() : t.leaseMs();
-            boolean ends = most > 0;
-            if (ends ? left <= 0 || left > most : left != NO_END) {
+            long maxLifetimeMs = tombstone ? t.tombstoneMs() : t.leaseMs();
+            boolean expires = maxLifetimeMs > 0;
+            if (expires ? remainingMs <= 0 || remainingMs > maxLifetimeMs : remainingMs != NO_EXPIRY) {
                 continue;
             }
             if (!clock.observe(stamp, nowUs)) {
-                note(
+                logRateLimited(
                         "ahead",
-                        group.nameOf(sender) + " tells of what is more than " + HybridClock.MAX_DRIFT_MS
+                        peers.nameOf(sender) + " tells of what is more than " + HybridClock.MAX_DRIFT_MS
                                 + " ms ahead of this clock: left out");
                 continue;
             }
-            take(
+            merge(
                     t,
                     sender,
-                    from,
-                    new Held(
+                    peerIndex,
+                    new Entry(
                             t,
-                            id(t, key, writer),
+                            keyOf(t, key, writer),
                             writer,
-                            grave ? null : value,
+                            tombstone ? null : value,
                             stamp,
-                            ends ? nowUs + left * 1_000L : Long.MAX_VALUE));
+                            expires ? nowUs + remainingMs * 1_000L : Long.MAX_VALUE));
         }
     }
 
-    private void take(Table t, long sender, int from, Held word) {
-        Held held = entries.get(t.id()).get(word.id);
-        if (held != null && held.untilUs <= nowUs) {
-            held = null;
+    private void merge(Table t, long sender, int peerIndex, Entry received) {
+        Entry current = entries.get(t.id()).get(received.id);
+        if (current != null && current.expiresUs <= nowUs) {
+            current = null;
         }
-        if (held != null && !word.laterThan(held)) {
-            if (!held.same(word)) {
-                news.putIfAbsent(held.id, 1);
+        if (current != null && !received.supersedes(current)) {
+            if (!current.isSameVersion(received)) {
+                pendingUpdates.putIfAbsent(current.id, 1);
             } else {
                 // Known there too: the fewer tellings are left to do.
-                news.computeIfPresent(held.id, (id, left) -> left > KNOWN ? left - KNOWN : null);
+                pendingUpdates.computeIfPresent(
+                        current.id, (id, left) -> left > DUPLICATE_DISCOUNT ? left - DUPLICATE_DISCOUNT : null);
             }
             return;
         }
-        if (word.writer == selfId) {
+        if (received.writer == selfId) {
             // A process of this name wrote it before us: what we have is later, or will be by the clock that saw it.
-            if (held != null) {
-                hold(t, new Held(t, held.id, selfId, held.value, clock.stamp(nowUs), held.untilUs));
+            if (current != null) {
+                install(t, new Entry(t, current.id, selfId, current.value, clock.stamp(nowUs), current.expiresUs));
                 return;
             }
         }
         // Where all may write, whoever lies may do so in its own name: there is nothing to confirm.
-        if (t.owned() && sender != word.writer) {
-            Pending p = pending.get(word.id);
-            boolean second = p != null && p.from != from && p.word.same(word);
-            if (!second) {
-                boolean newer = p == null || word.laterThan(p.word);
-                long ofSender =
-                        pending.values().stream().filter(o -> o.from == from).count();
-                if (newer && ofSender < PENDING_EACH && (p != null || pending.size() < PENDING)) {
-                    pending.put(word.id, new Pending(word, from, nowUs));
+        if (t.owned() && sender != received.writer) {
+            Pending p = unconfirmed.get(received.id);
+            boolean confirmed = p != null && p.peerIndex != peerIndex && p.entry.isSameVersion(received);
+            if (!confirmed) {
+                boolean newer = p == null || received.supersedes(p.entry);
+                long unconfirmedOfSender = unconfirmed.values().stream()
+                        .filter(o -> o.peerIndex == peerIndex)
+                        .count();
+                if (newer
+                        && unconfirmedOfSender < MAX_PENDING_PER_SENDER
+                        && (p != null || unconfirmed.size() < MAX_PENDING)) {
+                    unconfirmed.put(received.id, new Pending(received, peerIndex, nowUs));
                 }
                 return;
             }
         }
-        pending.remove(word.id);
-        hold(t, word);
+        unconfirmed.remove(received.id);
+        install(t, received);
     }
 
-    private void hold(Table t, Held h) {
-        Map<Id, Held> table = entries.get(t.id());
+    private void install(Table t, Entry h) {
+        Map<EntryKey, Entry> table = entries.get(t.id());
         table.put(h.id, h);
-        int log = 32 - Integer.numberOfLeadingZeros(Math.max(2, group.size()));
-        news.remove(h.id);
-        news.put(h.id, (int) Math.ceil(TOLD * log * (h.writer == selfId ? OWN_FAN : 1)));
+        int log = 32 - Integer.numberOfLeadingZeros(Math.max(2, peers.size()));
+        pendingUpdates.remove(h.id);
+        pendingUpdates.put(
+                h.id, (int) Math.ceil(RETRANSMIT_FACTOR * log * (h.writer == selfId ? WRITER_GOSSIP_FANOUT : 1)));
         if (t.owned()) {
-            bound(t, table, h.id.key, t.maxWritersPerKey(), "writers of one key");
+            evictExcess(t, table, h.id.key, t.maxWritersPerKey(), "writers of one key");
         }
-        bound(t, table, -1, t.maxEntries(), "entries");
+        evictExcess(t, table, -1, t.maxEntries(), "entries");
     }
 
     /** Of the key's entries, or of all with -1, the last in an order that all share go, and all keep the same. */
-    private void bound(Table t, Map<Id, Held> table, long key, int most, String of) {
+    private void evictExcess(Table t, Map<EntryKey, Entry> table, long key, int max, String what) {
         int count = 0;
-        Held last = null;
-        if (key < 0 && table.size() <= most) {
+        Entry last = null;
+        if (key < 0 && table.size() <= max) {
             return;
         }
-        for (Held h : table.values()) {
+        for (Entry h : table.values()) {
             if (key < 0 || h.id.key == key) {
                 count++;
-                last = last == null || Integer.compareUnsigned(place(h.id), place(last.id)) > 0 ? h : last;
+                last = last == null || Integer.compareUnsigned(treePosition(h.id), treePosition(last.id)) > 0
+                        ? h
+                        : last;
             }
         }
-        if (count > most) {
+        if (count > max) {
             table.remove(last.id);
-            news.remove(last.id);
+            pendingUpdates.remove(last.id);
             if (key < 0) {
-                note("full " + t.id(), "the table of " + t.name() + " is full: more than " + most + " " + of);
+                logRateLimited(
+                        "full " + t.id(), "the table of " + t.name() + " is full: more than " + max + " " + what);
             }
         }
     }
 
     /** The same is not said twice within a minute. */
-    private void note(String about, String text) {
-        Long before = noted.get(about);
-        if (before == null || nowUs - before > NOTE_US) {
-            noted.put(about, nowUs);
-            host.logEvent(text);
+    private void logRateLimited(String topic, String text) {
+        Long lastUs = loggedUs.get(topic);
+        if (lastUs == null || nowUs - lastUs > LOG_INTERVAL_US) {
+            loggedUs.put(topic, nowUs);
+            environment.logEvent(text);
         }
     }
 
-    private static Id id(Table t, long key, long writer) {
-        return new Id(t.id(), key, t.owned() ? writer : 0);
+    private static EntryKey keyOf(Table t, long key, long writer) {
+        return new EntryKey(t.id(), key, t.owned() ? writer : 0);
     }
 
     /** Stafford's variant 13. */
--- a/src/main/java/rushproxy/fleet/shared/WarmStart.java
+++ b/src/main/java/rushproxy/fleet/shared/WarmStart.java
@@ -19,58 +19,58 @@
     /** From the start on; a start takes longer for other reasons. */
     public static final long MAX_WAIT_US = 600_000;
     /** Others' middle is wanted, so that one alone can't mislead. */
-    private static final int ANSWERS = 3;
+    private static final int WANTED_ANSWERS = 3;
 
-    private static final int ASKED = 6;
-    private static final long AGAIN_US = 100_000;
+    private static final int REQUEST_FANOUT = 6;
+    private static final long RETRY_INTERVAL_US = 100_000;
     /** Who knows for less than this knows next to nothing. */
-    private static final long KNOWS_US = 10_000_000;
+    private static final long MIN_UPTIME_US = 10_000_000;
 
-    private static final int PART = 200;
-    private static final int PARTS = 8;
+    private static final int CHUNK_BYTES = 200;
+    private static final int MAX_CHUNKS = 8;
 
-    private static final int ASK = 40;
-    private static final int TELL = 41;
+    private static final int STATE_REQUEST = 40;
+    private static final int STATE_CHUNK = 41;
 
-    private final long me;
-    private final int part;
-    private final int taken;
-    private final PeerDirectory group;
-    private final Environment host;
+    private final long selfId;
+    private final int feature;
+    private final int reservedLength;
+    private final PeerDirectory peers;
+    private final Environment environment;
     private final SplittableRandom random;
-    private final Supplier<byte[]> known;
+    private final Supplier<byte[]> localState;
     private final long startUs;
     /** By the place that tells, its parts; complete ones go to {@code answers}. */
-    private final Map<Integer, byte[][]> coming = new LinkedHashMap<>();
+    private final Map<Integer, byte[][]> incoming = new LinkedHashMap<>();
 
     private final Map<Integer, byte[]> answers = new LinkedHashMap<>();
-    private long askUs;
-    private boolean over;
+    private long nextRequestUs;
+    private boolean finished;
 
-    /** {@code known} gives what this process knows at the time of the call. */
+    /** {@code localState} gives what this process knows at the time of the call. */
     public WarmStart(
-            long me,
-            int part,
-            int taken,
+            long selfId,
+            int feature,
+            int reservedLength,
             long nowUs,
             long seed,
-            PeerDirectory group,
-            Environment host,
-            Supplier<byte[]> known) {
-        this.me = me;
-        this.part = part;
-        this.taken = taken;
-        this.group = group;
-        this.host = host;
-        this.known = known;
+            PeerDirectory peers,
+            Environment environment,
+            Supplier<byte[]> localState) {
+        this.selfId = selfId;
+        this.feature = feature;
+        this.reservedLength = reservedLength;
+        this.peers = peers;
+        this.environment = environment;
+        this.localState = localState;
         startUs = nowUs;
-        askUs = nowUs;
+        nextRequestUs = nowUs;
         random = new SplittableRandom(seed);
     }
 
     /** No more is waited for: three have told, or the time is up. */
     public boolean isFinished() {
-        return over;
+        return finished;
     }
 
     /** What was told, each by another; none after the first call that follows {@link #isFinished}. */
@@ -81,74 +81,80 @@
     }
 
     public void onTick(long nowUs, long incarnation) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = answers.size() >= ANSWERS || nowUs - startUs >= MAX_WAIT_US;
-        if (!over && nowUs >= askUs) {
-            askUs = nowUs + AGAIN_US;
-            for (int i = answers.size(); i < ASKED; i++) {
-                int place = group.randomPeer(part, random);
-                if (place >= 0 && !answers.containsKey(place)) {
-                    host.send(
-                            place,
-                            Envelope.from(me, incarnation)
-                                    .addSection(ASK, ByteBuffer.allocate(1).put((byte) 1))
-                                    .toBytes(taken));
+        finished = answers.size() >= WANTED_ANSWERS || nowUs - startUs >= MAX_WAIT_US;
+        if (!finished && nowUs >= nextRequestUs) {
+            nextRequestUs = nowUs + RETRY_INTERVAL_US;
+            for (int i = answers.size(); i < REQUEST_FANOUT; i++) {
+                int peerIndex = peers.randomPeer(feature, random);
+                if (peerIndex >= 0 && !answers.containsKey(peerIndex)) {
+                    environment.send(
+                            peerIndex,
+                            Envelope.from(selfId, incarnation)
+                                    .addSection(
+                                            STATE_REQUEST,
+                                            ByteBuffer.allocate(1).put((byte) 1))
+                                    .toBytes(reservedLength));
                 }
             }
         }
     }
 
     /** From the member at this place of the list. */
-    public void onMessage(long nowUs, int from, Envelope.Message letter, long incarnation) {
-        for (Envelope.Section s : letter.sections()) {
-            if (s.type() == ASK && nowUs - startUs >= KNOWS_US) {
-                tell(from, incarnation);
-            } else if (s.type() == TELL && !over && s.bytes().length > 2) {
-                told(from, s.bytes());
+    public void onMessage(long nowUs, int peerIndex, Envelope.Message message, long incarnation) {
+        for (Envelope.Section s : message.sections()) {
+            if (s.type() == STATE_REQUEST && nowUs - startUs >= MIN_UPTIME_US) {
+                sendState(peerIndex, incarnation);
+            } else if (s.type() == STATE_CHUNK && !finished && s.bytes().length > 2) {
+                onChunk(peerIndex, s.bytes());
             }
         }
     }
 
-    private void tell(int to, long incarnation) {
-        byte[] all = known.get();
-        int parts = (all.length + PART - 1) / PART;
-        if (parts > PARTS) {
+    private void sendState(int peerIndex, long incarnation) {
+        byte[] state = localState.get();
+        int chunks = (state.length + CHUNK_BYTES - 1) / CHUNK_BYTES;
+        if (chunks > MAX_CHUNKS) {
             return;
         }
-        for (int i = 0; i < parts; i++) {
-            int length = Math.min(PART, all.length - i * PART);
+        for (int i = 0; i < chunks; i++) {
+            int length = Math.min(CHUNK_BYTES, state.length - i * CHUNK_BYTES);
             ByteBuffer b = ByteBuffer.allocate(2 + length)
                     .put((byte) i)
-                    .put((byte) parts)
-                    .put(all, i * PART, length);
-            host.send(to, Envelope.from(me, incarnation).addSection(TELL, b).toBytes(taken));
+                    .put((byte) chunks)
+                    .put(state, i * CHUNK_BYTES, length);
+            environment.send(
+                    peerIndex,
+                    Envelope.from(selfId, incarnation)
+                            .addSection(STATE_CHUNK, b)
+                            .toBytes(reservedLength));
         }
     }
 
-    private void told(int from, byte[] bytes) {
-        int number = bytes[0];
-        int parts = bytes[1];
-        if (parts <= 0 || parts > PARTS || number < 0 || number >= parts) {
+    private void onChunk(int peerIndex, byte[] bytes) {
+        int index = bytes[0];
+        int chunkCount = bytes[1];
+        if (chunkCount <= 0 || chunkCount > MAX_CHUNKS || index < 0 || index >= chunkCount) {
             return;
         }
-        byte[][] of = coming.computeIfAbsent(from, f -> new byte[parts][]);
-        if (of.length != parts) {
+        byte[][] chunks = incoming.computeIfAbsent(peerIndex, f -> new byte[chunkCount][]);
+        if (chunks.length != chunkCount) {
             return;
         }
-        of[number] = java.util.Arrays.copyOfRange(bytes, 2, bytes.length);
+        chunks[index] = java.util.Arrays.copyOfRange(bytes, 2, bytes.length);
         int length = 0;
-        for (byte[] p : of) {
-            if (p == null) {
+        for (byte[] chunk : chunks) {
+            if (chunk == null) {
                 return;
             }
-            length += p.length;
+            length += chunk.length;
         }
         ByteBuffer whole = ByteBuffer.allocate(length);
-        for (byte[] p : of) {
-            whole.put(p);
+        for (byte[] chunk : chunks) {
+            whole.put(chunk);
         }
-        answers.put(from, whole.array());
+        answers.put(peerIndex, whole.array());
     }
 }
