--- a/src/main/java/rushproxy/fleet/release/Evidence.java
+++ b/src/main/java/rushproxy/fleet/release/Evidence.java
@@ -13,31 +13,31 @@
 final class Evidence {
     private static final double[] RATIOS = {1.2, 1.5, 2, 4, 10};
 
-    private final double[] logs = new double[RATIOS.length];
+    private final double[] logEvidence = new double[RATIOS.length];
 
     /** Of {@code ofNew} and {@code ofControl} that could be hit, so many were; counts of one batch. */
-    void add(long hitNew, long ofNew, long hitControl, long ofControl) {
-        if (ofNew <= 0 || ofControl <= 0) {
+    void add(long candidateEvents, long candidateTotal, long controlEvents, long controlTotal) {
+        if (candidateTotal <= 0 || controlTotal <= 0) {
             // Nobody to compare with: it tells nothing.
             return;
         }
-        double q = ofNew / (double) (ofNew + ofControl);
-        long m = hitNew + hitControl;
+        double q = candidateTotal / (double) (candidateTotal + controlTotal);
+        long m = candidateEvents + controlEvents;
         for (int i = 0; i < RATIOS.length; i++) {
-            logs[i] += hitNew * Math.log(RATIOS[i]) - m * Math.log(1 - q + RATIOS[i] * q);
+            logEvidence[i] += candidateEvents * Math.log(RATIOS[i]) - m * Math.log(1 - q + RATIOS[i] * q);
         }
     }
 
     /** Natural logarithm of the evidence. */
     double log() {
-        double most = Double.NEGATIVE_INFINITY;
-        for (double l : logs) {
-            most = Math.max(most, l);
+        double max = Double.NEGATIVE_INFINITY;
+        for (double l : logEvidence) {
+            max = Math.max(max, l);
         }
         double sum = 0;
-        for (double l : logs) {
-            sum += Math.exp(l - most);
+        for (double l : logEvidence) {
+            sum += Math.exp(l - max);
         }
-        return most + Math.log(sum / RATIOS.length);
+        return max + Math.log(sum / RATIOS.length);
     }
 }
--- a/src/main/java/rushproxy/fleet/release/Gate.java
+++ b/src/main/java/rushproxy/fleet/release/Gate.java
@@ -51,166 +51,173 @@
         private final Evidence failure = new Evidence();
         private final Evidence silence = new Evidence();
         private final Evidence slowness = new Evidence();
-        private final Tally fresh = new Tally();
+        private final Tally candidate = new Tally();
         private final Tally control = new Tally();
         /** Of control before this batch; a batch's own would not be known beforehand. */
-        private long slowUs;
+        private long slowThresholdUs;
     }
 
-    private static final int KINDS = 3;
+    private static final int EVENT_KINDS = 3;
     /** Answers of control before slowness can be told. */
-    private static final int KNOWN = 40;
+    private static final int MIN_CONTROL_ANSWERS = 40;
     /** The way back is taken where the evidence is as strong as this many false halts in a row would be rare. */
-    private static final double SURE = 2;
+    private static final double ROLLBACK_FACTOR = 2;
 
-    private final Criteria rule;
+    private final Criteria criteria;
     private final Map<String, Stratum> strata = new TreeMap<>();
-    private long sinceUs;
-    private boolean begun;
+    private long startedUs;
+    private boolean started;
     /** Control's answers since it was last told whether it is sick. */
-    private long lastControl;
+    private long recentControlAttempts;
 
-    private long lastControlBad;
-    private boolean sick;
+    private long recentControlBad;
+    private boolean controlSick;
 
-    public Gate(Criteria rule) {
-        this.rule = rule;
+    public Gate(Criteria criteria) {
+        this.criteria = criteria;
     }
 
     /** What came since the batch before, in one stratum. Servers that still warm up belong to neither. */
-    public void addBatch(String stratum, Tally fresh, Tally control) {
+    public void addBatch(String stratum, Tally candidate, Tally control) {
         Stratum s = strata.computeIfAbsent(stratum, n -> new Stratum());
-        s.failure.add(fresh.failures(), fresh.attempts(), control.failures(), control.attempts());
-        s.silence.add(fresh.timeouts(), fresh.attempts(), control.timeouts(), control.attempts());
-        if (s.slowUs > 0) {
+        s.failure.add(candidate.failures(), candidate.attempts(), control.failures(), control.attempts());
+        s.silence.add(candidate.timeouts(), candidate.attempts(), control.timeouts(), control.attempts());
+        if (s.slowThresholdUs > 0) {
             s.slowness.add(
-                    fresh.slowerThan(s.slowUs), fresh.successes(), control.slowerThan(s.slowUs), control.successes());
+                    candidate.slowerThan(s.slowThresholdUs),
+                    candidate.successes(),
+                    control.slowerThan(s.slowThresholdUs),
+                    control.successes());
         }
-        s.fresh.add(fresh);
+        s.candidate.add(candidate);
         s.control.add(control);
-        s.slowUs = s.control.successes() >= KNOWN ? s.control.percentileUs(75) : 0;
-        lastControl += control.attempts();
-        lastControlBad += control.failures() + control.timeouts();
+        s.slowThresholdUs = s.control.successes() >= MIN_CONTROL_ANSWERS ? s.control.percentileUs(75) : 0;
+        recentControlAttempts += control.attempts();
+        recentControlBad += control.failures() + control.timeouts();
     }
 
     /** To be asked after the batches of a time, as often as anybody likes. */
     public Decision decide(long nowUs) {
-        if (!begun) {
-            begun = true;
-            sinceUs = nowUs;
+        if (!started) {
+            started = true;
+            startedUs = nowUs;
         }
-        if (lastControl >= KNOWN) {
-            sick = lastControlBad > rule.sickControlFraction * lastControl;
-            lastControl = 0;
-            lastControlBad = 0;
+        if (recentControlAttempts >= MIN_CONTROL_ANSWERS) {
+            controlSick = recentControlBad > criteria.sickControlFraction * recentControlAttempts;
+            recentControlAttempts = 0;
+            recentControlBad = 0;
         }
-        double bar = Math.log(KINDS / rule.falseHaltProbability);
+        double haltThreshold = Math.log(EVENT_KINDS / criteria.falseHaltProbability);
         String[] kinds = {"failures", "silence", "slowness"};
-        String against = null;
-        double most = Double.NEGATIVE_INFINITY;
-        for (int kind = 0; kind < KINDS; kind++) {
-            double log = mean(kind);
-            if (log > most) {
-                most = log;
-                against = kinds[kind];
+        String strongestKind = null;
+        double max = Double.NEGATIVE_INFINITY;
+        for (int kind = 0; kind < EVENT_KINDS; kind++) {
+            double log = meanLogEvidence(kind);
+            if (log > max) {
+                max = log;
+                strongestKind = kinds[kind];
             }
         }
-        if (most >= SURE * bar) {
-            return new Decision(Verdict.BACK, words(against, most));
+        if (max >= ROLLBACK_FACTOR * haltThreshold) {
+            return new Decision(Verdict.BACK, describe(strongestKind, max));
         }
-        if (most >= bar) {
-            return new Decision(Verdict.HALT, words(against, most));
+        if (max >= haltThreshold) {
+            return new Decision(Verdict.HALT, describe(strongestKind, max));
         }
-        if (sick) {
+        if (controlSick) {
             return new Decision(Verdict.WAIT, "control servers fail too: nothing can be told");
         }
-        String missing = missing(nowUs);
-        if (missing == null) {
+        String unmet = unmetCriterion(nowUs);
+        if (unmet == null) {
             return new Decision(Verdict.ON, "no worse than control");
         }
-        return nowUs - sinceUs >= rule.maxDurationUs
-                ? new Decision(Verdict.HALT, "it can't be told in time: " + missing)
-                : new Decision(Verdict.WAIT, missing);
+        return nowUs - startedUs >= criteria.maxDurationUs
+                ? new Decision(Verdict.HALT, "it can't be told in time: " + unmet)
+                : new Decision(Verdict.WAIT, unmet);
     }
 
-    private double mean(int kind) {
-        double most = 0;
+    private double meanLogEvidence(int kind) {
+        double max = 0;
         List<Double> logs = new ArrayList<>();
         for (Stratum s : strata.values()) {
             double log = (kind == 0 ? s.failure : kind == 1 ? s.silence : s.slowness).log();
             logs.add(log);
-            most = Math.max(most, log);
+            max = Math.max(max, log);
         }
         double sum = 0;
         for (double l : logs) {
-            sum += Math.exp(l - most);
+            sum += Math.exp(l - max);
         }
-        return logs.isEmpty() ? 0 : most + Math.log(sum / logs.size());
+        return logs.isEmpty() ? 0 : max + Math.log(sum / logs.size());
     }
 
-    private String words(String against, double log) {
+    private String describe(String kind, double log) {
         Map.Entry<String, Stratum> worst = null;
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
-            worst = worst == null || strength(e.getValue(), against) > strength(worst.getValue(), against) ? e : worst;
+            worst = worst == null || logEvidence(e.getValue(), kind) > logEvidence(worst.getValue(), kind) ? e : worst;
         }
         Stratum s = worst.getValue();
         return String.format(
                 Locale.ROOT,
                 "%s, most in %s: %d of %d failed and %d were silent, control %d of %d and %d; medians %.1f and %.1f ms;"
                         + " evidence e^%.1f",
-                against,
+                kind,
                 worst.getKey(),
-                s.fresh.failures(),
-                s.fresh.attempts(),
-                s.fresh.timeouts(),
+                s.candidate.failures(),
+                s.candidate.attempts(),
+                s.candidate.timeouts(),
                 s.control.failures(),
                 s.control.attempts(),
                 s.control.timeouts(),
-                s.fresh.percentileUs(50) / 1e3,
+                s.candidate.percentileUs(50) / 1e3,
                 s.control.percentileUs(50) / 1e3,
                 log);
     }
 
-    private static double strength(Stratum s, String against) {
-        return (against.equals("failures") ? s.failure : against.equals("silence") ? s.silence : s.slowness).log();
+    private static double logEvidence(Stratum s, String kind) {
+        return (kind.equals("failures") ? s.failure : kind.equals("silence") ? s.silence : s.slowness).log();
     }
 
     /** Null where the stage may go on. */
-    private String missing(long nowUs) {
-        Tally fresh = new Tally();
+    private String unmetCriterion(long nowUs) {
+        Tally candidate = new Tally();
         Tally control = new Tally();
         strata.values().forEach(s -> {
-            fresh.add(s.fresh);
+            candidate.add(s.candidate);
             control.add(s.control);
         });
-        if (fresh.attempts() < rule.minAnswers || control.attempts() < rule.minAnswers) {
+        if (candidate.attempts() < criteria.minAnswers || control.attempts() < criteria.minAnswers) {
             return String.format(
                     Locale.ROOT,
                     "%d answers of new and %d of control servers, %d of each are wanted",
-                    fresh.attempts(),
+                    candidate.attempts(),
                     control.attempts(),
-                    rule.minAnswers);
+                    criteria.minAnswers);
         }
-        if (nowUs - sinceUs < rule.minDurationUs) {
-            return String.format(Locale.ROOT, "%.0f of %.0f s", (nowUs - sinceUs) / 1e6, rule.minDurationUs / 1e6);
+        if (nowUs - startedUs < criteria.minDurationUs) {
+            return String.format(
+                    Locale.ROOT, "%.0f of %.0f s", (nowUs - startedUs) / 1e6, criteria.minDurationUs / 1e6);
         }
-        double badNew = (fresh.failures() + fresh.timeouts()) / (double) fresh.attempts();
-        double badControl = (control.failures() + control.timeouts()) / (double) control.attempts();
-        if (badNew > badControl + rule.maxBadFractionExcess) {
+        double candidateBad = (candidate.failures() + candidate.timeouts()) / (double) candidate.attempts();
+        double controlBad = (control.failures() + control.timeouts()) / (double) control.attempts();
+        if (candidateBad > controlBad + criteria.maxBadFractionExcess) {
             return String.format(
-                    Locale.ROOT, "%.1f%% of new answers are bad, %.1f%% of control's", 100 * badNew, 100 * badControl);
+                    Locale.ROOT,
+                    "%.1f%% of new answers are bad, %.1f%% of control's",
+                    100 * candidateBad,
+                    100 * controlBad);
         }
         // In one stratum: over all of them a mix that differs would look like slowness.
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
             Stratum s = e.getValue();
-            if (s.fresh.successes() >= KNOWN
-                    && s.control.successes() >= KNOWN
-                    && s.fresh.percentileUs(50) > rule.maxMedianRatio * s.control.percentileUs(50)) {
+            if (s.candidate.successes() >= MIN_CONTROL_ANSWERS
+                    && s.control.successes() >= MIN_CONTROL_ANSWERS
+                    && s.candidate.percentileUs(50) > criteria.maxMedianRatio * s.control.percentileUs(50)) {
                 return String.format(
                         Locale.ROOT,
                         "%s: a median of %.1f ms, control's is %.1f ms",
                         e.getKey(),
-                        s.fresh.percentileUs(50) / 1e3,
+                        s.candidate.percentileUs(50) / 1e3,
                         s.control.percentileUs(50) / 1e3);
             }
         }
--- a/src/main/java/rushproxy/fleet/release/Plan.java
+++ b/src/main/java/rushproxy/fleet/release/Plan.java
@@ -20,13 +20,13 @@
         if (stages.isEmpty()) {
             throw new IllegalArgumentException("a plan without stages");
         }
-        double before = 0;
+        double previous = 0;
         for (Stage s : stages) {
-            if (!(s.weight > before && s.weight <= 1)) {
+            if (!(s.weight > previous && s.weight <= 1)) {
                 throw new IllegalArgumentException(
-                        "stages: a weight of " + s.weight + " after " + before + "; each is larger, and 1 at most");
+                        "stages: a weight of " + s.weight + " after " + previous + "; each is larger, and 1 at most");
             }
-            before = s.weight;
+            previous = s.weight;
         }
     }
 }
--- a/src/main/java/rushproxy/fleet/release/ReleaseMonitor.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseMonitor.java
@@ -28,58 +28,59 @@
     public record TallyPair(Tally candidate, Tally control) {}
 
     private final ReleaseOrders orders;
-    private final long warmUs;
+    private final long warmUpUs;
     private Map<String, Upstream> servers = Map.of();
     /** Kinds and zones that the releases' new servers are in. */
-    private final Map<String, Set<String>> places = new HashMap<>();
+    private final Map<String, Set<String>> candidateGroups = new HashMap<>();
 
     private final Map<String, Map<String, TallyPair>> tallies = new HashMap<>();
 
     /** A server is warm so long after its start. */
-    public ReleaseMonitor(ReleaseOrders orders, long warmUs) {
+    public ReleaseMonitor(ReleaseOrders orders, long warmUpUs) {
         this.orders = orders;
-        this.warmUs = warmUs;
+        this.warmUpUs = warmUpUs;
     }
 
     /** The servers that may be used now; to be told when they or the orders have changed. */
     public void setServers(Collection<Upstream> ready) {
-        Map<String, Upstream> now = new HashMap<>();
-        ready.forEach(u -> now.put(u.id(), u));
-        servers = now;
-        places.clear();
+        Map<String, Upstream> byId = new HashMap<>();
+        ready.forEach(u -> byId.put(u.id(), u));
+        servers = byId;
+        candidateGroups.clear();
         for (Upstream u : ready) {
             orders.releasesOf(u)
-                    .forEach(release -> places.computeIfAbsent(release, r -> new HashSet<>())
-                            .add(place(u)));
+                    .forEach(release -> candidateGroups
+                            .computeIfAbsent(release, r -> new HashSet<>())
+                            .add(kindAndZone(u)));
         }
-        tallies.keySet().retainAll(places.keySet());
+        tallies.keySet().retainAll(candidateGroups.keySet());
     }
 
-    private static String place(Upstream u) {
+    private static String kindAndZone(Upstream u) {
         return u.kind() + " in " + u.zone();
     }
 
     /** An attempt has ended. Costs next to nothing while there is no release. */
-    public void recordAttempt(long nowUs, String server, String requestClass, Outcome outcome, long tookUs) {
-        Upstream u = places.isEmpty() ? null : servers.get(server);
-        if (u == null || nowUs - u.startedUs() < warmUs) {
+    public void recordAttempt(long nowUs, String server, String requestClass, Outcome outcome, long latencyUs) {
+        Upstream u = candidateGroups.isEmpty() ? null : servers.get(server);
+        if (u == null || nowUs - u.startedUs() < warmUpUs) {
             return;
         }
-        List<String> in = orders.releasesOf(u);
-        places.forEach((release, where) -> {
-            boolean fresh = in.contains(release);
-            if (!fresh && (!in.isEmpty() || !where.contains(place(u)))) {
+        List<String> releases = orders.releasesOf(u);
+        candidateGroups.forEach((release, groups) -> {
+            boolean isCandidate = releases.contains(release);
+            if (!isCandidate && (!releases.isEmpty() || !groups.contains(kindAndZone(u)))) {
                 return;
             }
             Map<String, TallyPair> strata = tallies.computeIfAbsent(release, r -> new TreeMap<>());
-            String stratum = requestClass + " at " + place(u);
+            String stratum = requestClass + " at " + kindAndZone(u);
             if (!strata.containsKey(stratum) && strata.size() >= MAX_STRATA) {
                 return;
             }
             TallyPair pair = strata.computeIfAbsent(stratum, s -> new TallyPair(new Tally(), new Tally()));
-            Tally t = fresh ? pair.candidate : pair.control;
+            Tally t = isCandidate ? pair.candidate : pair.control;
             switch (outcome) {
-                case OK -> t.addSuccess(tookUs);
+                case OK -> t.addSuccess(latencyUs);
                 case ERROR, RESET, REJECTED -> t.addFailure();
                 case TIMEOUT, CONNECT_FAILED -> t.addTimeout();
                 default -> {}
@@ -89,20 +90,20 @@
 
     /** For the controller: a line of values that JSON has, histograms as base64. */
     public List<Map<String, Object>> exportTallies(String release) {
-        List<Map<String, Object>> view = new ArrayList<>();
+        List<Map<String, Object>> exported = new ArrayList<>();
         tallies.getOrDefault(release, Map.of()).forEach((stratum, pair) -> {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("stratum", stratum);
-            one.put("new", write(pair.candidate));
-            one.put("control", write(pair.control));
-            view.add(one);
+            Map<String, Object> entry = new LinkedHashMap<>();
+            entry.put("stratum", stratum);
+            entry.put("new", encodeTally(pair.candidate));
+            entry.put("control", encodeTally(pair.control));
+            exported.add(entry);
         });
-        return view;
+        return exported;
     }
 
-    private static List<Object> write(Tally t) {
-        ByteBuffer b = ByteBuffer.allocate(t.histogram().getNeededByteBufferCapacity());
-        int length = t.histogram().encodeIntoCompressedByteBuffer(b);
+    private static List<Object> encodeTally(Tally t) {
+        ByteBuffer b = ByteBuffer.allocate(t.latencies().getNeededByteBufferCapacity());
+        int length = t.latencies().encodeIntoCompressedByteBuffer(b);
         return List.of(
                 t.attempts(),
                 t.failures(),
@@ -111,15 +112,15 @@
     }
 
     /** The tally that {@code asked}, {@code failed}, {@code silent} and a histogram in base64 are; throws where they are none. */
-    public static Tally parseTally(long asked, long failed, long silent, String histogram) {
+    public static Tally parseTally(long attempts, long failures, long timeouts, String histogram) {
         try {
             Histogram h = Histogram.decodeFromCompressedByteBuffer(
                     ByteBuffer.wrap(Base64.getDecoder().decode(histogram)), 0);
-            if (failed < 0 || silent < 0 || asked != failed + silent + h.getTotalCount()) {
+            if (failures < 0 || timeouts < 0 || attempts != failures + timeouts + h.getTotalCount()) {
                 throw new IllegalArgumentException(
-                        "a tally of " + asked + " that adds up to " + (failed + silent + h.getTotalCount()));
+                        "a tally of " + attempts + " that adds up to " + (failures + timeouts + h.getTotalCount()));
             }
-            return Tally.of(asked, failed, silent, h);
+            return Tally.fromCounts(attempts, failures, timeouts, h);
         } catch (DataFormatException | RuntimeException e) {
             throw new IllegalArgumentException("no tally: " + e.getMessage(), e);
         }
--- a/src/main/java/rushproxy/fleet/release/ReleaseOrder.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseOrder.java
@@ -31,18 +31,18 @@
     /** Which servers are the release's: by one of these, or all of those that are not null. Ids alone, or the others together. */
     public record Selector(List<String> ids, String kind, String zone, Integer pod, Long startedAfterMs) {
         /** Throws with what is wrong: words like {@code kind=K,zone=Z,pod=3,started-after=MS} or {@code ids=a+b+c}. */
-        public static Selector parse(String words) {
+        public static Selector parse(String expression) {
             List<String> ids = null;
             String kind = null;
             String zone = null;
             Integer pod = null;
-            Long after = null;
-            for (String word : words.split(",", -1)) {
-                int eq = word.indexOf('=');
-                String name = eq < 0 ? word : word.substring(0, eq);
-                String value = eq < 0 ? "" : word.substring(eq + 1);
+            Long startedAfterMs = null;
+            for (String term : expression.split(",", -1)) {
+                int eq = term.indexOf('=');
+                String name = eq < 0 ? term : term.substring(0, eq);
+                String value = eq < 0 ? "" : term.substring(eq + 1);
                 if (value.isEmpty()) {
-                    throw new IllegalArgumentException("'" + word + "' is no NAME=VALUE");
+                    throw new IllegalArgumentException("'" + term + "' is no NAME=VALUE");
                 }
                 try {
                     switch (name) {
@@ -50,19 +50,19 @@
                         case "kind" -> kind = value;
                         case "zone" -> zone = value;
                         case "pod" -> pod = Integer.valueOf(value);
-                        case "started-after" -> after = Long.valueOf(value);
+                        case "started-after" -> startedAfterMs = Long.valueOf(value);
                         default ->
                             throw new IllegalArgumentException(
                                     "'" + name + "' is not ids, kind, zone, pod or started-after");
                     }
                 } catch (NumberFormatException e) {
-                    throw new IllegalArgumentException("'" + word + "': no whole number");
+                    throw new IllegalArgumentException("'" + term + "': no whole number");
                 }
             }
-            if (ids != null && (kind != null || zone != null || pod != null || after != null)) {
-                throw new IllegalArgumentException("'" + words + "': ids go with nothing else");
+            if (ids != null && (kind != null || zone != null || pod != null || startedAfterMs != null)) {
+                throw new IllegalArgumentException("'" + expression + "': ids go with nothing else");
             }
-            return new Selector(ids, kind, zone, pod, after);
+            return new Selector(ids, kind, zone, pod, startedAfterMs);
         }
 
         public boolean matches(Upstream u) {
@@ -79,17 +79,18 @@
             if (ids != null) {
                 return "ids=" + String.join("+", ids);
             }
-            StringBuilder words = new StringBuilder();
-            add(words, "kind", kind);
-            add(words, "zone", zone);
-            add(words, "pod", pod);
-            add(words, "started-after", startedAfterMs);
-            return words.toString();
+            StringBuilder expression = new StringBuilder();
+            appendTerm(expression, "kind", kind);
+            appendTerm(expression, "zone", zone);
+            appendTerm(expression, "pod", pod);
+            appendTerm(expression, "started-after", startedAfterMs);
+            return expression.toString();
         }
 
-        private static void add(StringBuilder words, String name, Object value) {
+        private static void appendTerm(StringBuilder expression, String name, Object value) {
             if (value != null) {
-                words.append(words.isEmpty() ? "" : ",")
+                expression
+                        .append(expression.isEmpty() ? "" : ",")
                         .append(name)
                         .append('=')
                         .append(value);
@@ -97,9 +98,9 @@
         }
     }
 
-    private static final int HEAD = 14;
-    private static final int MOST = 96;
-    private static final double UNIT = 10_000;
+    private static final int HEADER_BYTES = 14;
+    private static final int MAX_BYTES = 96;
+    private static final double WEIGHT_SCALE = 10_000;
 
     public ReleaseOrder {
         Objects.requireNonNull(selector);
@@ -111,26 +112,26 @@
             throw new IllegalArgumentException(String.format(
                     Locale.ROOT, "epoch %d, step %d, weights %s and %s: no order", epoch, step, weight, safeWeight));
         }
-        int length = HEAD + (release + selector.expression()).getBytes(StandardCharsets.UTF_8).length;
-        if (length > MOST) {
+        int length = HEADER_BYTES + (release + selector.expression()).getBytes(StandardCharsets.UTF_8).length;
+        if (length > MAX_BYTES) {
             throw new IllegalArgumentException(
-                    "names take " + length + " bytes, " + MOST + " at most: select by kind, zone, pod or start");
+                    "names take " + length + " bytes, " + MAX_BYTES + " at most: select by kind, zone, pod or start");
         }
     }
 
     /** Eight bytes of rank, then the rest. */
     byte[] encode() {
         byte[] name = release.getBytes(StandardCharsets.UTF_8);
-        byte[] words = selector.expression().getBytes(StandardCharsets.UTF_8);
-        return ByteBuffer.allocate(HEAD + name.length + words.length)
+        byte[] expression = selector.expression().getBytes(StandardCharsets.UTF_8);
+        return ByteBuffer.allocate(HEADER_BYTES + name.length + expression.length)
                 .putInt(epoch)
                 .putInt(step)
                 .put((byte) state.ordinal())
-                .putShort((short) Math.round(weight * UNIT))
-                .putShort((short) Math.round(safeWeight * UNIT))
+                .putShort((short) Math.round(weight * WEIGHT_SCALE))
+                .putShort((short) Math.round(safeWeight * WEIGHT_SCALE))
                 .put((byte) name.length)
                 .put(name)
-                .put(words)
+                .put(expression)
                 .array();
     }
 
@@ -141,20 +142,20 @@
             int epoch = b.getInt();
             int step = b.getInt();
             State state = State.values()[b.get()];
-            double weight = b.getShort() / UNIT;
-            double safe = b.getShort() / UNIT;
+            double weight = b.getShort() / WEIGHT_SCALE;
+            double safeWeight = b.getShort() / WEIGHT_SCALE;
             byte[] name = new byte[b.get()];
             b.get(name);
-            byte[] words = new byte[b.remaining()];
-            b.get(words);
+            byte[] expression = new byte[b.remaining()];
+            b.get(expression);
             return new ReleaseOrder(
                     new String(name, StandardCharsets.UTF_8),
                     epoch,
                     step,
                     state,
                     weight,
-                    safe,
-                    Selector.parse(new String(words, StandardCharsets.UTF_8)));
+                    safeWeight,
+                    Selector.parse(new String(expression, StandardCharsets.UTF_8)));
         } catch (RuntimeException e) {
             // Whatever a peer sends: too short, out of bounds, no names.
             return null;
--- a/src/main/java/rushproxy/fleet/release/Tally.java
+++ b/src/main/java/rushproxy/fleet/release/Tally.java
@@ -8,19 +8,19 @@
  */
 public final class Tally {
     /** Two digits tell 1% apart; latencies above a minute count as one. */
-    private static final long MOST_US = 60_000_000;
+    private static final long MAX_LATENCY_US = 60_000_000;
 
-    private static final int DIGITS = 2;
+    private static final int SIGNIFICANT_DIGITS = 2;
 
     private long attempts;
     private long failures;
     private long timeouts;
-    private final Histogram tookUs = new Histogram(1, MOST_US, DIGITS);
+    private final Histogram latenciesUs = new Histogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
 
     /** An answer with success, after so many microseconds. */
-    public void addSuccess(long us) {
+    public void addSuccess(long latencyUs) {
         attempts++;
-        tookUs.recordValue(Math.max(1, Math.min(MOST_US, us)));
+        latenciesUs.recordValue(Math.max(1, Math.min(MAX_LATENCY_US, latencyUs)));
     }
 
     public void addFailure() {
@@ -37,24 +37,24 @@
         attempts += other.attempts;
         failures += other.failures;
         timeouts += other.timeouts;
-        tookUs.add(other.tookUs);
+        latenciesUs.add(other.latenciesUs);
     }
 
     /** What has come since an earlier state of the same tally; that of a process that has started anew counts from its start. */
-    public Tally since(Tally before) {
-        Tally d = new Tally();
-        d.add(this);
+    public Tally deltaSince(Tally before) {
+        Tally delta = new Tally();
+        delta.add(this);
         if (before != null
                 && before.attempts <= attempts
                 && before.failures <= failures
                 && before.timeouts <= timeouts
-                && before.tookUs.getTotalCount() <= tookUs.getTotalCount()) {
-            d.attempts -= before.attempts;
-            d.failures -= before.failures;
-            d.timeouts -= before.timeouts;
-            d.tookUs.subtract(before.tookUs);
+                && before.latenciesUs.getTotalCount() <= latenciesUs.getTotalCount()) {
+            delta.attempts -= before.attempts;
+            delta.failures -= before.failures;
+            delta.timeouts -= before.timeouts;
+            delta.latenciesUs.subtract(before.latenciesUs);
         }
-        return d;
+        return delta;
     }
 
     public long attempts() {
@@ -70,29 +70,31 @@
     }
 
     public long successes() {
-        return tookUs.getTotalCount();
+        return latenciesUs.getTotalCount();
     }
 
     /** Good answers that took longer. */
-    public long slowerThan(long us) {
-        return us >= MOST_US ? 0 : tookUs.getTotalCount() - tookUs.getCountBetweenValues(0, us);
+    public long slowerThan(long thresholdUs) {
+        return thresholdUs >= MAX_LATENCY_US
+                ? 0
+                : latenciesUs.getTotalCount() - latenciesUs.getCountBetweenValues(0, thresholdUs);
     }
 
     /** Microseconds that so many percent of the good answers took at most; 0 where there was none. */
     public long percentileUs(double percent) {
-        return tookUs.getTotalCount() == 0 ? 0 : tookUs.getValueAtPercentile(percent);
+        return latenciesUs.getTotalCount() == 0 ? 0 : latenciesUs.getValueAtPercentile(percent);
     }
 
-    Histogram histogram() {
-        return tookUs;
+    Histogram latencies() {
+        return latenciesUs;
     }
 
-    static Tally of(long asked, long failed, long silent, Histogram tookUs) {
+    static Tally fromCounts(long attempts, long failures, long timeouts, Histogram latenciesUs) {
         Tally t = new Tally();
-        t.attempts = asked;
-        t.failures = failed;
-        t.timeouts = silent;
-        t.tookUs.add(tookUs);
+        t.attempts = attempts;
+        t.failures = failures;
+        t.timeouts = timeouts;
+        t.latenciesUs.add(latenciesUs);
         return t;
     }
 }
--- a/src/test/java/rushproxy/fleet/member/MembershipTest.java
+++ b/src/test/java/rushproxy/fleet/member/MembershipTest.java
@@ -19,21 +19,21 @@
 
 /** The hard cases of membership, on a simulated network with written time. */
 class MembershipTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     /** Bounds that docs/MEMBERSHIP.md states. */
-    private static final long DEAD_BY = 4 * S;
+    private static final long DETECTION_BOUND_US = 4 * SECOND_US;
 
-    private static final long HEALED_BY = 20 * S;
+    private static final long CONVERGENCE_BOUND_US = 20 * SECOND_US;
 
-    private static MemberSim fleet(int n, long seed, double loss) {
+    private static MemberSim startFleet(int n, long seed, double loss) {
         MemberSim sim = new MemberSim(seed).hosts(n).network(loss, 0.05, 300, 40_000);
         sim.startAll();
-        sim.until(10 * S);
+        sim.until(10 * SECOND_US);
         assertTrue(sim.agree(), "they never found each other");
         return sim;
     }
 
-    private static void wholeAgain(MemberSim sim, long withinUs) {
+    private static void assertConverges(MemberSim sim, long withinUs) {
         long until = sim.us() + withinUs;
         while (!sim.agree() && sim.us() < until) {
             sim.until(sim.us() + 100_000);
@@ -47,34 +47,34 @@
                                 .toList());
     }
 
-    private static boolean noted(Node n, String text) {
+    private static boolean hasLogged(Node n, String text) {
         return n.notes.stream().anyMatch(l -> l.contains(text));
     }
 
     @Test
-    void aDeathIsSeenByAllAndTheOthersLive() {
-        MemberSim sim = fleet(12, 1, 0.1);
+    void deathIsDetectedByAllSurvivors() {
+        MemberSim sim = startFleet(12, 1, 0.1);
         sim.kill(sim.node(5));
-        sim.until(sim.us() + DEAD_BY);
+        sim.until(sim.us() + DETECTION_BOUND_US);
         assertEquals(11, sim.seenAs(sim.node(5), Member.State.DEAD));
-        wholeAgain(sim, S);
-        assertTrue(noted(sim.node(0), "n5 is dead: "), sim.node(0).notes.toString());
+        assertConverges(sim, SECOND_US);
+        assertTrue(hasLogged(sim.node(0), "n5 is dead: "), sim.node(0).notes.toString());
     }
 
     /** Each of many seeds: somebody is killed, somebody stalls, a tenth of all is lost; nobody who lives is called dead. */
     @Test
-    void overManySeedsNobodyWhoLivesIsCalledDead() {
+    void noLiveMemberIsDeclaredDeadAcrossSeeds() {
         for (long seed = 1; seed <= 1_000; seed++) {
             MemberSim sim = new MemberSim(seed).hosts(6).network(0.1, 0.05, 300, 40_000);
             sim.startAll();
-            sim.until(5 * S);
+            sim.until(5 * SECOND_US);
             SplittableRandom random = new SplittableRandom(seed);
             sim.kill(sim.node(0));
             for (int i = 1; i < 6; i++) {
                 Node n = sim.node(i);
-                sim.later(random.nextLong(3 * S), () -> sim.stall(n, 200_000 + random.nextLong(1_300_000)));
+                sim.later(random.nextLong(3 * SECOND_US), () -> sim.stall(n, 200_000 + random.nextLong(1_300_000)));
             }
-            sim.until(13 * S);
+            sim.until(13 * SECOND_US);
             long of = seed;
             for (int i = 1; i < 6; i++) {
                 assertEquals(0, sim.seenAs(sim.node(i), Member.State.DEAD), () -> "seed " + of);
@@ -85,22 +85,22 @@
 
     @ParameterizedTest
     @ValueSource(longs = {200_000, 800_000, 1_500_000})
-    void aStallOfTheAccusedIsNoDeath(long us) {
-        MemberSim sim = fleet(8, 2, 0.1);
+    void stalledMemberIsNotDeclaredDead(long us) {
+        MemberSim sim = startFleet(8, 2, 0.1);
         for (int i = 0; i < 10; i++) {
             sim.stall(sim.node(3), us);
-            sim.until(sim.us() + 3 * S);
+            sim.until(sim.us() + 3 * SECOND_US);
             assertEquals(0, sim.seenAs(sim.node(3), Member.State.DEAD));
         }
     }
 
     /** It reads nothing, its probes run out, and everybody seems silent: it must doubt itself. */
     @Test
-    void aStallOfTheAccuserKillsNobody() {
-        MemberSim sim = fleet(8, 3, 0);
-        for (long us = 200_000; us <= 5 * S; us += 400_000) {
+    void stalledObserverDeclaresNobodyDead() {
+        MemberSim sim = startFleet(8, 3, 0);
+        for (long us = 200_000; us <= 5 * SECOND_US; us += 400_000) {
             sim.stall(sim.node(2), us);
-            sim.until(sim.us() + us + S);
+            sim.until(sim.us() + us + SECOND_US);
             for (Node other : sim.nodes()) {
                 assertFalse(MemberSim.state(sim.node(2), other) == Member.State.DEAD, other.name + " after " + us);
             }
@@ -109,47 +109,47 @@
 
     /** SIGSTOP for 10 s: dead to the others, and itself again within a moment of its return. */
     @Test
-    void whoWasStoppedForLongIsDeadAndThenBack() {
-        MemberSim sim = fleet(8, 4, 0.1);
-        sim.stall(sim.node(6), 10 * S);
-        sim.until(sim.us() + 6 * S);
+    void memberStoppedForLongIsDeclaredDeadAndRejoins() {
+        MemberSim sim = startFleet(8, 4, 0.1);
+        sim.stall(sim.node(6), 10 * SECOND_US);
+        sim.until(sim.us() + 6 * SECOND_US);
         assertEquals(7, sim.seenAs(sim.node(6), Member.State.DEAD));
-        sim.until(sim.us() + 4 * S);
-        wholeAgain(sim, HEALED_BY);
+        sim.until(sim.us() + 4 * SECOND_US);
+        assertConverges(sim, CONVERGENCE_BOUND_US);
     }
 
     /** n0 hears n1, n1 does not hear n0: the others hear both, and witnesses speak for either. */
     @Test
-    void aLinkThatIsCutOneWayKillsNobody() {
-        MemberSim sim = fleet(8, 5, 0.05);
+    void oneWayLinkFailureKillsNobody() {
+        MemberSim sim = startFleet(8, 5, 0.05);
         sim.cut((from, to) -> from.number == 0 && to.number == 1);
-        sim.until(sim.us() + 60 * S);
+        sim.until(sim.us() + 60 * SECOND_US);
         assertEquals(0, sim.seenAs(sim.node(0), Member.State.DEAD));
         assertEquals(0, sim.seenAs(sim.node(1), Member.State.DEAD));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void halvesAndThirdsThatWereCutApartFindEachOtherAgain(int parts) {
-        MemberSim sim = fleet(12, 6, 0.1);
+    void partitionsMergeAfterHealing(int parts) {
+        MemberSim sim = startFleet(12, 6, 0.1);
         sim.cut((from, to) -> from.number % parts != to.number % parts);
-        sim.until(sim.us() + 12 * S);
+        sim.until(sim.us() + 12 * SECOND_US);
         for (Node n : sim.nodes()) {
             assertEquals(MembershipView.Standing.MINORITY, n.membership().view().standing());
             assertEquals(12 / parts, n.membership().view().liveCount());
         }
         sim.cut((from, to) -> false);
-        wholeAgain(sim, HEALED_BY);
+        assertConverges(sim, CONVERGENCE_BOUND_US);
         sim.nodes()
                 .forEach(n -> assertEquals(
                         MembershipView.Standing.MAJORITY, n.membership().view().standing()));
     }
 
     @Test
-    void whoIsAloneKnowsIt() {
-        MemberSim sim = fleet(5, 7, 0);
+    void isolatedMemberReportsNobody() {
+        MemberSim sim = startFleet(5, 7, 0);
         sim.cut((from, to) -> from.number == 4 || to.number == 4);
-        sim.until(sim.us() + 15 * S);
+        sim.until(sim.us() + 15 * SECOND_US);
         // It hears nobody, so it accuses nobody: it still counts them, and they do not count it.
         assertEquals(4, sim.seenAs(sim.node(4), Member.State.DEAD));
         assertEquals(
@@ -160,40 +160,40 @@
     }
 
     @Test
-    void sevenInTenKilledAtOnceAndBackWithNewIncarnations() {
-        MemberSim sim = fleet(10, 8, 0.1);
+    void massRestartConverges() {
+        MemberSim sim = startFleet(10, 8, 0.1);
         for (int i = 0; i < 7; i++) {
             Node n = sim.node(i);
             sim.kill(n);
-            sim.later(2 * S + i * 100_000, () -> sim.start(n));
+            sim.later(2 * SECOND_US + i * 100_000, () -> sim.start(n));
         }
-        sim.until(sim.us() + 3 * S);
-        wholeAgain(sim, HEALED_BY);
+        sim.until(sim.us() + 3 * SECOND_US);
+        assertConverges(sim, CONVERGENCE_BOUND_US);
     }
 
     @Test
-    void sevenInTenKilledForGoodAreFoundOut() {
-        MemberSim sim = fleet(20, 9, 0.1);
+    void massFailureIsDetected() {
+        MemberSim sim = startFleet(20, 9, 0.1);
         for (int i = 0; i < 14; i++) {
             sim.kill(sim.node(i));
         }
-        sim.until(sim.us() + 8 * S);
-        wholeAgain(sim, S);
+        sim.until(sim.us() + 8 * SECOND_US);
+        assertConverges(sim, SECOND_US);
         assertEquals(
                 MembershipView.Standing.MINORITY,
                 sim.node(19).membership().view().standing());
     }
 
     @Test
-    void aLeaveIsNoDeathAndMakesNobodyAMinority() {
-        MemberSim sim = fleet(5, 10, 0);
+    void leaveReducesTheExpectedCount() {
+        MemberSim sim = startFleet(5, 10, 0);
         for (int i = 0; i < 3; i++) {
             Node n = sim.node(i);
             n.membership().leave(1_700_000_000_000_000L + sim.us());
             sim.until(sim.us() + 100_000);
             sim.kill(n);
         }
-        sim.until(sim.us() + S);
+        sim.until(sim.us() + SECOND_US);
         assertEquals(2, sim.seenAs(sim.node(0), Member.State.LEFT));
         assertEquals(
                 MembershipView.Standing.MAJORITY,
@@ -201,14 +201,14 @@
         assertEquals(2, sim.node(3).membership().view().expectedCount());
         // It is back: a new process is no longer one that has left.
         sim.start(sim.node(0));
-        sim.until(sim.us() + 3 * S);
+        sim.until(sim.us() + 3 * SECOND_US);
         assertEquals(2, sim.seenAs(sim.node(0), Member.State.ALIVE));
     }
 
     /** The address goes over to the new process; the old one hears nothing, speaks on for a while and leaves. */
     @Test
-    void aReplacementIsOneMemberAndTheOlderSaysNothingAgainstIt() {
-        MemberSim sim = fleet(6, 11, 0);
+    void replacedProcessStaysOneLiveMember() {
+        MemberSim sim = startFleet(6, 11, 0);
         Node node = sim.node(2);
         Membership old = node.membership();
         sim.start(node);
@@ -223,17 +223,17 @@
             }
         }
         old.leave(1_700_000_000_000_000L + sim.us());
-        sim.until(sim.us() + 2 * S);
+        sim.until(sim.us() + 2 * SECOND_US);
         assertEquals(5, sim.seenAs(node, Member.State.ALIVE));
-        wholeAgain(sim, S);
+        assertConverges(sim, SECOND_US);
     }
 
     /** Whoever lies has its own voice alone: not another's, and not a second one. */
     @Test
-    void aPlaceSpeaksForOneMemberWhileThatIsHeard() {
+    void peerIndexIdentifiesOneMemberWhileItIsHeard() {
         MemberSim sim = new MemberSim(31).hosts(4).network(0, 0, 300, 2_000);
         sim.startAll();
-        sim.until(5 * S);
+        sim.until(5 * SECOND_US);
         Node at = sim.node(0);
         Node liar = sim.node(3);
         long victim = sim.node(1).membership().self().id();
@@ -248,18 +248,18 @@
                 && at.membership().isLive(liar.membership().self().id()));
         // Where the place is silent it may be another's.
         sim.kill(liar);
-        sim.until(8 * S);
+        sim.until(8 * SECOND_US);
         sim.start(liar);
         liar.membership().leave(1_700_000_000_000_000L + sim.us());
         sim.kill(liar);
-        sim.until(12 * S);
+        sim.until(12 * SECOND_US);
         sim.deliver(liar, at, Envelope.from(ghost, incarnation).toBytes(-1));
         assertEquals(3, at.membership().member(ghost).peerIndex);
     }
 
     /** One name at two places: the later stays, the earlier goes quiet, both have said so, and then it is calm. */
     @Test
-    void twoProcessesOfOneNameDoNotFlap() {
+    void duplicateNamesDoNotFlap() {
         MemberSim sim = new MemberSim(12).network(0, 0, 300, 2_000);
         for (String name : new String[] {"n0", "n1", "n2", "n3"}) {
             sim.host(name, 0, 1, 2, 3, 4);
@@ -268,23 +268,23 @@
         for (int i = 0; i < 4; i++) {
             sim.start(sim.node(i));
         }
-        sim.until(5 * S);
+        sim.until(5 * SECOND_US);
         sim.start(twin);
-        sim.until(60 * S);
+        sim.until(60 * SECOND_US);
         assertTrue(
-                noted(sim.node(1), "another process of this name"),
+                hasLogged(sim.node(1), "another process of this name"),
                 sim.node(1).notes.toString());
-        assertTrue(noted(twin, "another process of this name"), twin.notes.toString());
+        assertTrue(hasLogged(twin, "another process of this name"), twin.notes.toString());
         assertTrue(sim.node(1).membership().isStopped() && !twin.membership().isStopped());
         int before = sim.node(0).notes.size();
-        sim.until(120 * S);
+        sim.until(120 * SECOND_US);
         assertEquals(before, sim.node(0).notes.size(), sim.node(0).notes.toString());
         assertEquals(4, sim.node(0).membership().view().liveCount());
     }
 
     /** Lists of 5, 6 and 7 names in other orders: each sees those whom it can, and none is taken for another. */
     @Test
-    void listsThatDifferAreLearnedFromWhoAnswers() {
+    void differingPeerListsAreResolvedFromReplies() {
         MemberSim sim = new MemberSim(13).network(0.05, 0, 300, 20_000);
         sim.host("n0", 0, 1, 2, 3, 4, 5, 6);
         sim.host("n1", 6, 5, 4, 3, 2, 1, 0);
@@ -294,7 +294,7 @@
         sim.host("n5", 5, 0, 1, 2, 3, 4);
         sim.host("n6", 0, 1, 2, 3, 4, 5, 6);
         sim.startAll();
-        sim.until(60 * S);
+        sim.until(60 * SECOND_US);
         for (Node n : sim.nodes()) {
             for (Node of : sim.nodes()) {
                 if (n != of && MemberSim.state(n, of) != null) {
@@ -304,16 +304,16 @@
         }
         assertEquals(7, sim.node(0).membership().view().liveCount());
         sim.kill(sim.node(4));
-        sim.until(sim.us() + 2 * DEAD_BY);
+        sim.until(sim.us() + 2 * DETECTION_BOUND_US);
         assertEquals(Member.State.DEAD, MemberSim.state(sim.node(0), sim.node(4)));
     }
 
     @ParameterizedTest
     @CsvSource({"5000000", "-5000000", "3600000000", "-3600000000"})
-    void aClockThatJumpsKillsNobody(long us) {
-        MemberSim sim = fleet(6, 14, 0.05);
+    void clockJumpKillsNobody(long us) {
+        MemberSim sim = startFleet(6, 14, 0.05);
         sim.jump(sim.node(2), us);
-        sim.until(sim.us() + 15 * S);
+        sim.until(sim.us() + 15 * SECOND_US);
         for (Node n : sim.nodes()) {
             assertEquals(0, sim.seenAs(n, Member.State.DEAD), n.name);
         }
@@ -321,19 +321,19 @@
 
     /** A process that starts with a clock far behind, after one that ran ahead, is itself again all the same. */
     @Test
-    void aRestartWithAnEarlierClockIsBelieved() {
-        MemberSim sim = fleet(6, 15, 0);
+    void restartWithEarlierClockRejoins() {
+        MemberSim sim = startFleet(6, 15, 0);
         sim.kill(sim.node(1));
-        sim.until(sim.us() + DEAD_BY);
-        sim.jump(sim.node(1), -600 * S);
+        sim.until(sim.us() + DETECTION_BOUND_US);
+        sim.jump(sim.node(1), -600 * SECOND_US);
         sim.start(sim.node(1));
-        sim.until(sim.us() + 3 * S);
+        sim.until(sim.us() + 3 * SECOND_US);
         assertEquals(5, sim.seenAs(sim.node(1), Member.State.ALIVE));
     }
 
     /** The program before says its word and no more: it counts as here, and nobody calls it dead. */
     @Test
-    void aSidecarOfTheVersionBeforeCountsAsHere() {
+    void legacySidecarCountsAsLive() {
         MemberSim sim = new MemberSim(16).hosts(3);
         sim.start(sim.node(0));
         sim.start(sim.node(1));
@@ -342,14 +342,14 @@
             sim.until(sim.us() + 500_000);
         }
         assertEquals(3, sim.node(0).membership().view().liveCount());
-        sim.until(sim.us() + 12 * S);
+        sim.until(sim.us() + 12 * SECOND_US);
         assertEquals(2, sim.node(0).membership().view().liveCount(), "it has been silent for long");
     }
 
     /** Bytes spoilt, cut off or made up, from a known address: nothing is thrown, and nobody is called dead by it. */
     @Test
-    void spoiltDatagramsChangeNothing() {
-        MemberSim sim = fleet(5, 17, 0);
+    void corruptDatagramsChangeNothing() {
+        MemberSim sim = startFleet(5, 17, 0);
         SplittableRandom random = new SplittableRandom(17);
         Envelope good = Envelope.from(
                 Envelope.idOf("n1"), sim.node(1).membership().self().incarnation());
@@ -364,14 +364,14 @@
             }
             sim.deliver(sim.node(1), sim.node(0), bytes);
         }
-        sim.until(sim.us() + 2 * S);
-        wholeAgain(sim, S);
+        sim.until(sim.us() + 2 * SECOND_US);
+        assertConverges(sim, SECOND_US);
     }
 
     /** Well made, and of what can't be true: an incarnation of next year, a state that there is not, a zone that there is not. */
     @Test
-    void whatCantBeTrueIsNotTaken() {
-        MemberSim sim = fleet(5, 18, 0);
+    void implausibleUpdatesAreIgnored() {
+        MemberSim sim = startFleet(5, 18, 0);
         Node n0 = sim.node(0);
         long last = (1L << 48) - 1;
         long now = sim.node(2).membership().self().incarnation();
@@ -401,8 +401,8 @@
 
     /** A false word of a death is refuted by the one whom it calls dead. */
     @Test
-    void aFalseDeathIsRefuted() {
-        MemberSim sim = fleet(6, 19, 0.1);
+    void falseDeathIsRefuted() {
+        MemberSim sim = startFleet(6, 19, 0.1);
         long incarnation = sim.node(3).membership().self().incarnation();
         ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
         Envelope.put48(b, Envelope.idOf("n3"));
@@ -421,14 +421,14 @@
                         .addSection(6, b)
                         .toBytes(-1));
         assertEquals(Member.State.DEAD, MemberSim.state(sim.node(0), sim.node(3)));
-        sim.until(sim.us() + 2 * S);
-        wholeAgain(sim, HEALED_BY);
+        sim.until(sim.us() + 2 * SECOND_US);
+        assertConverges(sim, CONVERGENCE_BOUND_US);
         assertEquals(incarnation + 6, sim.node(3).membership().self().incarnation());
     }
 
     /** No length of the program before's is ever sent, and an envelope never passes for whole when it is not. */
     @Test
-    void anEnvelopeNeverHasTheLengthThatIsTaken() {
+    void envelopeNeverHasTheReservedLength() {
         for (int section = 0; section < 200; section++) {
             Envelope e = Envelope.from(5, 6)
                     .addSection(200, ByteBuffer.allocate(section).put(new byte[section]));
@@ -442,7 +442,7 @@
     }
 
     @Test
-    void whatItCostsDoesNotGrowWithTheFleet() {
+    void trafficPerMemberDoesNotGrowWithTheFleet() {
         double small = MemberFigures.measure(10, 0, false, 0, 1).bytesPerS();
         double large = MemberFigures.measure(120, 0, false, 0, 1).bytesPerS();
         assertTrue(large < 1.1 * small && large < 700, small + " and " + large + " bytes a second");
--- a/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
@@ -17,7 +17,7 @@
 
 /** What controllers of releases order, as each sidecar of a simulated fleet follows it. */
 class ReleaseOrdersTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     private SharedSim sim;
     private ReleaseOrders[] orders;
 
@@ -26,14 +26,14 @@
         sim = new SharedSim(31, 6, 2, 0.1, 0.05, 30_000)
                 .tables(Table.VERDICTS, Table.LIMITS, Table.COUNTS, Table.ORDERS);
         sim.startAll();
-        sim.until(2 * S);
+        sim.until(2 * SECOND_US);
         orders = new ReleaseOrders[6];
         for (int i = 0; i < 6; i++) {
             orders[i] = new ReleaseOrders(sim.node(i).store(), sim.node(i).clock(), sim.node(i));
         }
     }
 
-    private static Upstream up(String id, String kind, String zone, int pod, long startedMs) {
+    private static Upstream server(String id, String kind, String zone, int pod, long startedMs) {
         return new Upstream(id, zone, kind, pod, startedMs * 1_000, 1, UpstreamState.READY);
     }
 
@@ -41,83 +41,84 @@
         return new ReleaseOrder("r1", epoch, step, state, weight, 0.05, ReleaseOrder.Selector.parse("kind=new"));
     }
 
-    private String give(int at, ReleaseOrder o) {
+    private String submit(int at, ReleaseOrder o) {
         return orders[at].submit(sim.node(at).clock(), o);
     }
 
     /** The weight that the node gives to a new server now. */
     private double weight(int at, boolean heard) {
         orders[at].refresh(sim.node(at).clock(), heard);
-        return orders[at].weights(List.of(up("s1", "new", "a", 1, 0))).getOrDefault("s1", 1.0);
+        return orders[at].weights(List.of(server("s1", "new", "a", 1, 0))).getOrDefault("s1", 1.0);
     }
 
     @Test
-    void anOrderToOneIsAllsWithinTheBoundOfTheStore() {
-        assertNull(give(2, order(1, 0, ReleaseOrder.State.ON, 0.1)));
-        sim.until(8 * S);
+    void orderReachesAllSidecars() {
+        assertNull(submit(2, order(1, 0, ReleaseOrder.State.ON, 0.1)));
+        sim.until(8 * SECOND_US);
         for (int at = 0; at < 6; at++) {
             assertEquals(0.1, weight(at, true));
         }
         assertTrue(sim.node(5).notes.stream()
                 .anyMatch(n -> n.contains("release r1, epoch 1, step 0: on, weight 0.1 for kind=new")));
-        assertNull(give(0, order(1, 1, ReleaseOrder.State.DONE, 1)));
-        sim.until(14 * S);
+        assertNull(submit(0, order(1, 1, ReleaseOrder.State.DONE, 1)));
+        sim.until(14 * SECOND_US);
         assertEquals(1, weight(3, true));
     }
 
     /** Two controllers: whoever has the later epoch is obeyed, wherever and whenever the other one calls. */
     @Test
-    void theLaterEpochWinsAndTheOlderIsRefused() {
+    void laterEpochWinsAndEarlierIsRejected() {
         sim.cut((a, b) -> a < 3 != b < 3);
-        assertNull(give(0, order(2, 0, ReleaseOrder.State.HALTED, 0.2)));
-        sim.until(3 * S);
+        assertNull(submit(0, order(2, 0, ReleaseOrder.State.HALTED, 0.2)));
+        sim.until(3 * SECOND_US);
         // Later in time, older by epoch, behind a cut.
-        assertNull(give(5, order(1, 7, ReleaseOrder.State.ON, 0.9)));
-        sim.until(10 * S);
+        assertNull(submit(5, order(1, 7, ReleaseOrder.State.ON, 0.9)));
+        sim.until(10 * SECOND_US);
         assertEquals(0.2, weight(1, true));
         assertEquals(0.9, weight(4, true));
         sim.cut((a, b) -> false);
-        sim.until(25 * S);
+        sim.until(25 * SECOND_US);
         for (int at = 0; at < 6; at++) {
             assertEquals(0.2, weight(at, true), "n" + at);
-            assertEquals("epoch 2, step 0 is known", give(at, order(1, 8, ReleaseOrder.State.ON, 1)));
+            assertEquals("epoch 2, step 0 is known", submit(at, order(1, 8, ReleaseOrder.State.ON, 1)));
         }
-        assertNull(give(4, order(2, 0, ReleaseOrder.State.HALTED, 0.2)), "said again");
-        assertEquals("another order of this epoch and step is known", give(4, order(2, 0, ReleaseOrder.State.ON, 0.5)));
+        assertNull(submit(4, order(2, 0, ReleaseOrder.State.HALTED, 0.2)), "said again");
+        assertEquals(
+                "another order of this epoch and step is known", submit(4, order(2, 0, ReleaseOrder.State.ON, 0.5)));
     }
 
     @Test
-    void whoIsCutOffKeepsTheLastOrderForAWhileAndIsThenSafe() {
-        assertNull(give(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
-        sim.until(8 * S);
+    void isolatedSidecarFallsBackToTheSafeWeight() {
+        assertNull(submit(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
+        sim.until(8 * SECOND_US);
         assertEquals(0.5, weight(5, true));
         sim.cut((a, b) -> a == 5 || b == 5);
-        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US - S);
+        sim.until(8 * SECOND_US + ReleaseOrders.ISOLATION_TIMEOUT_US - SECOND_US);
         assertEquals(0.5, weight(5, false));
-        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US + S);
+        sim.until(8 * SECOND_US + ReleaseOrders.ISOLATION_TIMEOUT_US + SECOND_US);
         assertEquals(0.05, weight(5, false));
         assertEquals(0.5, weight(1, true));
         sim.cut((a, b) -> false);
-        sim.until(8 * S + ReleaseOrders.ISOLATION_TIMEOUT_US + 10 * S);
+        sim.until(8 * SECOND_US + ReleaseOrders.ISOLATION_TIMEOUT_US + 10 * SECOND_US);
         assertEquals(0.5, weight(5, true));
     }
 
     @Test
-    void oneThatStartsAnewLearnsTheOrder() {
-        assertNull(give(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
-        sim.until(8 * S);
+    void restartedSidecarLearnsTheOrder() {
+        assertNull(submit(0, order(1, 2, ReleaseOrder.State.ON, 0.5)));
+        sim.until(8 * SECOND_US);
         sim.kill(sim.node(3));
-        sim.until(9 * S);
+        sim.until(9 * SECOND_US);
         sim.start(sim.node(3));
         orders[3] = new ReleaseOrders(sim.node(3).store(), sim.node(3).clock(), sim.node(3));
-        sim.until(14 * S);
+        sim.until(14 * SECOND_US);
         assertEquals(0.5, weight(3, true));
     }
 
     @Test
-    void ofTwoReleasesTheLowerWeightHolds() {
-        assertNull(give(0, order(1, 0, ReleaseOrder.State.ON, 0.5)));
-        assertNull(give(
+    void lowerWeightOfTwoReleasesApplies() {
+        assertNull(submit(0, order(1, 0, ReleaseOrder.State.ON, 0.5)));
+        assertNull(submit(
                 0,
                 new ReleaseOrder(
                         "r2",
@@ -128,23 +129,23 @@
                         0,
                         ReleaseOrder.Selector.parse("zone=a,started-after=1000"))));
         orders[0].refresh(sim.node(0).clock(), true);
-        Upstream both = up("s1", "new", "a", 1, 2_000);
+        Upstream both = server("s1", "new", "a", 1, 2_000);
         assertEquals(
                 Map.of("s1", 0.2, "s2", 0.5, "s3", 0.2),
                 orders[0].weights(List.of(
                         both,
-                        up("s2", "new", "b", 1, 0),
-                        up("s3", "old", "a", 1, 1_001),
-                        up("s4", "old", "a", 1, 1_000))));
+                        server("s2", "new", "b", 1, 0),
+                        server("s3", "old", "a", 1, 1_001),
+                        server("s4", "old", "a", 1, 1_000))));
         assertEquals(2, orders[0].releasesOf(both).size());
     }
 
     @Test
-    void selectorsSayWhatIsWrongWithThem() {
+    void invalidSelectorsAreExplained() {
         for (String words : new String[] {"kind=k,zone=z,pod=3,started-after=17", "ids=a+b+c", "pod=-1"}) {
             assertEquals(words, ReleaseOrder.Selector.parse(words).expression());
         }
-        assertTrue(ReleaseOrder.Selector.parse("ids=a+b").matches(up("b", "k", "z", 1, 0)));
+        assertTrue(ReleaseOrder.Selector.parse("ids=a+b").matches(server("b", "k", "z", 1, 0)));
         for (String[] bad : new String[][] {
             {"", "'' is no NAME=VALUE"},
             {"kind", "'kind' is no NAME=VALUE"},
@@ -176,7 +177,7 @@
     }
 
     @Test
-    void bytesAreAnOrderOrNothing() {
+    void randomBytesDecodeWithoutExceptions() {
         ReleaseOrder o = order(3, 4, ReleaseOrder.State.BACK, 0.25);
         assertEquals(o, ReleaseOrder.decode(o.encode()));
         Random draw = new Random(5);
--- a/src/test/java/rushproxy/fleet/shared/FleetLimitsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/FleetLimitsTest.java
@@ -18,42 +18,43 @@
 
 /** Leased shares of a limit: together never more than the limit, and where the demand is. */
 class FleetLimitsTest {
-    private static final long S = 1_000_000;
-    private static final double MOST = 100;
-    private static final FleetLimits.Limit ALL = new FleetLimits.Limit("all", Scope.ALL, "", false, MOST);
+    private static final long SECOND_US = 1_000_000;
+    private static final double LIMIT = 100;
+    private static final FleetLimits.Limit GLOBAL_LIMIT = new FleetLimits.Limit("all", Scope.ALL, "", false, LIMIT);
 
     private static double share(SharedSim.Node n) {
-        return n.limits().shares(n.clock(), S).get(0).share();
+        return n.limits().shares(n.clock(), SECOND_US).get(0).share();
     }
 
-    private static double sum(SharedSim sim) {
+    private static double totalShare(SharedSim sim) {
         return sim.nodes().stream()
                 .filter(SharedSim.Node::up)
                 .mapToDouble(FleetLimitsTest::share)
                 .sum();
     }
 
-    private static void demand(SharedSim sim, long everyUs, java.util.function.IntToDoubleFunction of) {
+    private static void scheduleDemand(SharedSim sim, long everyUs, java.util.function.IntToDoubleFunction of) {
         sim.later(everyUs, () -> {
             sim.nodes().stream()
                     .filter(SharedSim.Node::up)
                     .forEach(n -> n.limits().recordDemand(n.clock(), "all", of.applyAsDouble(n.number)));
-            demand(sim, everyUs, of);
+            scheduleDemand(sim, everyUs, of);
         });
     }
 
     /** Loss, doubles, delays longer than a lease, cuts of every kind, deaths and restarts at once. */
     @Test
-    void togetherTheyNeverHaveMoreThanTheLimit() {
+    void sharesNeverExceedTheLimit() {
         for (long seed = 1; seed <= 60; seed++) {
-            SharedSim sim = new SharedSim(seed, 8, 2, 0.15, 0.3, seed % 2 == 0 ? 30_000 : 2_500_000).limits(ALL);
+            SharedSim sim =
+                    new SharedSim(seed, 8, 2, 0.15, 0.3, seed % 2 == 0 ? 30_000 : 2_500_000).limits(GLOBAL_LIMIT);
             Random draw = new Random(seed);
             double[] wants = new double[8];
             sim.startAll();
-            demand(sim, 200_000, i -> wants[i]);
+            scheduleDemand(sim, 200_000, i -> wants[i]);
             long of = seed;
-            sim.each(us ->
-                    assertTrue(sum(sim) <= MOST * (1 + 1e-9), () -> "seed " + of + ", " + us + " us: " + sum(sim)));
+            sim.each(us -> assertTrue(
+                    totalShare(sim) <= LIMIT * (1 + 1e-9), () -> "seed " + of + ", " + us + " us: " + totalShare(sim)));
             for (int step = 0; step < 30; step++) {
                 sim.until(sim.us() + draw.nextInt(1_500_000));
                 wants[draw.nextInt(8)] = draw.nextInt(3) * 40;
@@ -70,59 +71,59 @@
     }
 
     @Test
-    void sharesFollowADemandThatIsTenTimesAsHighAtOneAndMoves() {
-        SharedSim sim = new SharedSim(3, 10, 2, 0, 0, 30_000).limits(ALL);
+    void sharesFollowAMovingHotspot() {
+        SharedSim sim = new SharedSim(3, 10, 2, 0, 0, 30_000).limits(GLOBAL_LIMIT);
         int[] hot = {2};
         sim.startAll();
-        demand(sim, 200_000, i -> i == hot[0] ? 50 : 5);
-        sim.until(8 * S);
+        scheduleDemand(sim, 200_000, i -> i == hot[0] ? 50 : 5);
+        sim.until(8 * SECOND_US);
         assertTrue(share(sim.node(2)) > 45, "of 50 asked: " + share(sim.node(2)));
         assertTrue(share(sim.node(5)) >= 5, "what is needed there stays: " + share(sim.node(5)));
         hot[0] = 7;
-        sim.until(16 * S);
+        sim.until(16 * SECOND_US);
         assertTrue(
                 share(sim.node(7)) > 45 && share(sim.node(2)) >= 5, share(sim.node(7)) + " and " + share(sim.node(2)));
     }
 
     @Test
-    void aCutOffBorrowerFallsToItsOwnPartAndALenderHasItsOwnAgain() {
-        SharedSim sim = new SharedSim(4, 5, 1, 0, 0, 30_000).limits(ALL);
+    void partitionEndsAllLeases() {
+        SharedSim sim = new SharedSim(4, 5, 1, 0, 0, 30_000).limits(GLOBAL_LIMIT);
         sim.startAll();
-        demand(sim, 200_000, i -> i == 0 ? 70 : 5);
-        sim.until(8 * S);
+        scheduleDemand(sim, 200_000, i -> i == 0 ? 70 : 5);
+        sim.until(8 * SECOND_US);
         assertTrue(share(sim.node(0)) > 60);
         sim.cut((a, b) -> a == 0 || b == 0);
-        sim.until(8 * S + FleetLimits.LEASE_US + S);
-        sim.nodes().forEach(n -> assertEquals(MOST / 5, share(n), 1e-9, "n" + n.number));
+        sim.until(8 * SECOND_US + FleetLimits.LEASE_US + SECOND_US);
+        sim.nodes().forEach(n -> assertEquals(LIMIT / 5, share(n), 1e-9, "n" + n.number));
     }
 
     @Test
-    void whoDiesWithMuchOfTheLimitTakesNothingWithItButItsOwn() {
-        SharedSim sim = new SharedSim(5, 5, 1, 0.1, 0, 30_000).limits(ALL);
+    void deadBorrowerLosesOnlyItsOwnShare() {
+        SharedSim sim = new SharedSim(5, 5, 1, 0.1, 0, 30_000).limits(GLOBAL_LIMIT);
         int[] hot = {0};
         sim.startAll();
-        demand(sim, 200_000, i -> i == hot[0] ? 70 : 5);
-        sim.until(8 * S);
+        scheduleDemand(sim, 200_000, i -> i == hot[0] ? 70 : 5);
+        sim.until(8 * SECOND_US);
         assertTrue(share(sim.node(0)) > 50, "" + share(sim.node(0)));
         sim.kill(sim.node(0));
         hot[0] = 1;
-        sim.until(14 * S);
+        sim.until(14 * SECOND_US);
         assertTrue(share(sim.node(1)) > 50, "" + share(sim.node(1)));
     }
 
     @Test
-    void aLimitSetByACallIsTheFleetsAndGoesBackWhenItIsTakenBack() {
-        SharedSim sim = new SharedSim(6, 4, 1, 0.1, 0, 30_000).limits(ALL);
+    void operatorLimitAppliesFleetWideUntilRemoved() {
+        SharedSim sim = new SharedSim(6, 4, 1, 0.1, 0, 30_000).limits(GLOBAL_LIMIT);
         sim.startAll();
-        sim.until(4 * S);
+        sim.until(4 * SECOND_US);
         sim.node(1).limits().setLimit(sim.node(1).clock(), new FleetLimits.Limit("all", Scope.ALL, "", false, 40));
         sim.node(2)
                 .limits()
                 .setLimit(sim.node(2).clock(), new FleetLimits.Limit("orders", Scope.CLASS, "order", true, 8));
-        sim.until(10 * S);
+        sim.until(10 * SECOND_US);
         for (SharedSim.Node n : sim.nodes()) {
             assertEquals(10, share(n), 1e-6);
-            Share orders = n.limits().shares(n.clock(), S).get(1);
+            Share orders = n.limits().shares(n.clock(), SECOND_US).get(1);
             assertTrue(orders.inFlight()
                     && orders.scope() == Scope.CLASS
                     && orders.of().equals("order")
@@ -130,7 +131,7 @@
         }
         assertTrue(sim.node(3).limits().removeLimit(sim.node(3).clock(), "all"));
         assertFalse(sim.node(3).limits().removeLimit(sim.node(3).clock(), "none"));
-        sim.until(16 * S);
+        sim.until(16 * SECOND_US);
         sim.nodes().forEach(n -> assertEquals(25, share(n), 1e-6));
         String text = "x".repeat(41);
         assertThrows(
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void theFiguresOfThePageHold() {
+    void documentedFiguresHold() {
         for (String event : List.of("calm", "split", "restart")) {
             SharedFigures.Limited l = SharedFigures.limited(20, 0.1, event, 9);
             assertTrue(l.most() <= 1 + 1e-9 && l.unused() < 0.15 && l.bytes() < 800, l.toString());
@@ -148,7 +149,7 @@
 
     /** No borrower of a large fleet is turned away for their number alone. */
     @Test
-    void oneLendsToMoreThanAThousand() {
+    void lenderServesMoreThanAThousandBorrowers() {
         int fleet = 1_100;
         List<Integer> lentTo = new java.util.ArrayList<>();
         Environment host = new Environment() {
@@ -188,12 +189,14 @@
             }
         };
         ReplicatedStore store = new ReplicatedStore(1, 2, -1, List.of(Table.LIMITS), 0, 1, group, host);
-        FleetLimits lender = new FleetLimits(1, fleet, 2, -1, store, List.of(ALL), 0, 1, group, host);
+        FleetLimits lender = new FleetLimits(1, fleet, 2, -1, store, List.of(GLOBAL_LIMIT), 0, 1, group, host);
         long now = 2 * FleetLimits.LEASE_US;
         for (int i = 1; i < fleet; i++) {
             java.nio.ByteBuffer ask = java.nio.ByteBuffer.allocate(16);
             Envelope.put48(ask, Envelope.idOf("all"));
-            ask.putShort((short) 1).putFloat((float) (MOST / fleet / fleet / 2)).putFloat((float) MOST);
+            ask.putShort((short) 1)
+                    .putFloat((float) (LIMIT / fleet / fleet / 2))
+                    .putFloat((float) LIMIT);
             lender.onMessage(
                     now,
                     i,
--- a/src/test/java/rushproxy/fleet/shared/ReplicatedStoreTest.java
+++ b/src/test/java/rushproxy/fleet/shared/ReplicatedStoreTest.java
@@ -18,28 +18,28 @@
 
 /** The store on a simulated network: what is written is known everywhere within its bounds, whatever happens between. */
 class ReplicatedStoreTest {
-    private static final long S = 1_000_000;
-    private static final long DAY = 86_400 * S;
+    private static final long SECOND_US = 1_000_000;
+    private static final long DAY_US = 86_400 * SECOND_US;
 
     private static byte[] value(int n) {
         return ByteBuffer.allocate(4).putInt(n).array();
     }
 
-    private static SharedSim fleet(long seed, int n, double loss) {
+    private static SharedSim startFleet(long seed, int n, double loss) {
         SharedSim sim = new SharedSim(seed, n, 3, loss, 0.05, 30_000);
         sim.startAll();
-        sim.until(2 * S);
+        sim.until(2 * SECOND_US);
         return sim;
     }
 
-    private static Integer limit(SharedSim.Node n, long key) {
+    private static Integer readLimit(SharedSim.Node n, long key) {
         StoredEntry r = n.store().read(n.clock(), Table.LIMITS, key, 0);
         return r == null ? null : ByteBuffer.wrap(r.value()).getInt();
     }
 
     @ParameterizedTest
     @CsvSource({"3,0", "100,0", "100,0.1", "100,0.3"})
-    void aWriteIsKnownToNearlyAllWithinTheBound(int members, double loss) {
+    void writesSpreadWithinTheBound(int members, double loss) {
         for (long seed = 1; seed <= 10; seed++) {
             SharedFigures.Spread s = SharedFigures.spread(members, loss, seed);
             assertTrue(
@@ -50,7 +50,7 @@
 
     /** Writes, renewals, takings back, cuts, deaths and restarts at random, then peace: one value everywhere. */
     @Test
-    void afterAnyScheduleAllHoldTheSame() {
+    void storesConvergeAfterRandomFaults() {
         for (long seed = 1; seed <= 150; seed++) {
             SharedSim sim = new SharedSim(seed, 9, 3, 0.2, 0.2, 400_000);
             Random draw = new Random(seed);
@@ -80,91 +80,91 @@
                 }
             }
             sim.cut((a, b) -> false);
-            sim.until(sim.us() + 30 * S);
+            sim.until(sim.us() + 30 * SECOND_US);
             assertTrue(sim.agree(), "seed " + seed);
         }
     }
 
     @Test
-    void writesOnBothSidesOfASplitBecomeOneAndTheLaterHolds() {
-        SharedSim sim = fleet(5, 10, 0.1);
+    void lastWriteWinsAfterAPartition() {
+        SharedSim sim = startFleet(5, 10, 0.1);
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
-        sim.until(10 * S);
+        sim.until(10 * SECOND_US);
         sim.cut((a, b) -> a < 5 != b < 5);
         sim.node(1).store().put(sim.node(1).clock(), Table.LIMITS, 7, value(2));
-        sim.until(12 * S);
+        sim.until(12 * SECOND_US);
         sim.node(8).store().put(sim.node(8).clock(), Table.LIMITS, 7, value(3));
-        sim.until(20 * S);
-        assertEquals(2, limit(sim.node(4), 7));
-        assertEquals(3, limit(sim.node(9), 7));
+        sim.until(20 * SECOND_US);
+        assertEquals(2, readLimit(sim.node(4), 7));
+        assertEquals(3, readLimit(sim.node(9), 7));
         sim.cut((a, b) -> false);
-        sim.until(30 * S);
-        sim.nodes().forEach(n -> assertEquals(3, limit(n, 7), "n" + n.number));
+        sim.until(30 * SECOND_US);
+        sim.nodes().forEach(n -> assertEquals(3, readLimit(n, 7), "n" + n.number));
     }
 
     @Test
-    void aClockAnHourAheadDoesNotRuleForAnHour() {
+    void clockAnHourAheadIsCorrected() {
         SharedSim sim = new SharedSim(6, 8, 1, 0.05, 0, 30_000);
-        sim.jump(sim.node(0), 3_600 * S);
+        sim.jump(sim.node(0), 3_600 * SECOND_US);
         sim.startAll();
         // Before it has heard anybody it can't know.
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
-        sim.until(5 * S);
-        assertEquals(1, limit(sim.node(5), 7), "stamped anew once it knew better");
+        sim.until(5 * SECOND_US);
+        assertEquals(1, readLimit(sim.node(5), 7), "stamped anew once it knew better");
         sim.node(3).store().put(sim.node(3).clock(), Table.LIMITS, 7, value(2));
-        sim.until(10 * S);
-        sim.nodes().forEach(n -> assertEquals(2, limit(n, 7), "n" + n.number));
+        sim.until(10 * SECOND_US);
+        sim.nodes().forEach(n -> assertEquals(2, readLimit(n, 7), "n" + n.number));
         assertTrue(
                 sim.node(0).notes.stream()
                         .anyMatch(x -> x.contains("clock is off by 36000") || x.contains("clock is off by 35999")),
                 sim.node(0).notes.toString());
-        sim.jump(sim.node(0), -3_600 * S);
-        sim.until(20 * S);
+        sim.jump(sim.node(0), -3_600 * SECOND_US);
+        sim.until(20 * SECOND_US);
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(4));
-        sim.until(40 * S);
-        sim.nodes().forEach(n -> assertEquals(n.number == 0 ? 4 : limit(sim.node(1), 7), limit(n, 7)));
+        sim.until(40 * SECOND_US);
+        sim.nodes().forEach(n -> assertEquals(n.number == 0 ? 4 : readLimit(sim.node(1), 7), readLimit(n, 7)));
     }
 
     @Test
-    void oneThatReturnsAfterMoreThanADayBringsNothingBack() {
+    void removedEntryDoesNotReturnAfterADay() {
         SharedSim sim = new SharedSim(7, 4, 1, 0, 0, 30_000);
         sim.startAll();
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
-        sim.until(5 * S);
-        assertEquals(1, limit(sim.node(3), 7));
+        sim.until(5 * SECOND_US);
+        assertEquals(1, readLimit(sim.node(3), 7));
         // Only comparisons run in this day: the fleet is small, and nothing is told.
         sim.cut((a, b) -> a == 3 || b == 3);
         sim.node(1).store().remove(sim.node(1).clock(), Table.LIMITS, 7);
-        sim.until(10 * S);
-        assertNull(limit(sim.node(2), 7));
-        sim.until(DAY + 60 * S);
+        sim.until(10 * SECOND_US);
+        assertNull(readLimit(sim.node(2), 7));
+        sim.until(DAY_US + 60 * SECOND_US);
         assertEquals(0, sim.node(2).store().size(), "graves go away");
-        assertEquals(1, limit(sim.node(3), 7), "it was told of nothing");
+        assertEquals(1, readLimit(sim.node(3), 7), "it was told of nothing");
         sim.cut((a, b) -> false);
-        sim.until(DAY + 80 * S);
-        sim.nodes().forEach(n -> assertNull(limit(n, 7), "n" + n.number));
+        sim.until(DAY_US + 80 * SECOND_US);
+        sim.nodes().forEach(n -> assertNull(readLimit(n, 7), "n" + n.number));
     }
 
     @Test
-    void aReadTellsItsAgeAndThatNobodyWasHeard() {
-        SharedSim sim = fleet(8, 3, 0);
+    void readReportsAgeAndFreshness() {
+        SharedSim sim = startFleet(8, 3, 0);
         long id = sim.node(0).id;
         sim.node(0).store().put(sim.node(0).clock(), Table.VERDICTS, 7, value(1));
-        sim.until(6 * S);
+        sim.until(6 * SECOND_US);
         StoredEntry r = sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id);
-        assertTrue(r.fresh() && Math.abs(r.ageUs() - 4 * S) < S / 2, r.toString());
+        assertTrue(r.fresh() && Math.abs(r.ageUs() - 4 * SECOND_US) < SECOND_US / 2, r.toString());
         sim.cut((a, b) -> true);
-        sim.until(12 * S);
+        sim.until(12 * SECOND_US);
         assertFalse(sim.node(2)
                 .store()
                 .read(sim.node(2).clock(), Table.VERDICTS, 7, id)
                 .fresh());
-        sim.until(18 * S);
+        sim.until(18 * SECOND_US);
         assertNull(sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id), "its lease has ended");
     }
 
     @Test
-    void aFullTableKeepsTheSameEverywhereAndSaysSo() {
+    void fullTableKeepsTheSameEntriesEverywhere() {
         Table small = new Table(1, "verdicts", true, false, 20, 2, 8, 60_000);
         SharedSim sim = new SharedSim(9, 6, 1, 0.1, 0, 30_000).tables(small, Table.LIMITS, Table.COUNTS);
         sim.startAll();
@@ -174,7 +174,7 @@
                 at.store().put(at.clock(), small, key, value(n));
             }
         }
-        sim.until(30 * S);
+        sim.until(30 * SECOND_US);
         assertTrue(sim.agree());
         List<StoredEntry> kept = sim.node(0).store().readAll(sim.node(0).clock(), small);
         assertEquals(20, kept.size());
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aTableOfAnotherVersionIsSkippedAndTheRestIsTaken() {
+    void unknownTablesAreSkipped() {
         Table later = new Table(9, "of tomorrow", true, false, 10, 5, 8, 60_000);
         SharedSim sim = new SharedSim(10, 4, 1, 0, 0, 30_000);
         for (int i = 0; i < 4; i++) {
@@ -194,20 +194,20 @@
                             : new Table[] {Table.LIMITS, Table.COUNTS, Table.VERDICTS});
             sim.start(sim.node(i));
         }
-        sim.until(S);
+        sim.until(SECOND_US);
         sim.node(0).store().put(sim.node(0).clock(), later, 7, value(1));
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(2));
-        sim.until(10 * S);
+        sim.until(10 * SECOND_US);
         assertNotNull(sim.node(1).store().read(sim.node(1).clock(), later, 7, sim.node(0).id));
         for (int i = 0; i < 4; i++) {
-            assertEquals(2, limit(sim.node(i), 7));
+            assertEquals(2, readLimit(sim.node(i), 7));
         }
     }
 
     /** What is told of one is taken from itself, or from two others. */
     @Test
-    void oneThatLiesWritesInItsOwnNameAlone() {
-        SharedSim sim = fleet(11, 5, 0);
+    void forgedEntriesOfOtherWritersAreIgnored() {
+        SharedSim sim = startFleet(11, 5, 0);
         SharedSim.Node liar = sim.node(4);
         sim.kill(liar);
         for (int forged = 0; forged < 2; forged++) {
@@ -221,7 +221,7 @@
                 sim.deliver(liar, sim.node(to), lie);
             }
         }
-        sim.until(12 * S);
+        sim.until(12 * SECOND_US);
         for (int at = 0; at < 4; at++) {
             assertTrue(
                     sim.node(at)
@@ -233,10 +233,10 @@
     }
 
     @Test
-    void noiseChangesNothing() {
-        SharedSim sim = fleet(12, 3, 0);
+    void randomSectionsChangeNothing() {
+        SharedSim sim = startFleet(12, 3, 0);
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
-        sim.until(5 * S);
+        sim.until(5 * SECOND_US);
         long before = sim.fingerprint(sim.node(1));
         Random draw = new Random(12);
         for (int i = 0; i < 20_000; i++) {
@@ -247,29 +247,29 @@
                     .toBytes(-1);
             sim.deliver(sim.node(0), sim.node(1), noise);
         }
-        assertEquals(1, limit(sim.node(1), 7));
-        sim.until(30 * S);
+        assertEquals(1, readLimit(sim.node(1), 7));
+        sim.until(30 * SECOND_US);
         assertTrue(sim.node(1).store().size() <= 1_000 && before == sim.fingerprint(sim.node(2)));
     }
 
     @Test
-    void countersOfAProcessAddUpOverItsRestarts() {
-        SharedSim sim = fleet(13, 4, 0.1);
+    void countersAddUpAcrossRestarts() {
+        SharedSim sim = startFleet(13, 4, 0.1);
         FleetCounters[] counts = new FleetCounters[4];
         for (int i = 0; i < 4; i++) {
             counts[i] = new FleetCounters(sim.node(i).store(), 100 + i);
             counts[i].add("asked", 10 * (i + 1));
             counts[i].onTick(sim.node(i).clock());
         }
-        sim.until(8 * S);
+        sim.until(8 * SECOND_US);
         sim.kill(sim.node(0));
-        sim.until(9 * S);
+        sim.until(9 * SECOND_US);
         sim.start(sim.node(0));
-        sim.until(15 * S);
+        sim.until(15 * SECOND_US);
         counts[0] = new FleetCounters(sim.node(0).store(), 200);
         counts[0].add("asked", 5);
         counts[0].onTick(sim.node(0).clock());
-        sim.until(25 * S);
+        sim.until(25 * SECOND_US);
         for (int i = 0; i < 4; i++) {
             assertEquals(105, counts[i].sum(sim.node(i).clock(), "asked"), "n" + i);
         }
@@ -277,14 +277,14 @@
 
     /** Of each of a list of 1,024 servers three know something, and 1,024 processes count: nothing is left out for want of room. */
     @Test
-    void aListOfAThousandServersHasRoom() {
-        SharedSim sim = fleet(11, 3, 0);
+    void tablesHoldAThousandServers() {
+        SharedSim sim = startFleet(11, 3, 0);
         for (SharedSim.Node n : sim.nodes()) {
             for (int server = 1; server <= 1_024; server++) {
                 n.store().put(n.clock(), Table.VERDICTS, server, value(server));
             }
         }
-        sim.until(sim.us() + S);
+        sim.until(sim.us() + SECOND_US);
         for (SharedSim.Node n : sim.nodes()) {
             int own = 0;
             for (int server = 1; server <= 1_024; server++) {
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -15,7 +15,7 @@
 
 /** What the fleet says of servers, and whom it believes. */
 class VerdictsTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     private SharedSim sim;
 
     @BeforeEach
@@ -26,22 +26,22 @@
         }
         sim = new SharedSim(21, 8, 2, 0.1, 0, 30_000).servers(servers);
         sim.startAll();
-        sim.until(2 * S);
+        sim.until(2 * SECOND_US);
     }
 
     /** The members with these numbers go on seeing it, until the time. */
-    private void sees(String server, Evidence kind, double factor, long untilUs, int... members) {
+    private void observeUntil(String server, Evidence kind, double factor, long untilUs, int... members) {
         for (int m : members) {
             if (sim.node(m).up()) {
                 sim.node(m).verdicts().recordEvidence(sim.node(m).clock(), server, kind, factor);
             }
         }
-        if (sim.us() + S < untilUs) {
-            sim.later(S, () -> sees(server, kind, factor, untilUs, members));
+        if (sim.us() + SECOND_US < untilUs) {
+            sim.later(SECOND_US, () -> observeUntil(server, kind, factor, untilUs, members));
         }
     }
 
-    private Verdicts.Assessment of(int member, String server) {
+    private Verdicts.Assessment assessment(int member, String server) {
         return sim.node(member).cases().stream()
                 .filter(c -> c.server().equals(server))
                 .findFirst()
@@ -49,11 +49,11 @@
     }
 
     private boolean holds(int member, String server) {
-        Verdicts.Assessment c = of(member, server);
+        Verdicts.Assessment c = assessment(member, server);
         return c != null && c.verdict().holds();
     }
 
-    private List<Integer> whereHolds(String server) {
+    private List<Integer> membersWhereItHolds(String server) {
         List<Integer> where = new ArrayList<>();
         for (int m = 0; m < 8; m++) {
             if (sim.node(m).up() && holds(m, server)) {
@@ -63,75 +63,75 @@
         return where;
     }
 
-    private boolean noted(int member, String words) {
+    private boolean hasLogged(int member, String words) {
         return sim.node(member).notes.stream().anyMatch(n -> n.contains(words));
     }
 
     @Test
-    void twoWitnessesOfTwoZonesAreBelievedAndItEndsByItself() {
-        sees("s3", Evidence.SILENT, 1, 6 * S, 0, 1);
-        sim.until(8 * S);
-        assertEquals(8, whereHolds("s3").size());
+    void twoWitnessesFromTwoZonesMakeAVerdictThatExpires() {
+        observeUntil("s3", Evidence.SILENT, 1, 6 * SECOND_US, 0, 1);
+        sim.until(8 * SECOND_US);
+        assertEquals(8, membersWhereItHolds("s3").size());
         assertTrue(
-                noted(5, "s3 is silent by word of") && noted(5, "n0 ("),
+                hasLogged(5, "s3 is silent by word of") && hasLogged(5, "n0 ("),
                 sim.node(5).notes.toString());
-        sim.until(6 * S + (Table.VERDICTS.leaseMs() + 1_000) * 1_000 + Verdicts.EVIDENCE_TTL_US);
-        assertTrue(whereHolds("s3").isEmpty());
-        assertTrue(noted(5, "nothing is held against s3 any more"));
+        sim.until(6 * SECOND_US + (Table.VERDICTS.leaseMs() + 1_000) * 1_000 + Verdicts.EVIDENCE_TTL_US);
+        assertTrue(membersWhereItHolds("s3").isEmpty());
+        assertTrue(hasLogged(5, "nothing is held against s3 any more"));
     }
 
     @Test
-    void oneVoiceIsAnAccusationAlone() {
-        sees("s3", Evidence.FAILING, 1, 20 * S, 0);
-        sim.until(10 * S);
-        assertTrue(whereHolds("s3").isEmpty());
-        assertEquals("one witness alone", of(5, "s3").reason());
+    void singleWitnessMakesNoVerdict() {
+        observeUntil("s3", Evidence.FAILING, 1, 20 * SECOND_US, 0);
+        sim.until(10 * SECOND_US);
+        assertTrue(membersWhereItHolds("s3").isEmpty());
+        assertEquals("one witness alone", assessment(5, "s3").reason());
     }
 
     @Test
-    void witnessesOfOneZoneCountThereAlone() {
+    void witnessesOfOneZoneCountOnlyInThatZone() {
         // Even numbers are in zone 0, s3 is not: it may be well, and the way to it not.
-        sees("s3", Evidence.SILENT, 1, 20 * S, 0, 2, 4);
-        sim.until(10 * S);
-        assertEquals(List.of(0, 2, 4, 6), whereHolds("s3"));
-        assertEquals("seen from one other zone alone", of(1, "s3").reason());
+        observeUntil("s3", Evidence.SILENT, 1, 20 * SECOND_US, 0, 2, 4);
+        sim.until(10 * SECOND_US);
+        assertEquals(List.of(0, 2, 4, 6), membersWhereItHolds("s3"));
+        assertEquals("seen from one other zone alone", assessment(1, "s3").reason());
     }
 
     @Test
     void witnessesOfTheServersOwnZoneCountEverywhere() {
-        sees("s2", Evidence.SILENT, 1, 20 * S, 0, 2);
-        sim.until(10 * S);
-        assertEquals(8, whereHolds("s2").size());
+        observeUntil("s2", Evidence.SILENT, 1, 20 * SECOND_US, 0, 2);
+        sim.until(10 * SECOND_US);
+        assertEquals(8, membersWhereItHolds("s2").size());
     }
 
     @Test
-    void asManyWhoFindItGoodOutweighThoseWhoDoNot() {
-        sees("s3", Evidence.FAILING, 1, 30 * S, 0, 1);
-        sim.until(6 * S);
+    void positiveReportsOutweighAccusations() {
+        observeUntil("s3", Evidence.FAILING, 1, 30 * SECOND_US, 0, 1);
+        sim.until(6 * SECOND_US);
         assertTrue(holds(5, "s3"));
-        sees("s3", Evidence.GOOD, 1, 30 * S, 2, 3, 4);
-        sim.until(12 * S);
+        observeUntil("s3", Evidence.GOOD, 1, 30 * SECOND_US, 2, 3, 4);
+        sim.until(12 * SECOND_US);
         assertFalse(holds(5, "s3"));
-        assertEquals("others find it good", of(5, "s3").reason());
+        assertEquals("others find it good", assessment(5, "s3").reason());
     }
 
     @Test
-    void aWitnessThatFindsItGoodAgainTakesItsWordBackAtOnce() {
-        sees("s3", Evidence.SILENT, 1, 5 * S, 0, 1);
-        sim.until(6 * S);
+    void recoveredServerClearsTheVerdict() {
+        observeUntil("s3", Evidence.SILENT, 1, 5 * SECOND_US, 0, 1);
+        sim.until(6 * SECOND_US);
         assertTrue(holds(5, "s3"));
-        sees("s3", Evidence.GOOD, 1, 7 * S, 0, 1);
-        sim.until(10 * S);
-        assertTrue(whereHolds("s3").isEmpty());
+        observeUntil("s3", Evidence.GOOD, 1, 7 * SECOND_US, 0, 1);
+        sim.until(10 * SECOND_US);
+        assertTrue(membersWhereItHolds("s3").isEmpty());
     }
 
     /** A verdict that lapsed, and nothing in the log said whose word had changed to what. */
     @Test
-    void theOwnWordAndItsChangesAreLoggedOnceEach() {
-        sees("s3", Evidence.SILENT, 1, 5 * S, 0, 1);
-        sim.until(6 * S);
-        sees("s3", Evidence.SLOW, 2, 7 * S, 0);
-        sim.until(40 * S);
+    void changesOfOwnEvidenceAreLoggedOnce() {
+        observeUntil("s3", Evidence.SILENT, 1, 5 * SECOND_US, 0, 1);
+        sim.until(6 * SECOND_US);
+        observeUntil("s3", Evidence.SLOW, 2, 7 * SECOND_US, 0);
+        sim.until(40 * SECOND_US);
         List<String> own = sim.node(0).notes.stream()
                 .filter(n -> n.contains("this sidecar says"))
                 .map(n -> n.substring(n.indexOf("this")))
@@ -145,42 +145,43 @@
     }
 
     @Test
-    void slownessIsToldWithTheLeastFactorAndDoesNotPutOut() {
-        sees("s3", Evidence.SLOW, 4, 20 * S, 0);
-        sees("s3", Evidence.SLOW, 2.5, 20 * S, 1);
-        sim.until(10 * S);
-        assertEquals(2.5, of(6, "s3").verdict().factor(), 0.1);
-        assertEquals(Evidence.SLOW, of(6, "s3").verdict().kind());
+    void slowVerdictHasTheSmallestFactor() {
+        observeUntil("s3", Evidence.SLOW, 4, 20 * SECOND_US, 0);
+        observeUntil("s3", Evidence.SLOW, 2.5, 20 * SECOND_US, 1);
+        sim.until(10 * SECOND_US);
+        assertEquals(2.5, assessment(6, "s3").verdict().factor(), 0.1);
+        assertEquals(Evidence.SLOW, assessment(6, "s3").verdict().kind());
     }
 
     @Test
-    void tooManyAtOnceCountForNothing() {
+    void tooManyVerdictsAreIgnored() {
         for (int s = 0; s < 4; s++) {
-            sees("s" + s, Evidence.SILENT, 1, 30 * S, 2 * s % 8, (2 * s + 1) % 8);
+            observeUntil("s" + s, Evidence.SILENT, 1, 30 * SECOND_US, 2 * s % 8, (2 * s + 1) % 8);
         }
-        sim.until(8 * S);
-        assertTrue(whereHolds("s0").isEmpty() && whereHolds("s3").isEmpty());
+        sim.until(8 * SECOND_US);
         assertTrue(
-                noted(6, "4 of 12 servers: too many to believe, none counts"),
+                membersWhereItHolds("s0").isEmpty() && membersWhereItHolds("s3").isEmpty());
+        assertTrue(
+                hasLogged(6, "4 of 12 servers: too many to believe, none counts"),
                 sim.node(6).notes.toString());
     }
 
     @Test
-    void whoAccusesMostServersIsItselfTheSuspect() {
+    void accuserOfMostServersSuspectsItself() {
         for (int s = 0; s < 8; s++) {
-            sees("s" + s, Evidence.SILENT, 1, 30 * S, 1);
+            observeUntil("s" + s, Evidence.SILENT, 1, 30 * SECOND_US, 1);
         }
-        sees("s2", Evidence.SILENT, 1, 30 * S, 4);
-        sim.until(10 * S);
-        assertTrue(whereHolds("s2").isEmpty(), "it is no second witness");
+        observeUntil("s2", Evidence.SILENT, 1, 30 * SECOND_US, 4);
+        sim.until(10 * SECOND_US);
+        assertTrue(membersWhereItHolds("s2").isEmpty(), "it is no second witness");
         assertTrue(
-                noted(1, "this sidecar accuses 8 of 12 servers: it is itself the suspect, and tells nobody"),
+                hasLogged(1, "this sidecar accuses 8 of 12 servers: it is itself the suspect, and tells nobody"),
                 sim.node(1).notes.toString());
     }
 
     /** One that goes on telling all the same. */
     @Test
-    void aLiarWhoAccusesAllIsLeftOut() {
+    void witnessAccusingAllServersIsIgnored() {
         for (int s = 0; s < 12; s++) {
             byte[] word = {(byte) Evidence.FAILING.ordinal(), 0, 16, 9, 1};
             sim.node(1)
@@ -191,30 +192,30 @@
                             rushproxy.fleet.Envelope.idOf("s" + s),
                             java.util.Arrays.copyOf(word, 6));
         }
-        sees("s2", Evidence.SILENT, 1, 30 * S, 4);
-        sim.until(6 * S);
-        assertTrue(whereHolds("s2").isEmpty());
+        observeUntil("s2", Evidence.SILENT, 1, 30 * SECOND_US, 4);
+        sim.until(6 * SECOND_US);
+        assertTrue(membersWhereItHolds("s2").isEmpty());
         assertTrue(
-                noted(5, "n1 accuses") && noted(5, "of 12 servers: its word is left out"),
+                hasLogged(5, "n1 accuses") && hasLogged(5, "of 12 servers: its word is left out"),
                 sim.node(5).notes.toString());
     }
 
     @Test
-    void theWordOfTheDeadGoesAwayWithThem() {
-        sees("s3", Evidence.SILENT, 1, 30 * S, 0, 1);
-        sim.until(6 * S);
+    void reportsOfDeadMembersAreDropped() {
+        observeUntil("s3", Evidence.SILENT, 1, 30 * SECOND_US, 0, 1);
+        sim.until(6 * SECOND_US);
         sim.kill(sim.node(1));
-        sim.until(6 * S + SharedSim.SEEN_US + 2 * S);
+        sim.until(6 * SECOND_US + SharedSim.SEEN_US + 2 * SECOND_US);
         assertFalse(holds(5, "s3"));
     }
 
     @Test
-    void enoughWitnessesSufficeForThousands() {
-        sees("s3", Evidence.SILENT, 1, 10 * S, 0, 1, 2, 3, 4, 5, 6, 7);
-        sim.until(10 * S);
+    void storedWitnessesAreBounded() {
+        observeUntil("s3", Evidence.SILENT, 1, 10 * SECOND_US, 0, 1, 2, 3, 4, 5, 6, 7);
+        sim.until(10 * SECOND_US);
         assertTrue(
                 sim.node(3).store().readAll(sim.node(3).clock(), Table.VERDICTS).size()
                         <= Table.VERDICTS.maxWritersPerKey());
-        assertEquals(8, whereHolds("s3").size());
+        assertEquals(8, membersWhereItHolds("s3").size());
     }
 }
