--- a/src/main/java/rushproxy/fleet/Envelope.java
+++ b/src/main/java/rushproxy/fleet/Envelope.java
@@ -6,19 +6,20 @@
 import java.util.zip.CRC32;
 
 /**
- * The one form of all datagrams of the fleet plane, {@link #MAX_BYTES} bytes at most:
+ * Common format of all datagrams of the fleet plane, at most {@link #MAX_BYTES} bytes:
  *
  * <pre>
  * 0  magic         1 byte, 0xF1
- * 1  version       1 byte, 1: readers of another version skip the datagram
- * 2  check         4 bytes, the CRC-32 of all that follows
+ * 1  version       1 byte, 1: readers of other versions skip the datagram
+ * 2  checksum      4 bytes, CRC-32 of the following bytes
  * 6  sender        6 bytes, the sender's id: {@link #idOf} of its name
- * 12 incarnation   6 bytes, the sender's
- * 18 sections      type 1 byte, length 1 byte, bytes; unknown types are skipped
+ * 12 incarnation   6 bytes, of the sender
+ * 18 sections      type 1 byte, length 1 byte, content; unknown types are skipped
  * </pre>
  *
- * <p>The program before knows peers' words by their length alone. An envelope never has that length: it is one byte longer
- * where it would, by an empty section's half; and a word is never taken for an envelope, since its length says what it is.
+ * <p>The previous program version recognises its own datagrams by their length alone. An envelope never has that length: if
+ * necessary it is padded by one byte, the type of a section without its length. Nor is a datagram of that version taken for an
+ * envelope, as its length identifies it.
  */
 public final class Envelope {
     public static final int MAX_BYTES = 256;
@@ -27,13 +28,13 @@
     private static final int CHECKSUM_START = 6;
     private static final int HEADER_BYTES = 18;
     private static final long MASK48 = (1L << 48) - 1;
-    /** Fills up; a reader skips it like any type that it does not know. */
+    /** Section type that readers skip as unknown. */
     private static final int PADDING = 0;
 
-    /** One section. {@code toBytes} is its own copy. */
+    /** One section; it owns its {@code bytes}. */
     public record Section(int type, byte[] bytes) {}
 
-    /** A datagram that was understood. */
+    /** A parsed datagram. */
     public record Message(long sender, long incarnation, List<Section> sections) {}
 
     private final ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
@@ -48,23 +49,23 @@
         return new Envelope(sender, incarnation);
     }
 
-    /** Bytes that a further section may have at most; negative where none fits. */
+    /** Maximum content of a further section; negative if none fits. */
     public int remainingBytes() {
-        // One byte is kept for the end's length.
+        // Two bytes of section header, and one for the padding.
         return buffer.remaining() - 3;
     }
 
-    /** Throws where there is no {@link #remainingBytes}: whoever writes asks first. */
+    /** Throws if the content exceeds {@link #remainingBytes}. */
     public Envelope addSection(int type, ByteBuffer bytes) {
         bytes.flip();
         buffer.put((byte) type).put((byte) bytes.remaining()).put(bytes);
         return this;
     }
 
-    /** {@code taken} is the length that the program before would take for its own; -1 where there is none. */
+    /** {@code reservedLength}: datagram length of the previous program version, to be avoided; -1 for none. */
     public byte[] toBytes(int reservedLength) {
         if (buffer.position() == reservedLength) {
-            // A section of no length would take two: the type alone is skipped too.
+            // A type without a length: a whole empty section would take two bytes.
             buffer.put((byte) PADDING);
         }
         byte[] datagram = new byte[buffer.position()];
@@ -79,7 +80,7 @@
         return (int) crc.getValue();
     }
 
-    /** Null where the bytes are no whole envelope of this version: nothing is to be taken from them. */
+    /** Null if the bytes are not a complete envelope of this version. */
     public static Message parse(byte[] datagram) {
         if (datagram.length < HEADER_BYTES
                 || datagram.length > MAX_BYTES
@@ -104,7 +105,7 @@
             b.get(bytes);
             sections.add(new Section(type, bytes));
         }
-        // A single byte left is the pad's.
+        // A single remaining byte is padding.
         return b.hasRemaining() && b.get() != PADDING ? null : new Message(sender, incarnation, sections);
     }
 
@@ -117,11 +118,11 @@
     }
 
     /**
-     * The 48 bits that stand for a name. Among 10,000 names two share theirs with a chance of 2 in 10 million; both would
-     * be taken for one, as two processes of one name are.
+     * Hashes a name to 48 bits. Among 10,000 names the probability of a collision is 2 in 10 million; colliding names are
+     * treated like two processes of the same name.
      */
     public static long idOf(String name) {
-        // FNV-1a, 64 bits, folded, as its authors advise for lengths between (Fowler, Noll, Vo).
+        // 64-bit FNV-1a, xor-folded to 48 bits as its authors recommend (Fowler, Noll, Vo).
         long hash = 0xcbf29ce484222325L;
         for (byte b : name.getBytes(java.nio.charset.StandardCharsets.UTF_8)) {
             hash = (hash ^ b & 255) * 0x100000001b3L;
--- a/src/main/java/rushproxy/fleet/PeerDirectory.java
+++ b/src/main/java/rushproxy/fleet/PeerDirectory.java
@@ -1,16 +1,16 @@
 package rushproxy.fleet;
 
-/** Who is here, as the parts that only talk to them need it. */
+/** The live members of the fleet, as components that only exchange messages with them need it. */
 public interface PeerDirectory {
-    /** Those here, itself included. */
+    /** Number of live members, including this one. */
     int size();
 
-    /** The place in the configured list of one that is here and speaks the part, drawn by {@code random}; -1 for nobody. */
+    /** Index in the configured list of a random live member, other than this one, with the feature; -1 if none was drawn. */
     int randomPeer(int feature, java.util.SplittableRandom random);
 
-    /** Whether it is here. */
+    /** Whether the member is alive or suspect, and reachable. */
     boolean isLive(long member);
 
-    /** Its name, or its id as text. */
+    /** The member's name, or its id as text if the name is unknown. */
     String nameOf(long member);
 }
--- a/src/main/java/rushproxy/fleet/member/Dissemination.java
+++ b/src/main/java/rushproxy/fleet/member/Dissemination.java
@@ -8,43 +8,43 @@
 import java.util.Map;
 
 /**
- * Changes of members that are being told on, each on a bounded number of datagrams (SWIM's retransmit limit, a multiple of the
- * logarithm of the fleet's size). Deaths, leaves and returns go first; who has come is found by {@link StateDigest} too.
+ * Queue of member updates that are being gossiped, each on a bounded number of datagrams (SWIM's retransmit limit, a multiple of
+ * the logarithm of the fleet's size). Deaths, leaves and returns go first; joins are also found by {@link StateDigest}.
  */
 final class Dissemination {
     private static final int RETRANSMIT_FACTOR = 3;
 
-    /** A change, and on how many more datagrams it goes. */
+    /** An update and the number of datagrams that are still to carry it. */
     private static final class Update {
         private final Member member;
         private int remaining;
 
-        Update(Member of, int left) {
-            this.member = of;
-            this.remaining = left;
+        Update(Member member, int remaining) {
+            this.member = member;
+            this.remaining = remaining;
         }
     }
 
-    /** By id, each told in turn. */
+    /** By member id, in round-robin order. */
     private final Map<Long, Update> urgent = new LinkedHashMap<>();
 
     private final Map<Long, Update> regular = new LinkedHashMap<>();
 
-    /** A death, a leave, a return or a refutation; {@code members} is how many are remembered. */
+    /** Queues a death, leave, return or refutation. */
     void enqueueUrgent(Member m, int memberCount) {
         regular.remove(m.id);
         urgent.put(m.id, new Update(m, RETRANSMIT_FACTOR * log2(memberCount)));
     }
 
-    /** One that has come, or told of itself; one that is told urgently is told already. */
+    /** Queues a join or new metadata, unless an urgent update of the member is queued. */
     void enqueueRegular(Member m, int memberCount) {
         if (m.hasMetadata() && !urgent.containsKey(m.id)) {
             regular.put(m.id, new Update(m, log2(memberCount)));
         }
     }
 
-    private static int log2(int members) {
-        return 32 - Integer.numberOfLeadingZeros(Math.max(2, members));
+    private static int log2(int memberCount) {
+        return 32 - Integer.numberOfLeadingZeros(Math.max(2, memberCount));
     }
 
     boolean hasUrgent() {
@@ -60,13 +60,13 @@
         regular.clear();
     }
 
-    /** Fills the buffer with changes, and counts them as told once more. */
+    /** Fills the buffer with updates and counts each as sent once more. */
     void writeUpdates(ByteBuffer to) {
         writeUpdates(urgent, to);
         writeUpdates(regular, to);
     }
 
-    /** The first go to the end of the line, or out of it. */
+    /** Takes updates from the head of the queue and puts them back at the tail until their limit is reached. */
     private static void writeUpdates(Map<Long, Update> queue, ByteBuffer to) {
         List<Update> written = new ArrayList<>();
         for (Iterator<Update> i = queue.values().iterator(); i.hasNext() && to.hasRemaining(); ) {
--- a/src/main/java/rushproxy/fleet/member/Member.java
+++ b/src/main/java/rushproxy/fleet/member/Member.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import rushproxy.fleet.Envelope;
 
-/** What one sidecar knows of another, or of itself. Belongs to its {@link Membership}. */
+/** State of one member as seen by another or by itself. Owned by its {@link Membership}. */
 public final class Member {
-    /** Suspect is a state for those alone that have evidence; dead and left are told. */
+    /** State of a member. SUSPECT is local to members with direct evidence; the others are disseminated. */
     public enum State {
         ALIVE,
         SUSPECT,
@@ -13,39 +13,39 @@
         LEFT
     }
 
-    /** Bytes on the wire: id, incarnation, state, zone, number, version, parts. */
+    /** Encoded size: id, incarnation, state, zone, index, version, features. */
     static final int WIRE_BYTES = 18;
 
     static final int UNKNOWN_INDEX = 0xFFFF;
 
     final long id;
-    /** Milliseconds since 1970 at its process's start, and one more for each refutation; 48 bits, and only grows. */
+    /** Unix time of the process's start in milliseconds, plus one for each refutation; 48 bits, never decreases. */
     long incarnation;
 
     State state;
     int zone;
-    /** Its place in its own configured list. */
+    /** Index of the member in its own peer list. */
     int ownIndex;
 
     int version;
-    /** A bit for each part of the fleet plane that it speaks. */
+    /** Bit set of the fleet plane's components that it supports. */
     int features;
-    /** Null until it has told. */
+    /** Null until it has been received. */
     String name;
-    /** Where it is reached: its place in our configured list; -1 while that is not known. */
+    /** Index in the local peer list at which the member is reached; -1 while unknown. */
     int peerIndex = -1;
-    /** Since when it is in its state, and why. */
+    /** Time of the last change of its state. */
     long sinceUs;
 
     String reason = "";
-    /** When a datagram of its own came last; {@code Long.MIN_VALUE / 2} for never. */
+    /** Time of its last datagram; {@code Long.MIN_VALUE / 2} for never. */
     long lastHeardUs = Long.MIN_VALUE / 2;
 
     Member(long id) {
         this.id = id;
     }
 
-    /** Whether it has told of itself, or somebody has who knew: versions begin at 1. */
+    /** Whether zone, version and features have been received, from the member or through others. Versions begin at 1. */
     boolean hasMetadata() {
         return version > 0;
     }
@@ -74,7 +74,7 @@
         return features;
     }
 
-    /** Its name, or its id as text while it has not told. */
+    /** Its name, or its id as text while the name is unknown. */
     public String name() {
         return name != null ? name : String.format("%012x", id);
     }
@@ -97,7 +97,7 @@
                 .put((byte) features);
     }
 
-    /** Null where the bytes can't be a member's. */
+    /** Null if the bytes don't encode a member. */
     static Member read(ByteBuffer b) {
         Member m = new Member(Envelope.get48(b));
         m.incarnation = Envelope.get48(b);
@@ -113,14 +113,14 @@
         return m;
     }
 
-    /** Its place in the ring that all share: the id, well mixed (Stafford's variant 13). */
+    /** Position in the ring, the same at all members: the id mixed by Stafford's variant 13. */
     static long ringPosition(long id) {
         long z = (id ^ id >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
     }
 
-    /** Of two words on the same member the later: by incarnation, then by state; a leave is final for its incarnation. */
+    /** Whether an update replaces another one on the same member: by incarnation, then by state. A leave is final for its incarnation. */
     static boolean supersedes(long incarnation, State state, long otherIncarnation, State otherState) {
         return incarnation != otherIncarnation
                 ? incarnation > otherIncarnation
--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -21,81 +21,81 @@
 import rushproxy.fleet.member.Member.State;
 
 /**
- * Who is here, who has left: a failure detector and membership view of the SWIM family (Das, Gupta, Motivala 2002; probes,
- * suspicion, refutation by incarnation, gossip that rides on probes) with Lifeguard's self-doubt (Dadgar, Phillips,
- * Currey 2017: a member that was held up or hears nobody accuses nobody). Without I/O: it is told datagrams and the time,
- * in microseconds, and acts through its {@link Environment}. Equal calls give equal results. One thread.
+ * Failure detector and membership view of the SWIM family (Das, Gupta, Motivala 2002): probes, suspicion, refutation by
+ * incarnation, and gossip piggybacked on probes, with Lifeguard's self-awareness (Dadgar, Phillips, Currey 2017): a member that
+ * was paused or receives nothing suspects nobody. Performs no I/O: datagrams and the time in microseconds are passed in, and it
+ * acts through its {@link Environment}. Deterministic: equal calls give equal results. Not thread-safe.
  *
- * <p>It differs from SWIM in two things. Most probes go to fixed targets, the next members of a ring that all order
- * alike, so that each member is looked at in every period, not only on average. And a suspicion stays with those who have
- * evidence of their own: they ask the accused again and again and others to look for themselves, and declare it dead
- * when their time is up. Not taken: to gossip suspicions, as SWIM does. At 10% loss each member misses an answer every
- * second; told to all, with the refutations, that costs more the larger the fleet is, and the accused would have to be
- * heard by the whole fleet, not by its accusers alone, before the time is up.
+ * <p>It differs from SWIM in two ways. Most probes go to fixed targets, the successors in a ring that all members order alike,
+ * so that each member is probed in every period and not only on average. And a suspicion stays with the members that have
+ * direct evidence: they keep pinging the suspect, ask others to probe it too, and declare it dead when the suspicion times out.
+ * Suspicions are not gossiped as in SWIM: at 10% loss each member misses an answer every second, so the traffic for suspicions
+ * and refutations would grow with the fleet, and a suspect would have to reach the whole fleet in time instead of only its
+ * suspecters.
  */
 public final class Membership implements PeerDirectory {
-    /** Call {@link #onTick} this often. */
+    /** Interval at which {@link #onTick} is to be called. */
     public static final long TICK_INTERVAL_US = 100_000;
-    /** Each member sends {@link #RING_TARGETS} and one more probes in this time: 12 datagrams a second with their answers. */
+    /** Each member sends {@link #RING_TARGETS} + 1 probes in this time: with the answers 12 datagrams per second. */
     static final long PROBE_PERIOD_US = 500_000;
-    /** Two accusers are wanted for a quick death, so two watch each member. */
+    /** Ring successors that each member probes. Two, because a suspicion confirmed by a second member times out sooner. */
     static final int RING_TARGETS = 2;
-    /** An answer across regions comes within 0.1 s; a busy core takes as long again. */
+    /** An answer across regions takes up to 0.1 s, and a busy core as long again. */
     static final long ACK_TIMEOUT_US = 300_000;
-    /** Suspects are asked so often, so that one who goes on is heard at once. */
+    /** Short, so that a suspect that resumes is heard at once. */
     static final long SUSPECT_PING_INTERVAL_US = 200_000;
-    /** With evidence of two: a process that stalls for 1.5 s is not dead, and needs {@link #ACK_TIMEOUT_US} to say so. */
+    /** Timeout when two members suspect: a process that stalls for 1.5 s must survive, and needs {@link #ACK_TIMEOUT_US} to answer. */
     static final long CONFIRMED_SUSPICION_TIMEOUT_US = 1_800_000;
-    /** With evidence of one alone, whose own link may be at fault. */
+    /** Timeout when only one member suspects: its own link may be at fault. */
     static final long LONE_SUSPICION_TIMEOUT_US = 4_000_000;
-    /** Members asked to look for themselves when one does not answer. */
+    /** Members asked to probe a suspect. */
     private static final int INDIRECT_PROBERS = 3;
-    /** Unanswered probes make its own answer time longer, up to so many times. */
+    /** Bound on the number of unanswered probes that lengthen this member's own timeouts (Lifeguard's local health). */
     private static final int MAX_SELF_DOUBT = 4;
-    /** Who has heard nobody for so long doubts itself before others. */
+    /** A member that has received nothing for this long suspects itself rather than others. */
     private static final long ISOLATION_SUSPECTED_US = 1_000_000;
-    /** And for so long, is alone as far as it can tell. */
+    /** A member that has received nothing for this long counts itself as the only live one. */
     private static final long ISOLATED_US = 5_000_000;
-    /** A tick that comes later than this after its time was held up, and all that ran then ran without us. */
+    /** A tick later than this counts as a pause of the process, and deadlines are extended by it. */
     private static final long PAUSE_THRESHOLD_US = 100_000;
 
     private static final int URGENT_FANOUT = 3;
-    /** One in so many random probes goes to those held dead, so that halves of a fleet find each other again. */
+    /** One in this many random probes goes to a dead member, so that the parts of a partitioned fleet find each other again. */
     private static final int DEAD_PROBE_RATIO = 4;
-    /** One page of the state is compared with somebody's in this time, and many more after a start. */
+    /** One bucket of the state is compared with a random member in this time; after a start, more often. */
     private static final long COMPARE_INTERVAL_US = 1_000_000;
 
     private static final long JOIN_PHASE_US = 3_000_000;
     private static final int JOIN_COMPARISONS = 4;
-    /** The dead are forgotten after this: a member that comes back tells of itself. */
+    /** Members that are dead or left are removed after this; one that returns announces itself. */
     private static final long REMOVE_AFTER_US = 600_000_000;
 
     private static final long REMOVE_INTERVAL_US = 10_000_000;
-    /** Word of the program before counts as life for so long. */
+    /** A peer counts as live for this long after a datagram of the previous program version. */
     private static final long LEGACY_LIVENESS_US = 10_000_000;
-    /** An incarnation further ahead of our clock is a lie or a fault. */
+    /** An incarnation further ahead of the local clock is forged or faulty, and ignored. */
     private static final long MAX_INCARNATION_AHEAD_MS = 86_400_000;
-    /** Refutations of another's claim to be us, in a minute, before we let it. */
+    /** Claims to this member's name that are refuted per {@link #CLAIM_WINDOW_US}; one more, and the other process keeps the name. */
     private static final int MAX_CLAIMS = 3;
 
     private static final long CLAIM_WINDOW_US = 60_000_000;
-    /** A place that has heard from one member within this is no other's, nor is the member at another place. */
+    /** A member heard within this time keeps its peer index: no other member takes the index, and it takes no other index. */
     private static final long PEER_INDEX_LOCK_US = 2_000_000;
 
     private static final long NAME_INTERVAL_MESSAGES = 8;
     private static final int MAX_NAME_BYTES = 48;
-    /** Draws for somebody who is here, in a list that names many who are not. */
+    /** Random draws for a live member, as many entries of the peer list may not be live. */
     private static final int MAX_DRAWS = 16;
-    /** Bytes before the name. */
+    /** Bytes before the name in a {@link #NAME} section. */
     private static final int METADATA_BYTES = 5;
-    /** A datagram with one change and nothing else, and one that compares a page. */
+    /** A datagram with a single update. */
     private static final int MIN_UPDATE_MESSAGE_BYTES = 40;
 
     private static final int COMPARE_MESSAGE_BYTES = 30;
-    /** A question to one under suspicion; what is told and compared leaves room for some of them. */
     private static final int PING_MESSAGE_BYTES = 22;
-
+    /** Send budget that dissemination and anti-entropy leave for pings to suspects. */
     private static final int RESERVED_BYTES = 200;
+
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private static final int PING = 1;
@@ -109,12 +109,12 @@
     private static final int BUCKET = 9;
 
     /**
-     * What it is told of itself.
+     * Configuration of the local member.
      *
-     * @param number  its place in its configured list
-     * @param peers   length of that list
-     * @param startMs Unix time of its start, its first incarnation
-     * @param taken   length of a datagram that belongs to somebody else; -1 for none
+     * @param index          its position in its own peer list
+     * @param peerCount      length of that list
+     * @param startMs        Unix time of its start, used as its first incarnation
+     * @param reservedLength datagram length used by another protocol on the same socket; -1 for none
      */
     public record Self(
             String name,
@@ -127,37 +127,37 @@
             long startMs,
             int reservedLength) {}
 
-    /** A probe that is out. */
+    /** A probe that waits for its acknowledgement. */
     private static final class Probe {
         private final Member target;
-        /** Of our own accord, not since another has asked us to look. */
+        /** Whether this member started it; false for one on behalf of another member. */
         private final boolean direct;
 
         private long dueUs;
 
-        Probe(Member target, boolean own, long dueUs) {
+        Probe(Member target, boolean direct, long dueUs) {
             this.target = target;
-            this.direct = own;
+            this.direct = direct;
             this.dueUs = dueUs;
         }
     }
 
-    /** Own evidence against a member: it has not answered us. */
+    /** This member's own evidence against a member that did not answer it. */
     private static final class Suspicion {
         private final Set<Long> suspecters = new HashSet<>();
         private long sinceUs;
         private long nextPingUs;
         private int pings;
-        /** Not where it was another who made us look, or at a loss of 30% all would look for ever. */
+        /** False after an indirect probe: otherwise, at a loss of 30%, indirect probes would trigger each other without end. */
         private boolean requestsIndirectProbes;
-        /** Those who asked us to look, and hear what we saw. */
+        /** Peer indexes of the members that asked for a probe and get its result. */
         private final Set<Integer> requesters = new HashSet<>();
 
-        /** Who misses many answers is at the worse end of its links, and waits for longer. */
-        long expiresUs(int doubt) {
+        /** A member that misses many answers probably has bad links itself, and waits longer. */
+        long expiresUs(int selfDoubt) {
             return sinceUs
                     + (suspecters.size() >= 2 ? CONFIRMED_SUSPICION_TIMEOUT_US : LONE_SUSPICION_TIMEOUT_US)
-                            * (MAX_SELF_DOUBT + doubt)
+                            * (MAX_SELF_DOUBT + selfDoubt)
                             / MAX_SELF_DOUBT;
         }
     }
@@ -168,15 +168,15 @@
     private final SendBudget budget;
     private final Member localMember;
     private final Map<Long, Member> members = new HashMap<>();
-    /** All but the dead and those who left, in the order that all share. */
+    /** Live members in an order that is the same at all members. */
     private final NavigableMap<Long, Member> ring = new TreeMap<>();
-    /** By place in the configured list; null where nobody is known. */
+    /** By index in the peer list; null where no member is known. */
     private final Member[] byPeerIndex;
 
     private final long[] legacyHeardUs;
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
     private final Map<Long, Suspicion> suspicions = new LinkedHashMap<>();
-    /** Who asked us to look at whom, until our own probe has ended. */
+    /** By member id: peer indexes of those that asked for a probe of it, until that probe has ended. */
     private final Map<Long, Set<Integer>> probeRequesters = new LinkedHashMap<>();
 
     private final Dissemination dissemination = new Dissemination();
@@ -189,7 +189,7 @@
     private long nextRemoveUs;
     private long lastHeardUs = NEVER;
     private long nextViewUs;
-    /** A change to be told on at once; one of the view. */
+    /** Whether updates are to be sent without waiting for the next probe. */
     private boolean urgentPending;
 
     private boolean viewStale;
@@ -201,27 +201,27 @@
     private final List<Long> claimTimesUs = new ArrayList<>();
     private MembershipView view;
 
-    public Membership(Self self, long nowUs, long seed, Environment host) {
-        this.config = self;
-        this.environment = host;
+    public Membership(Self config, long nowUs, long seed, Environment environment) {
+        this.config = config;
+        this.environment = environment;
         random = new SplittableRandom(seed);
         this.nowUs = lastTickUs = startedUs = nowUs;
         budget = new SendBudget(nowUs);
-        localMember = new Member(Envelope.idOf(self.name()));
-        localMember.incarnation = self.startMs();
+        localMember = new Member(Envelope.idOf(config.name()));
+        localMember.incarnation = config.startMs();
         localMember.state = State.ALIVE;
-        localMember.zone = self.zone();
-        localMember.ownIndex = self.index();
-        localMember.version = self.version();
-        localMember.features = self.features();
-        localMember.name = self.name();
-        localMember.peerIndex = self.index();
+        localMember.zone = config.zone();
+        localMember.ownIndex = config.index();
+        localMember.version = config.version();
+        localMember.features = config.features();
+        localMember.name = config.name();
+        localMember.peerIndex = config.index();
         localMember.sinceUs = nowUs;
-        byPeerIndex = new Member[self.peerCount()];
-        legacyHeardUs = new long[self.peerCount()];
+        byPeerIndex = new Member[config.peerCount()];
+        legacyHeardUs = new long[config.peerCount()];
         Arrays.fill(legacyHeardUs, NEVER);
-        if (self.index() >= 0 && self.index() < byPeerIndex.length) {
-            byPeerIndex[self.index()] = localMember;
+        if (config.index() >= 0 && config.index() < byPeerIndex.length) {
+            byPeerIndex[config.index()] = localMember;
         }
         members.put(localMember.id, localMember);
         ring.put(Member.ringPosition(localMember.id), localMember);
@@ -231,18 +231,18 @@
         view = computeView(null);
     }
 
-    // ---- what users see ---------------------------------------------------------------------------
+    // ---- queries ----------------------------------------------------------------------------------
 
     public MembershipView view() {
         return view;
     }
 
-    /** All that are remembered, itself included, in no order. */
+    /** All known members in any state, including this one, in no order. */
     public Collection<Member> members() {
         return members.values();
     }
 
-    /** Null where nothing is known of it. */
+    /** Null if the member is unknown. */
     public Member member(long id) {
         return members.get(id);
     }
@@ -251,7 +251,7 @@
         return localMember;
     }
 
-    /** Another process of its name has come after it: it takes no part any more. */
+    /** Whether this member takes no further part: it has left, or another process uses its name. */
     public boolean isStopped() {
         return stopped;
     }
@@ -272,7 +272,7 @@
         return -1;
     }
 
-    /** Alive, or suspect, and reached at a place of its own: one that several names claim is nobody's. */
+    /** Alive or suspect, and reachable at a peer index that no other member has taken. */
     @Override
     public boolean isLive(long member) {
         Member m = members.get(member);
@@ -287,7 +287,7 @@
 
     // ---- time ---------------------------------------------------------------------------------------
 
-    /** Wants to be called every {@link #TICK_INTERVAL_US}. A time that goes back is taken as no time at all. */
+    /** To be called every {@link #TICK_INTERVAL_US}. A clock that steps back counts as standing still. */
     public void onTick(long now) {
         advance(now);
         long pauseUs = nowUs - lastTickUs - TICK_INTERVAL_US;
@@ -322,11 +322,11 @@
         budget.refill(nowUs);
     }
 
-    /** What lay in our socket meanwhile has not been read: nobody's time ran. */
+    /** Datagrams that arrived during a pause are still unread, so all deadlines are extended by it. */
     private void compensateForPause(long pauseUs) {
         selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
         probes.values().forEach(p -> p.dueUs += pauseUs);
-        suspicions.values().forEach(a -> a.sinceUs += pauseUs);
+        suspicions.values().forEach(suspicion -> suspicion.sinceUs += pauseUs);
         lastHeardUs = lastHeardUs == NEVER ? NEVER : lastHeardUs + pauseUs;
     }
 
@@ -352,14 +352,14 @@
         if (suspicions.containsKey(m.id) || isPossiblyIsolated() && lastHeardUs != NEVER) {
             return;
         }
-        Suspicion a = new Suspicion();
-        a.suspecters.add(localMember.id);
-        a.sinceUs = nowUs;
-        a.nextPingUs = nowUs;
-        a.requestsIndirectProbes = direct;
-        suspicions.put(m.id, a);
+        Suspicion suspicion = new Suspicion();
+        suspicion.suspecters.add(localMember.id);
+        suspicion.sinceUs = nowUs;
+        suspicion.nextPingUs = nowUs;
+        suspicion.requestsIndirectProbes = direct;
+        suspicions.put(m.id, suspicion);
         for (int requester : probeRequesters.getOrDefault(m.id, Set.of())) {
-            a.requesters.add(requester);
+            suspicion.requesters.add(requester);
             send(
                     requester,
                     newEnvelope()
@@ -368,18 +368,18 @@
         }
         probeRequesters.remove(m.id);
         if (m.state == State.ALIVE) {
-            setState(m, State.SUSPECT, "no answer to our probe");
+            setState(m, State.SUSPECT, "no answer to a probe");
         }
     }
 
-    /** Asks again; the second time others too, since most that is missed is one datagram lost. */
-    private void pingSuspect(Suspicion a, Member m) {
-        a.nextPingUs = nowUs + SUSPECT_PING_INTERVAL_US;
+    /** Pings again, and asks other members only with the second ping: most missed answers are a single lost datagram. */
+    private void pingSuspect(Suspicion suspicion, Member m) {
+        suspicion.nextPingUs = nowUs + SUSPECT_PING_INTERVAL_US;
         ping(m);
-        if (++a.pings == 2 && a.requestsIndirectProbes) {
-            for (Member w : randomAliveMembers(INDIRECT_PROBERS, m)) {
+        if (++suspicion.pings == 2 && suspicion.requestsIndirectProbes) {
+            for (Member prober : randomAliveMembers(INDIRECT_PROBERS, m)) {
                 send(
-                        w.peerIndex,
+                        prober.peerIndex,
                         newEnvelope()
                                 .addSection(PING_REQUEST, encodeIdentity(m))
                                 .toBytes(config.reservedLength()));
@@ -389,27 +389,30 @@
 
     private void processSuspicions() {
         for (Map.Entry<Long, Suspicion> e : List.copyOf(suspicions.entrySet())) {
-            Suspicion a = e.getValue();
+            Suspicion suspicion = e.getValue();
             Member m = members.get(e.getKey());
             if (m == null || m.state == State.DEAD || m.state == State.LEFT) {
                 suspicions.remove(e.getKey());
-            } else if (nowUs >= a.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
+            } else if (nowUs >= suspicion.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
                 suspicions.remove(e.getKey());
                 setState(
                         m,
                         State.DEAD,
-                        a.suspecters.size() >= 2 ? "silent for us and " + otherSuspecters(a) : "silent for us alone");
-            } else if (nowUs >= a.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
-                pingSuspect(a, m);
-            } else if (nowUs >= a.nextPingUs) {
-                // Many are silent at once. Who could not be asked has not failed to answer: its time waits too.
-                a.sinceUs += TICK_INTERVAL_US;
+                        suspicion.suspecters.size() >= 2
+                                ? "unreachable from this member and " + otherSuspecters(suspicion)
+                                : "unreachable from this member alone");
+            } else if (nowUs >= suspicion.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
+                pingSuspect(suspicion, m);
+            } else if (nowUs >= suspicion.nextPingUs) {
+                // The budget is exhausted by many suspects. One that was not pinged can't answer, so its timeout is
+                // extended.
+                suspicion.sinceUs += TICK_INTERVAL_US;
             }
         }
     }
 
-    private String otherSuspecters(Suspicion a) {
-        return a.suspecters.stream()
+    private String otherSuspecters(Suspicion suspicion) {
+        return suspicion.suspecters.stream()
                 .filter(id -> id != localMember.id)
                 .map(id -> members.containsKey(id) ? members.get(id).name() : String.format("%012x", id))
                 .sorted()
@@ -417,7 +420,7 @@
                 .orElse("nobody");
     }
 
-    /** Probes of a period: the next in the ring and one at random. */
+    /** Probes the next members in the ring and one at random. */
     private void runProbePeriod() {
         int remaining = RING_TARGETS;
         Member current = localMember;
@@ -428,18 +431,18 @@
                 if (!suspicions.containsKey(current.id)) {
                     probe(current, true);
                 }
-                // Beyond one under suspicion is somebody who would have nobody left to look at him.
+                // A suspect doesn't count as a target, as its successor may have lost a prober with it.
                 remaining -= current.state == State.SUSPECT ? 0 : 1;
             }
         }
         int peerIndex = random.nextInt(byPeerIndex.length);
         Member m = byPeerIndex[peerIndex];
         if (m == null) {
-            // Nobody is known there yet, or the program before is.
+            // No member is known there yet, or it runs the previous program version.
             ping(peerIndex);
         } else if (m != localMember) {
-            boolean isGone = m.state == State.DEAD || m.state == State.LEFT;
-            if (!isGone || random.nextInt(DEAD_PROBE_RATIO) == 0) {
+            boolean gone = m.state == State.DEAD || m.state == State.LEFT;
+            if (!gone || random.nextInt(DEAD_PROBE_RATIO) == 0) {
                 probe(m, true);
             }
         }
@@ -462,7 +465,7 @@
         }
     }
 
-    /** Seldom: it goes through all members. */
+    /** Runs only every {@link #REMOVE_INTERVAL_US}, as it visits all members. */
     private void removeOldMembers() {
         if (nowUs < nextRemoveUs) {
             return;
@@ -491,7 +494,7 @@
         return ping(m.peerIndex);
     }
 
-    /** Whoever is there answers, and says by it who that is. */
+    /** Pings a peer index. The answer identifies the member there. */
     private int ping(int peerIndex) {
         int number = sequence = sequence + 1 & 0xFFFF;
         ByteBuffer b = ByteBuffer.allocate(2).putShort((short) number);
@@ -503,7 +506,7 @@
         return number;
     }
 
-    /** Who we are: zone, number, version, parts, and the name. */
+    /** Adds this member's zone, index, version, features and name. */
     private void addNameSection(Envelope e) {
         byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
         ByteBuffer b = ByteBuffer.allocate(METADATA_BYTES + MAX_NAME_BYTES);
@@ -515,13 +518,13 @@
         e.addSection(NAME, b);
     }
 
-    /** One page of the state with somebody's: only a hash goes out where both have the same. */
+    /** Starts anti-entropy for one bucket; its content is transferred only if the hashes differ. */
     private void startComparison() {
         boolean joining = nowUs - startedUs < JOIN_PHASE_US;
         nextCompareUs = nowUs + (joining ? TICK_INTERVAL_US : COMPARE_INTERVAL_US);
         for (int i = 0; i < (joining ? JOIN_COMPARISONS : 1); i++) {
-            List<Member> one = randomAliveMembers(1, null);
-            int peerIndex = one.isEmpty() ? random.nextInt(byPeerIndex.length) : one.get(0).peerIndex;
+            List<Member> chosen = randomAliveMembers(1, null);
+            int peerIndex = chosen.isEmpty() ? random.nextInt(byPeerIndex.length) : chosen.get(0).peerIndex;
             if (peerIndex == config.index() || !budget.canSend(COMPARE_MESSAGE_BYTES + RESERVED_BYTES)) {
                 continue;
             }
@@ -537,7 +540,7 @@
 
     // ---- datagrams ----------------------------------------------------------------------------------
 
-    /** The program before, which speaks no envelopes, has said something: its peer lives. */
+    /** A datagram of the previous program version, which doesn't use envelopes, came from this peer. */
     public void onLegacyDatagram(long now, int peerIndex) {
         advance(now);
         if (peerIndex >= 0 && peerIndex < legacyHeardUs.length) {
@@ -545,7 +548,7 @@
         }
     }
 
-    /** {@link #onMessage} of what is an envelope. */
+    /** Passes the datagram to {@link #onMessage} if it is an envelope. */
     public void onDatagram(long now, int peerIndex, byte[] datagram) {
         Envelope.Message message = Envelope.parse(datagram);
         if (message != null) {
@@ -554,9 +557,9 @@
     }
 
     /**
-     * From the peer at this place of the list; what can't be true changes nothing.
+     * Handles a message from the peer at this index. Implausible content changes nothing.
      *
-     * @return whether it is its sender's: another part may take its own sections then
+     * @return whether the sender is the member at this index, so that other components may handle their sections of the message
      */
     public boolean onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
@@ -576,9 +579,9 @@
         if (sender == null) {
             return false;
         }
-        for (Envelope.Section s : message.sections()) {
-            ByteBuffer b = ByteBuffer.wrap(s.bytes());
-            switch (s.type()) {
+        for (Envelope.Section section : message.sections()) {
+            ByteBuffer b = ByteBuffer.wrap(section.bytes());
+            switch (section.type()) {
                 case PING -> onPing(sender, b);
                 case ACK -> onAck(sender, b);
                 case PING_REQUEST -> onPingRequest(sender, b);
@@ -593,12 +596,12 @@
         return sender.peerIndex == peerIndex;
     }
 
-    /** A place speaks for one member, and a member from one place: another has to wait until the one is silent. */
+    /** An index belongs to one member and a member to one index; either may change only once the previous pairing is silent. */
     private boolean conflictsWithRecentSender(long sender, int peerIndex) {
         Member m = members.get(sender);
-        Member before = byPeerIndex[peerIndex];
+        Member previous = byPeerIndex[peerIndex];
         return m != null && m.peerIndex != peerIndex && m.peerIndex >= 0 && wasHeardRecently(m)
-                || before != null && before != m && wasHeardRecently(before);
+                || previous != null && previous != m && wasHeardRecently(previous);
     }
 
     private boolean wasHeardRecently(Member m) {
@@ -611,20 +614,20 @@
         return incarnation > nowUs / 1_000 + MAX_INCARNATION_AHEAD_MS;
     }
 
-    /** Somebody else has our name. The later process stays, the earlier goes quiet and leaves the name to it. */
+    /** Another process has this member's name. The one started later keeps it, and the earlier one stops. */
     private void onDuplicateId(Envelope.Message message, int peerIndex) {
         if (peerIndex == config.index() && message.incarnation() == localMember.incarnation) {
             return;
         }
         if (message.incarnation() > localMember.incarnation && nowUs - startedUs >= JOIN_PHASE_US) {
-            // The last word: the other would not know that there was one before it.
+            // One last datagram, so that the other process can log that there was an earlier one.
             send(peerIndex, newEnvelope().toBytes(config.reservedLength()));
-            stop("another process of this name, started later, speaks from place " + peerIndex);
+            stop("another process of this name, started later, sends from place " + peerIndex);
         } else if (message.incarnation() > localMember.incarnation) {
-            environment.logEvent("another process of this name speaks from place " + peerIndex);
+            environment.logEvent("another process of this name sends from place " + peerIndex);
             refute(message.incarnation(), "place " + peerIndex);
         } else {
-            environment.logEvent("another process of this name, started before, speaks from place " + peerIndex);
+            environment.logEvent("another process of this name, started earlier, sends from place " + peerIndex);
         }
     }
 
@@ -633,11 +636,11 @@
         probes.clear();
         suspicions.clear();
         dissemination.clear();
-        environment.logEvent("takes no part among members any more: " + reason);
+        environment.logEvent("stops taking part in the membership: " + reason);
         view = computeView(view);
     }
 
-    /** What a datagram says by having come: its sender lives, is this one, and is reached there. */
+    /** Records that the sender of a message is alive and reachable at this index; null if the message is outdated. */
     private Member identifySender(Envelope.Message message, int peerIndex) {
         Member m = members.get(message.sender());
         if (m == null) {
@@ -649,11 +652,12 @@
             members.put(m.id, m);
             assignPeerIndex(m, peerIndex);
             recordContact(m);
-            setState(m, State.ALIVE, "has come");
+            setState(m, State.ALIVE, "joined");
             return m;
         }
         if (message.incarnation() < m.incarnation) {
-            // A process of before, or one that does not know yet what was said of it: it is told, and may answer that.
+            // An earlier process of this name, or a member that missed an update about itself: send it, so that it can
+            // refute it.
             if ((m.peerIndex < 0 || m.peerIndex == peerIndex) && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
                 ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 m.write(b);
@@ -667,13 +671,13 @@
         if (message.incarnation() > m.incarnation) {
             m.incarnation = message.incarnation();
             digest.invalidate();
-            setState(m, State.ALIVE, "has come back");
+            setState(m, State.ALIVE, "rejoined");
             disseminateUrgently(m);
         } else if (m.state == State.SUSPECT) {
-            setState(m, State.ALIVE, "has answered");
+            setState(m, State.ALIVE, "answered again");
         }
-        Suspicion a = suspicions.remove(m.id);
-        for (int requester : a == null ? Set.<Integer>of() : a.requesters) {
+        Suspicion suspicion = suspicions.remove(m.id);
+        for (int requester : suspicion == null ? Set.<Integer>of() : suspicion.requesters) {
             sendHeardByWitness(requester, m.id);
         }
         return m;
@@ -694,9 +698,9 @@
         if (m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
             byPeerIndex[m.peerIndex] = null;
         }
-        Member before = byPeerIndex[peerIndex];
-        if (before != null && before != localMember) {
-            before.peerIndex = -1;
+        Member previous = byPeerIndex[peerIndex];
+        if (previous != null && previous != localMember) {
+            previous.peerIndex = -1;
         }
         byPeerIndex[peerIndex] = m;
         m.peerIndex = peerIndex;
@@ -733,7 +737,7 @@
         }
     }
 
-    /** A member that has not heard from another asks us to look for ourselves. */
+    /** The sender got no answer from a member and asks for an indirect probe of it. */
     private void onPingRequest(Member sender, ByteBuffer b) {
         Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
         long incarnation = m == null ? 0 : Envelope.get48(b);
@@ -761,18 +765,18 @@
     }
 
     private void onSuspicionConfirmed(Member sender, ByteBuffer b) {
-        Suspicion a = hasRemaining(b, 12) ? suspicions.get(Envelope.get48(b)) : null;
-        if (a != null) {
-            a.suspecters.add(sender.id);
+        Suspicion suspicion = hasRemaining(b, 12) ? suspicions.get(Envelope.get48(b)) : null;
+        if (suspicion != null) {
+            suspicion.suspecters.add(sender.id);
         }
     }
 
-    /** A witness has heard from the one that does not answer us: the link between us is bad, not the member. */
+    /** Another member has heard from the suspect, so only the link to it is bad and the suspicion ends. */
     private void onHeardByWitness(ByteBuffer b) {
         Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
         if (m != null && suspicions.remove(m.id) != null && m.state == State.SUSPECT) {
             m.lastHeardUs = nowUs;
-            setState(m, State.ALIVE, "was heard by a witness");
+            setState(m, State.ALIVE, "heard by another member");
         }
     }
 
@@ -793,13 +797,13 @@
         }
     }
 
-    /** What it says of itself; only the name that the id stands for. */
+    /** Takes over what the sender reports about itself; a name only if it hashes to the sender's id. */
     private void applyMetadata(Member m, Envelope.Message message) {
-        for (Envelope.Section s : message.sections()) {
-            if (s.type() != NAME || s.bytes().length < METADATA_BYTES) {
+        for (Envelope.Section section : message.sections()) {
+            if (section.type() != NAME || section.bytes().length < METADATA_BYTES) {
                 continue;
             }
-            ByteBuffer b = ByteBuffer.wrap(s.bytes());
+            ByteBuffer b = ByteBuffer.wrap(section.bytes());
             int zone = b.get() & 255;
             if (zone < Math.max(1, config.zoneCount())) {
                 boolean first = !m.hasMetadata();
@@ -816,7 +820,10 @@
             }
             if (m.name == null) {
                 String name = new String(
-                        s.bytes(), METADATA_BYTES, s.bytes().length - METADATA_BYTES, StandardCharsets.UTF_8);
+                        section.bytes(),
+                        METADATA_BYTES,
+                        section.bytes().length - METADATA_BYTES,
+                        StandardCharsets.UTF_8);
                 m.name = Envelope.idOf(name) == m.id ? name : null;
             }
         }
@@ -845,11 +852,11 @@
             if (update == null) {
                 return;
             }
-            applyUpdate(update, "a page", true);
+            applyUpdate(update, "a state comparison", true);
         }
     }
 
-    /** Somebody's word on a member. What can't be true is left out. */
+    /** Merges a reported member state. Implausible updates are ignored. */
     private void applyUpdate(Member update, String source, boolean fromBucket) {
         boolean zoneFits = update.zone < Math.max(1, config.zoneCount());
         if (update.id == 0 || !zoneFits || isTooFarAhead(update.incarnation)) {
@@ -876,7 +883,7 @@
             members.put(m.id, m);
             copyMetadata(m, update);
             assumePeerIndex(m);
-            setState(m, State.ALIVE, "by word of " + source);
+            setState(m, State.ALIVE, "reported by " + source);
             return;
         }
         if (!Member.supersedes(
@@ -895,7 +902,7 @@
                 && update.incarnation == m.incarnation
                 && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
         if (deathInBucket || deathOfRecentlyHeard) {
-            // An old page, or a quarrel: it hears of it, and says itself whether it lives.
+            // The bucket may be outdated, or the reporter wrong: the member gets the update and may refute it.
             if (m.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
                 ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 update.write(b);
@@ -903,11 +910,11 @@
             }
             return;
         }
-        // Suspicions are not told: one that is says no more than that it lives.
+        // Suspicions are not disseminated; a received one only shows that the member is not dead.
         State newState = update.state == State.SUSPECT ? State.ALIVE : update.state;
         copyMetadata(m, update);
         assumePeerIndex(m);
-        setState(m, newState, "by word of " + source);
+        setState(m, newState, "reported by " + source);
         disseminateUrgently(m);
     }
 
@@ -920,7 +927,7 @@
         m.features = update.features;
     }
 
-    /** Where nothing else is known, it is reached at the place that it says it has: its first datagram tells better. */
+    /** Assumes that both peer lists agree, until the member's first datagram shows its actual index. */
     private void assumePeerIndex(Member m) {
         if (m.peerIndex < 0 && m.ownIndex < byPeerIndex.length && byPeerIndex[m.ownIndex] == null) {
             m.peerIndex = m.ownIndex;
@@ -928,13 +935,13 @@
         }
     }
 
-    /** Word on ourselves that is not so. */
+    /** Handles a wrong update about this member: it is refuted, unless another process insists on the name. */
     private void onFalseUpdateAboutSelf(Member update, String source) {
         if (update.state == State.ALIVE && nowUs - startedUs >= JOIN_PHASE_US) {
             claimTimesUs.removeIf(at -> nowUs - at > CLAIM_WINDOW_US);
             claimTimesUs.add(nowUs);
             if (claimTimesUs.size() > MAX_CLAIMS) {
-                stop("another process of this name goes on claiming it, by word of " + source);
+                stop("another process of this name keeps claiming it, reported by " + source);
                 return;
             }
         }
@@ -945,16 +952,16 @@
         localMember.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
         digest.invalidate();
         localMember.sinceUs = nowUs;
-        environment.logEvent("refutes what " + source + " says of it");
+        environment.logEvent("refutes a false update from " + source);
         disseminateUrgently(localMember);
     }
 
-    // ---- changes ------------------------------------------------------------------------------------
+    // ---- state changes ------------------------------------------------------------------------------
 
     private void setState(Member m, State state, String reason) {
         digest.invalidate();
         boolean wasLive = m.state == State.ALIVE || m.state == State.SUSPECT;
-        // One that is new here was in no state before.
+        // A member that was just created has no previous state.
         boolean wasGone = !wasLive && m.sinceUs != 0;
         if (m.state != state
                 && (state != State.SUSPECT && m.state != State.SUSPECT || state == State.DEAD || state == State.LEFT)) {
@@ -973,9 +980,9 @@
             suspicions.remove(m.id);
         }
         if (state == State.ALIVE) {
-            Suspicion a = suspicions.remove(m.id);
-            if (a != null) {
-                a.requesters.forEach(requester -> sendHeardByWitness(requester, m.id));
+            Suspicion suspicion = suspicions.remove(m.id);
+            if (suspicion != null) {
+                suspicion.requesters.forEach(requester -> sendHeardByWitness(requester, m.id));
             }
         }
         viewStale = true;
@@ -995,7 +1002,7 @@
         dissemination.enqueueRegular(m, members.size());
     }
 
-    /** Fills what room is left with changes. */
+    /** Fills the remaining space with updates, as far as the budget allows. */
     private Envelope addUpdates(Envelope e) {
         int affordable = (budget.availableBytes()
                         - RESERVED_BYTES
@@ -1012,7 +1019,7 @@
         return e.addSection(UPDATES, b);
     }
 
-    /** News does not wait for the next probe, but for room in the budget. */
+    /** Sends urgent updates without waiting for the next probe, as far as the budget allows. */
     private void sendUrgentUpdates() {
         urgentPending = false;
         for (Member m : randomAliveMembers(URGENT_FANOUT, null)) {
@@ -1027,7 +1034,7 @@
         }
     }
 
-    /** So many of those here that can be reached, at random, without one. */
+    /** Up to {@code count} reachable alive members at random, without {@code excluded}. */
     private List<Member> randomAliveMembers(int count, Member excluded) {
         List<Member> chosen = new ArrayList<>(count);
         for (int tries = 0; tries < 4 * count && chosen.size() < count; tries++) {
@@ -1055,7 +1062,7 @@
         return Envelope.from(localMember.id, localMember.incarnation);
     }
 
-    /** The process leaves of its own will: told to several, since some word is lost. Nothing follows. */
+    /** Announces a voluntary leave to several members, as datagrams get lost, and stops. */
     public void leave(long now) {
         advance(now);
         if (stopped) {
@@ -1070,14 +1077,14 @@
             send(m.peerIndex, newEnvelope().addSection(UPDATES, copy).toBytes(config.reservedLength()));
         }
         stopped = true;
-        environment.logEvent("has told that it leaves");
+        environment.logEvent("announced that it leaves");
     }
 
-    private MembershipView computeView(MembershipView before) {
+    private MembershipView computeView(MembershipView previous) {
         int live = 0;
         int left = 0;
         int[] liveByZone = new int[Math.max(1, config.zoneCount())];
-        // Whom it has not heard of for so long it can't call dead, nor count.
+        // An isolated member can't tell whether the others are dead, and counts none of them.
         boolean isolated = nowUs - Math.max(startedUs, lastHeardUs) > ISOLATED_US;
         if (isolated) {
             live = 1;
@@ -1100,12 +1107,12 @@
         MembershipView.Standing standing = live <= 1 && expected > 1
                 ? MembershipView.Standing.NOBODY
                 : 2 * live > expected ? MembershipView.Standing.MAJORITY : MembershipView.Standing.MINORITY;
-        boolean standingUnchanged = before != null && before.standing() == standing;
+        boolean standingUnchanged = previous != null && previous.standing() == standing;
         return new MembershipView(
                 expected,
                 live,
                 Arrays.stream(liveByZone).boxed().toList(),
                 standing,
-                standingUnchanged ? before.standingSinceUs() : nowUs);
+                standingUnchanged ? previous.standingSinceUs() : nowUs);
     }
 }
--- a/src/main/java/rushproxy/fleet/member/MembershipView.java
+++ b/src/main/java/rushproxy/fleet/member/MembershipView.java
@@ -3,22 +3,23 @@
 import java.util.List;
 
 /**
- * Who is here, as one sidecar sees it at a time.
+ * Snapshot of the fleet's membership as one sidecar sees it.
  *
- * @param expected those it should see: as many as its configuration names, itself included, without those that have left
- * @param here     alive or suspect, itself included, and peers of the program before that were heard of late
- * @param byZone   those here, by the number of their zone in the settings
- * @param standing majority, minority or nobody, of those expected; since {@code standingSinceUs}
+ * @param expectedCount   configured members, including this one, without those that have left
+ * @param liveCount       alive or suspect members, including this one, and peers of the previous program version heard recently
+ * @param liveByZone      live members by the index of their zone in the settings
+ * @param standing        how many of the expected members are live
+ * @param standingSinceUs time of the last change of {@code standing}
  */
 public record MembershipView(
         int expectedCount, int liveCount, List<Integer> liveByZone, Standing standing, long standingSinceUs) {
-    /** Which part of its fleet a member sees. */
+    /** Share of the expected members that are live. */
     public enum Standing {
-        /** More than half of those it should see are here. */
+        /** More than half of the expected members are live. */
         MAJORITY,
-        /** Half of them or fewer: it may be the one that is cut off. */
+        /** Half or fewer are live, so this member may be the one that is partitioned. */
         MINORITY,
-        /** None but itself. */
+        /** No other member is live. */
         NOBODY
     }
 }
--- a/src/main/java/rushproxy/fleet/member/SendBudget.java
+++ b/src/main/java/rushproxy/fleet/member/SendBudget.java
@@ -1,16 +1,16 @@
 package rushproxy.fleet.member;
 
 /**
- * A token bucket over the bytes that a member sends, IP's and UDP's headers with them. What keeps the failure detector going
- * (probes, answers, suspicions) is always sent, and only counted; dissemination and anti-entropy wait for what is left. In any
- * second no more than {@link #MAX_BYTES_PER_SECOND} is sent, unless the former alone pass it.
+ * Token bucket over the bytes that a member sends, including IP and UDP headers. The failure detector's datagrams (probes,
+ * answers, suspicions) are always sent and only counted; dissemination and anti-entropy use what is left. At most
+ * {@link #MAX_BYTES_PER_SECOND} are sent in any second, unless the failure detector alone exceeds them.
  */
 final class SendBudget {
-    /** What a sidecar may spend for control (docs/CAPACITY.md). */
+    /** Control traffic allowed per sidecar (docs/CAPACITY.md). */
     static final int MAX_BYTES_PER_SECOND = 3_000;
-    /** A datagram's way: IP's header of 20 bytes and UDP's of 8. */
+    /** IP header of 20 bytes and UDP header of 8. */
     static final int IP_UDP_HEADER_BYTES = 28;
-    /** May be sent at once after a pause; the rest of the second's bytes come back evenly. */
+    /** Bytes that may be sent at once after a pause; the rest of the rate is refilled evenly. */
     private static final int BURST_BYTES = 600;
 
     private static final int REFILL_BYTES_PER_SECOND = MAX_BYTES_PER_SECOND - BURST_BYTES;
@@ -28,24 +28,24 @@
 
     void refill(long nowUs) {
         if (nowUs > refilledUs) {
-            // A longer pause fills it in any case, and must not overflow the product.
+            // A longer pause fills the bucket in any case; the cap keeps the product from overflowing.
             long passed = Math.min(nowUs - refilledUs, MAX_REFILL_US);
             microTokens = Math.min(BURST_BYTES * SECOND_US, microTokens + passed * REFILL_BYTES_PER_SECOND);
             refilledUs = nowUs;
         }
     }
 
-    /** Sent, whether or not there was room for it. */
+    /** Counts a datagram as sent, even beyond the budget. */
     void spend(int datagramBytes) {
         microTokens -= (datagramBytes + IP_UDP_HEADER_BYTES) * SECOND_US;
     }
 
-    /** Bytes of datagrams that may be sent now; negative where more was sent than there was room for. */
+    /** Bytes that may be sent now; negative if the budget is overdrawn. */
     int availableBytes() {
         return (int) Math.floorDiv(microTokens, SECOND_US);
     }
 
-    /** Whether a datagram of this length may be sent now. */
+    /** Whether a datagram of this length fits into the budget. */
     boolean canSend(int datagramBytes) {
         return availableBytes() >= datagramBytes + IP_UDP_HEADER_BYTES;
     }
--- a/src/main/java/rushproxy/fleet/member/StateDigest.java
+++ b/src/main/java/rushproxy/fleet/member/StateDigest.java
@@ -6,29 +6,29 @@
 import rushproxy.fleet.member.Member.State;
 
 /**
- * Hashes over the members' states for anti-entropy: members lie in buckets by their ids, two members compare one bucket's hash,
- * and exchange its content where the hashes differ. All hashes are made in one pass after a change, so that a comparison costs
+ * Hashes over the members' states for anti-entropy: members are divided into buckets by id, two members compare a bucket's hash,
+ * and transfer its content if the hashes differ. After a change all hashes are computed in one pass, so that comparisons cost
  * nothing while nothing changes, however large the fleet is.
  */
 final class StateDigest {
-    /** Members of a bucket on average: a datagram's worth. */
+    /** Average members per bucket: as many as fit into a datagram. */
     static final int MEMBERS_PER_BUCKET = 12;
 
     private final Collection<Member> members;
     private int[] hashes = new int[0];
     private boolean stale = true;
 
-    /** {@code members}: a live view of all that are remembered. */
+    /** {@code members}: a live view of all known members. */
     StateDigest(Collection<Member> members) {
         this.members = members;
     }
 
-    /** Some member's state, incarnation or presence is another than before. */
+    /** To be called when a member is added or removed, or changes its state, incarnation or metadata. */
     void invalidate() {
         stale = true;
     }
 
-    /** {@code places}: length of the configured list. */
+    /** {@code peerCount}: length of the configured list. */
     int bucketCount(int peerCount) {
         return Math.max(1, Math.max(peerCount, members.size()) / MEMBERS_PER_BUCKET);
     }
@@ -37,7 +37,7 @@
         return (int) Long.remainderUnsigned(Member.ringPosition(id) >>> 8, buckets);
     }
 
-    /** The other side may have another number of buckets than this one. */
+    /** Hash of one bucket. The number of buckets is a parameter because the other member may use a different one. */
     int bucketHash(int bucket, int buckets) {
         if (stale || hashes.length != buckets) {
             stale = false;
@@ -45,7 +45,7 @@
             Arrays.fill(hashes, 0);
             for (Member m : members) {
                 if (m.hasMetadata()) {
-                    // The sum: in whatever order the members come.
+                    // A sum, as it does not depend on the iteration order.
                     hashes[bucketOf(m.id, buckets)] += memberHash(m);
                 }
             }
@@ -53,14 +53,14 @@
         return hashes[bucket];
     }
 
-    /** A suspicion is its holder's own, and no difference. */
+    /** A suspect counts as alive, because suspicions are local to a member. */
     private static int memberHash(Member m) {
         State state = m.state == State.SUSPECT ? State.ALIVE : m.state;
         long mixed = Member.ringPosition(m.id ^ m.incarnation << 3 ^ state.ordinal());
         return (int) (mixed ^ mixed >>> 32);
     }
 
-    /** Writes the bucket's members, as far as there is room. */
+    /** Writes the bucket's members, as far as there is space. */
     void writeBucket(int bucket, int buckets, ByteBuffer to) {
         for (Member m : members) {
             if (bucketOf(m.id, buckets) == bucket && to.hasRemaining() && m.hasMetadata()) {
