--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -952,7 +952,7 @@
         localMember.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
         digest.invalidate();
         localMember.sinceUs = nowUs;
-        environment.logEvent("refutes a false update from " + source);
+        environment.logEvent("refutes the update from " + source + " about itself");
         disseminateUrgently(localMember);
     }
 
--- a/src/main/java/rushproxy/fleet/release/Gate.java
+++ b/src/main/java/rushproxy/fleet/release/Gate.java
@@ -79,19 +79,19 @@
 
     /** What came since the batch before, in one stratum. Servers that still warm up belong to neither. */
     public void addBatch(String stratum, Tally candidate, Tally control) {
-        Stratum s = strata.computeIfAbsent(stratum, n -> new Stratum());
-        s.failure.add(candidate.failures(), candidate.attempts(), control.failures(), control.attempts());
-        s.silence.add(candidate.timeouts(), candidate.attempts(), control.timeouts(), control.attempts());
-        if (s.slowThresholdUs > 0) {
-            s.slowness.add(
-                    candidate.slowerThan(s.slowThresholdUs),
+        Stratum state = strata.computeIfAbsent(stratum, n -> new Stratum());
+        state.failure.add(candidate.failures(), candidate.attempts(), control.failures(), control.attempts());
+        state.silence.add(candidate.timeouts(), candidate.attempts(), control.timeouts(), control.attempts());
+        if (state.slowThresholdUs > 0) {
+            state.slowness.add(
+                    candidate.slowerThan(state.slowThresholdUs),
                     candidate.successes(),
-                    control.slowerThan(s.slowThresholdUs),
+                    control.slowerThan(state.slowThresholdUs),
                     control.successes());
         }
-        s.candidate.add(candidate);
-        s.control.add(control);
-        s.slowThresholdUs = s.control.successes() >= MIN_CONTROL_ANSWERS ? s.control.percentileUs(75) : 0;
+        state.candidate.add(candidate);
+        state.control.add(control);
+        state.slowThresholdUs = state.control.successes() >= MIN_CONTROL_ANSWERS ? state.control.percentileUs(75) : 0;
         recentControlAttempts += control.attempts();
         recentControlBad += control.failures() + control.timeouts();
     }
--- a/src/main/java/rushproxy/fleet/shared/FleetCounters.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetCounters.java
@@ -6,14 +6,14 @@
 import rushproxy.fleet.Envelope;
 
 /**
- * Counters that only grow, added up over the fleet: each process counts under its own incarnation, so one that begins anew takes
- * nothing from what was counted before (a G-counter, Shapiro et al. 2011). One thread.
+ * Grow-only counters that are summed over the fleet (G-counter, Shapiro et al. 2011). Each process counts under its own
+ * incarnation, so that a restart keeps earlier counts. Not thread-safe.
  */
 public final class FleetCounters {
     private static final int VALUE_BYTES = 20;
-    /** Changes are told together; one that is quiet is renewed before its lease ends. */
+    /** Changes within this time are published together. */
     private static final long PUBLISH_INTERVAL_US = 1_000_000;
-
+    /** Unchanged counters are renewed before their lease expires. */
     private static final long RENEW_INTERVAL_US = Table.COUNTS.leaseMs() * 1_000 / 3;
 
     private final ReplicatedStore store;
@@ -23,14 +23,14 @@
     private long publishedUs = Long.MIN_VALUE / 2;
     private long renewedUs = Long.MIN_VALUE / 2;
 
-    /** {@code incarnation} is the process's first one: a refutation is no new process. */
+    /** {@code incarnation}: the process's first one, as a refutation does not make a new process. */
     public FleetCounters(ReplicatedStore store, long incarnation) {
         this.store = store;
         this.incarnation = incarnation;
     }
 
-    public void add(String counter, long n) {
-        local.merge(Envelope.idOf(counter), n, Long::sum);
+    public void add(String counter, long increment) {
+        local.merge(Envelope.idOf(counter), increment, Long::sum);
     }
 
     public void onTick(long nowUs) {
@@ -55,15 +55,15 @@
         });
     }
 
-    /** Of all that is known, own counts with it as they are now. */
+    /** Sum over all known processes; the local counts are current even if unpublished. */
     public long sum(long nowUs, String counter) {
         long id = Envelope.idOf(counter);
         long sum = local.getOrDefault(id, 0L);
-        for (StoredEntry r : store.readAll(nowUs, Table.COUNTS)) {
-            ByteBuffer b = ByteBuffer.wrap(r.value());
-            if (r.value().length == VALUE_BYTES
+        for (StoredEntry entry : store.readAll(nowUs, Table.COUNTS)) {
+            ByteBuffer b = ByteBuffer.wrap(entry.value());
+            if (entry.value().length == VALUE_BYTES
                     && Envelope.get48(b) == id
-                    && !(Envelope.get48(b) == incarnation && r.writer() == store.selfId())) {
+                    && !(Envelope.get48(b) == incarnation && entry.writer() == store.selfId())) {
                 sum += b.getLong();
             }
         }
--- a/src/main/java/rushproxy/fleet/shared/FleetLimits.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetLimits.java
@@ -16,68 +16,70 @@
 import rushproxy.fleet.PeerDirectory;
 
 /**
- * Fleet-wide limits by leased shares (after Doorman's leases, but without a server that holds them). Each sidecar has the limit
- * over the configured number by right, and may lend of it to one that asks; what it has lent it does not use until the lease
- * has ended. Without I/O; one thread.
+ * Fleet-wide limits by leased shares, like Doorman's leases but without a server that grants them. Each sidecar owns an equal
+ * share, the limit divided by the configured number of sidecars, and may lend part of it on request; it does not use a lent part
+ * until the lease has expired. Performs no I/O. Not thread-safe.
  *
- * <p>Why the sum never exceeds the limit: a borrower counts its lease from when it <em>asked</em>, the lender from when
- * it <em>heard</em>, for the same time, so the borrower's ends first, whatever is lost, late or doubled; no clocks are compared.
- * A lender whose process starts anew has forgotten its leases and uses no more than it never lends ({@link #RESERVED_SHARE}) until they have
- * ended. So in calm, in a split and after a mass restart all shares together are at most the limit at every time. While a process
- * hands over to another of its name both have a share: at most one more of the sidecars that hand over.
+ * <p>The sum never exceeds the limit: a lease lasts equally long for both sides, but the borrower counts from when it
+ * <em>sent</em> its request and the lender from when it <em>received</em> it. So the borrower's lease expires first, whatever is
+ * lost, delayed or duplicated, and no clocks are compared. A restarted lender has lost its leases and uses only the part that it
+ * never lends ({@link #RESERVED_SHARE}) until they have expired. So at every time all shares together are at most the limit, in
+ * normal operation, in a partition and after a mass restart. During a handover between two processes of one name both have a
+ * share, so the excess is at most one share per sidecar that is being replaced.
  *
- * <p>The price: the shares of the dead are not used (one that seems dead may serve behind a cut), and a demand that moves
- * is followed within the lease's time.
+ * <p>The cost: the shares of dead sidecars are unused, as one that seems dead may still serve in another partition, and shares
+ * follow a moving demand only within the lease time.
  *
- * <p>Not taken: a holder for each limit, elected or by rank (its cost grows with the fleet and its death is everybody's); and
- * a table of all demands, which does not fit into the bounds of {@link ReplicatedStore}.
+ * <p>Two alternatives were rejected: a coordinator for each limit, elected or chosen by rank, whose load grows with the fleet and
+ * whose death affects all; and a table of all demands, which exceeds the bounds of {@link ReplicatedStore}.
  */
 public final class FleetLimits {
     public static final long LEASE_US = 2_000_000;
-    /** Call {@link #onTick} at least this often. */
+    /** Maximum interval between calls of {@link #onTick}. */
     public static final long TICK_INTERVAL_US = 250_000;
-    /** Of the own part this much is never lent: whoever is asked after a pause can answer some at once. */
+    /** Fraction of the own share that is never lent, so that some requests can be served at once after a pause. */
     public static final double RESERVED_SHARE = 0.2;
-    /** The demand is met with so much to spare. */
+    /** Shares are requested for this multiple of the demand. */
     private static final double DEMAND_HEADROOM = 1.05;
 
     private static final double DEMAND_SMOOTHING = 0.35;
-    /** Asks at a tick, of all limits together. */
+    /** Lease requests at a tick, for all limits together. */
     private static final int MAX_REQUESTS_PER_TICK = 6;
-    /** Renewed with this much left: two asks may be lost. */
+    /** Leases are renewed with this much left, so that two requests may be lost. */
     private static final long RENEW_BEFORE_US = 1_300_000;
-    /** Who had nothing to lend is not asked for so long. */
+    /** A lender that had nothing to lend gets no request for this long. */
     private static final long REFUSAL_BACKOFF_US = 1_000_000;
-    /** Borrowers of one lender, more than a fleet has processes: a bound on what liars can fill. */
+    /** Borrowers of one lender: more than a fleet has processes, but a bound on what forged requests can occupy. */
     private static final int MAX_BORROWERS = 4_096;
 
     private static final int LEASE_REQUEST = 30;
     private static final int LEASE_GRANT = 31;
     private static final int SECTION_BYTES = 16;
 
-    /** {@code max} a second, or in flight. */
+    /** A limit on requests per second or in flight, for one class, one tenant or all requests. */
     public record Limit(String name, Scope scope, String subject, boolean inFlight, double max) {
         private static final int HEADER_BYTES = 7;
 
-        /** As the store has it; throws where the names are too long. */
+        /** Encodes the limit for the store; throws if the names are too long. */
         byte[] encode() {
-            byte[] o = subject.getBytes(StandardCharsets.UTF_8);
-            byte[] n = name.getBytes(StandardCharsets.UTF_8);
-            if (HEADER_BYTES + o.length + n.length > Table.LIMITS.maxValueBytes()) {
-                throw new IllegalArgumentException("'" + name + "' and '" + subject + "' are " + (o.length + n.length)
-                        + " bytes, " + (Table.LIMITS.maxValueBytes() - HEADER_BYTES) + " at most");
+            byte[] subjectBytes = subject.getBytes(StandardCharsets.UTF_8);
+            byte[] nameBytes = name.getBytes(StandardCharsets.UTF_8);
+            if (HEADER_BYTES + subjectBytes.length + nameBytes.length > Table.LIMITS.maxValueBytes()) {
+                throw new IllegalArgumentException(
+                        "'" + name + "' and '" + subject + "' are " + (subjectBytes.length + nameBytes.length)
+                                + " bytes, " + (Table.LIMITS.maxValueBytes() - HEADER_BYTES) + " at most");
             }
-            return ByteBuffer.allocate(HEADER_BYTES + o.length + n.length)
+            return ByteBuffer.allocate(HEADER_BYTES + subjectBytes.length + nameBytes.length)
                     .put((byte) scope.ordinal())
                     .put((byte) (inFlight ? 1 : 0))
                     .putFloat((float) max)
-                    .put((byte) o.length)
-                    .put(o)
-                    .put(n)
+                    .put((byte) subjectBytes.length)
+                    .put(subjectBytes)
+                    .put(nameBytes)
                     .array();
         }
 
-        /** Null where the bytes are no limit. */
+        /** Null if the bytes don't encode a limit. */
         static Limit decode(byte[] bytes) {
             ByteBuffer b = ByteBuffer.wrap(bytes);
             if (bytes.length <= HEADER_BYTES || bytes[0] < 0 || bytes[0] >= Scope.values().length) {
@@ -85,46 +87,46 @@
             }
             Scope scope = Scope.values()[b.get()];
             boolean inFlight = b.get() == 1;
-            double most = b.getFloat();
-            int length = b.get() & 255;
-            if (!(most >= 0 && most < 1e9) || length >= b.remaining()) {
+            double max = b.getFloat();
+            int subjectLength = b.get() & 255;
+            if (!(max >= 0 && max < 1e9) || subjectLength >= b.remaining()) {
                 return null;
             }
-            byte[] o = new byte[length];
-            b.get(o);
-            byte[] n = new byte[b.remaining()];
-            b.get(n);
+            byte[] subjectBytes = new byte[subjectLength];
+            b.get(subjectBytes);
+            byte[] nameBytes = new byte[b.remaining()];
+            b.get(nameBytes);
             return new Limit(
-                    new String(n, StandardCharsets.UTF_8),
+                    new String(nameBytes, StandardCharsets.UTF_8),
                     scope,
-                    new String(o, StandardCharsets.UTF_8),
+                    new String(subjectBytes, StandardCharsets.UTF_8),
                     inFlight,
-                    most);
+                    max);
         }
     }
 
-    /** The limit itself; throws where its names are too long for the store. */
+    /** Returns the limit; throws if its names are too long for the store. */
     public static Limit validated(Limit limit) {
         limit.encode();
         return limit;
     }
 
-    /** What operators see of one limit here. */
+    /** State of one limit at this sidecar, for operators. */
     public record LimitStatus(
-            Limit limit, double baseShare, double share, double lent, double borrowed, double demand) {}
+            Limit limit, double equalShare, double share, double lent, double borrowed, double demand) {}
 
-    /** Lent to one, or borrowed from one: of several leases between two the largest that lives counts. */
+    /** A lease that was lent or borrowed. Of several leases between two members only the largest unexpired one counts. */
     private record Lease(int sequence, double amount, long expiresUs) {}
 
     private static final class LimitState {
         private Limit limit;
         private double demand;
         private long freshUs;
-        /** By borrower's id. */
+        /** By the borrower's id. */
         private final Map<Long, List<Lease>> lent = new LinkedHashMap<>();
-        /** By lender's place, the latest answer of each. */
+        /** By the lender's peer index, the latest grant of each. */
         private final Map<Integer, Lease> borrowed = new LinkedHashMap<>();
-        /** Asked and not answered yet, by place. */
+        /** Unanswered requests, by the lender's peer index. */
         private final Map<Integer, LeaseRequest> pendingRequests = new HashMap<>();
 
         private final Map<Integer, Long> refusedUntilUs = new HashMap<>();
@@ -171,8 +173,8 @@
     private int sequence;
 
     /**
-     * @param configured number of sidecars in the configuration: the part of each without a word
-     * @param own        the configuration's limits; one of the same name that operators set later goes before
+     * @param sidecarCount     configured number of sidecars; each has an equal share without any message
+     * @param configuredLimits limits of the configuration; an operator's limit of the same name takes precedence
      */
     public FleetLimits(
             long selfId,
@@ -198,14 +200,14 @@
         refreshDefinitions();
     }
 
-    /** Operators set a limit for the fleet, from here. Throws where its names are too long. */
+    /** Sets a fleet-wide limit on behalf of an operator. Throws if its names are too long. */
     public void setLimit(long now, Limit limit) {
         advance(now);
         store.put(nowUs, Table.LIMITS, Envelope.idOf(limit.name()), limit.encode());
         refreshDefinitions();
     }
 
-    /** False where no limit of the name was set by a call; the configuration's own hold on. */
+    /** Removes an operator's limit; false if none of the name was set. Configured limits stay in force. */
     public boolean removeLimit(long now, String name) {
         advance(now);
         boolean known = store.read(nowUs, Table.LIMITS, Envelope.idOf(name), 0) != null;
@@ -216,31 +218,31 @@
 
     private void refreshDefinitions() {
         Map<Long, Limit> definitions = new LinkedHashMap<>();
-        configuredLimits.forEach(l -> definitions.put(Envelope.idOf(l.name()), l));
-        for (StoredEntry r : store.readAll(nowUs, Table.LIMITS)) {
-            Limit l = Limit.decode(r.value());
-            if (l != null) {
-                definitions.put(r.key(), l);
+        configuredLimits.forEach(limit -> definitions.put(Envelope.idOf(limit.name()), limit));
+        for (StoredEntry entry : store.readAll(nowUs, Table.LIMITS)) {
+            Limit limit = Limit.decode(entry.value());
+            if (limit != null) {
+                definitions.put(entry.key(), limit);
             }
         }
         limits.keySet().retainAll(definitions.keySet());
         definitions.forEach((key, limit) -> {
-            LimitState s = limits.get(key);
-            if (s == null || s.limit.inFlight() != limit.inFlight()) {
-                s = new LimitState();
-                limits.put(key, s);
+            LimitState state = limits.get(key);
+            if (state == null || state.limit.inFlight() != limit.inFlight()) {
+                state = new LimitState();
+                limits.put(key, state);
             }
-            if (s.limit == null || !s.limit.equals(limit)) {
-                if (s.limit != null) {
-                    // Leases are parts of the old limit: none counts for the new one, here or at others.
-                    s.borrowed.clear();
-                    s.pendingRequests.clear();
+            if (state.limit == null || !state.limit.equals(limit)) {
+                if (state.limit != null) {
+                    // Leases are shares of the old limit and don't count for the new one, here or at other members.
+                    state.borrowed.clear();
+                    state.pendingRequests.clear();
                 }
                 environment.logEvent("limit " + limit.name() + ": " + limit.max()
                         + (limit.inFlight() ? " in flight" : " a second") + " for "
                         + limit.scope().name().toLowerCase(java.util.Locale.ROOT) + " " + limit.subject());
             }
-            s.limit = limit;
+            state.limit = limit;
         });
     }
 
@@ -248,16 +250,16 @@
         nowUs = Math.max(nowUs, now);
     }
 
-    /** What is asked of the limit here: requests a second, or in flight, also those that were refused by it. */
+    /** Records the local demand on a limit, in requests per second or in flight, including rejected ones. */
     public void recordDemand(long now, String name, double demand) {
         advance(now);
-        LimitState s = limits.get(Envelope.idOf(name));
-        if (s != null) {
-            s.demand += DEMAND_SMOOTHING * (demand - s.demand);
+        LimitState state = limits.get(Envelope.idOf(name));
+        if (state != null) {
+            state.demand += DEMAND_SMOOTHING * (demand - state.demand);
         }
     }
 
-    /** Renews and asks for more, where the demand wants it. */
+    /** Drops expired leases, and renews or requests leases as the demand requires. */
     public void onTick(long now, long incarnation) {
         advance(now);
         this.incarnation = incarnation;
@@ -265,9 +267,9 @@
         int requestsLeft = MAX_REQUESTS_PER_TICK;
         for (Map.Entry<Long, LimitState> e : limits.entrySet()) {
             LimitState s = e.getValue();
-            s.lent.values().forEach(l -> l.removeIf(lease -> lease.expiresUs <= nowUs));
+            s.lent.values().forEach(leases -> leases.removeIf(lease -> lease.expiresUs <= nowUs));
             s.lent.values().removeIf(List::isEmpty);
-            s.borrowed.values().removeIf(l -> l.expiresUs <= nowUs);
+            s.borrowed.values().removeIf(leases -> leases.expiresUs <= nowUs);
             s.pendingRequests.values().removeIf(a -> a.sentUs + LEASE_US <= nowUs);
             s.refusedUntilUs.values().removeIf(until -> until <= nowUs);
             requestsLeft = requestLeases(e.getKey(), s, requestsLeft);
@@ -278,7 +280,7 @@
         return s.limit.max() / sidecarCount;
     }
 
-    /** What the own part is at least while those whom a process before lent to may use it still. */
+    /** The own share; after a start only its reserved part, as leases granted by an earlier process may still be in use. */
     private double baseShare(LimitState s) {
         return nowUs - startUs < LEASE_US ? RESERVED_SHARE * equalShare(s) : equalShare(s);
     }
@@ -288,25 +290,25 @@
     }
 
     private int requestLeases(long key, LimitState s, int maxRequests) {
-        double wanted = DEMAND_HEADROOM * s.demand;
-        double need = wanted - Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+        double target = DEMAND_HEADROOM * s.demand;
+        double need = target - Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
         int requestsLeft = maxRequests;
-        // First those who have lent: the part that is wanted still.
+        // Renewals first, for the part that is still needed.
         for (Map.Entry<Integer, Lease> e : List.copyOf(s.borrowed.entrySet())) {
-            Lease l = e.getValue();
+            Lease lease = e.getValue();
             if (need <= 0 || requestsLeft == 0) {
                 break;
             }
-            if (l.expiresUs - nowUs < RENEW_BEFORE_US && !hasRecentRequest(s, e.getKey())) {
+            if (lease.expiresUs - nowUs < RENEW_BEFORE_US && !hasRecentRequest(s, e.getKey())) {
                 requestLease(key, s, e.getKey(), Math.min(need, equalShare(s)));
                 requestsLeft--;
             }
-            need -= l.amount;
+            need -= lease.amount;
         }
-        for (Map.Entry<Integer, LeaseRequest> a : s.pendingRequests.entrySet()) {
-            need -= s.borrowed.containsKey(a.getKey()) || nowUs - a.getValue().sentUs > TICK_INTERVAL_US
+        for (Map.Entry<Integer, LeaseRequest> request : s.pendingRequests.entrySet()) {
+            need -= s.borrowed.containsKey(request.getKey()) || nowUs - request.getValue().sentUs > TICK_INTERVAL_US
                     ? 0
-                    : a.getValue().amount;
+                    : request.getValue().amount;
         }
         for (int tries = 4 * requestsLeft;
                 tries > 0 && requestsLeft > 0 && need > 1e-3 * s.limit.max() / sidecarCount;
@@ -337,16 +339,16 @@
         send(peerIndex, LEASE_REQUEST, key, s, sequence, amount);
     }
 
-    private void send(int peerIndex, int type, long key, LimitState s, int number, double amount) {
+    private void send(int peerIndex, int type, long key, LimitState s, int sequence, double amount) {
         ByteBuffer b = ByteBuffer.allocate(SECTION_BYTES);
         Envelope.put48(b, key);
-        b.putShort((short) number).putFloat((float) amount).putFloat((float) s.limit.max());
+        b.putShort((short) sequence).putFloat((float) amount).putFloat((float) s.limit.max());
         environment.send(
                 peerIndex,
                 Envelope.from(selfId, incarnation).addSection(type, b).toBytes(reservedLength));
     }
 
-    /** From the member at this place of the list. */
+    /** Handles a message of the member at this peer index. */
     public void onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
         for (Envelope.Section section : message.sections()) {
@@ -355,26 +357,26 @@
                 continue;
             }
             long key = Envelope.get48(b);
-            int number = b.getShort() & 0xFFFF;
+            int sequence = b.getShort() & 0xFFFF;
             double amount = b.getFloat();
             LimitState s = limits.get(key);
-            // Another size is another limit, of before or to come: their parts don't add up.
+            // A different maximum is an earlier or later definition of the limit, whose shares don't add up with these.
             if (s == null || !(amount >= 0) || b.getFloat() != (float) s.limit.max()) {
                 continue;
             }
             if (section.type() == LEASE_REQUEST) {
-                onLeaseRequest(peerIndex, key, s, message.sender(), number, amount);
+                onLeaseRequest(peerIndex, key, s, message.sender(), sequence, amount);
             } else {
-                onLeaseGrant(peerIndex, s, number, amount);
+                onLeaseGrant(peerIndex, s, sequence, amount);
             }
         }
     }
 
-    private void onLeaseRequest(int peerIndex, long key, LimitState s, long borrower, int number, double amount) {
+    private void onLeaseRequest(int peerIndex, long key, LimitState s, long borrower, int sequence, double amount) {
         List<Lease> leases = s.lent.getOrDefault(borrower, List.of());
-        for (Lease l : leases) {
-            if (l.sequence == number && l.expiresUs > nowUs) {
-                // The network has doubled it: it has its answer.
+        for (Lease lease : leases) {
+            if (lease.sequence == sequence && lease.expiresUs > nowUs) {
+                // A duplicated datagram; the request has been answered.
                 return;
             }
         }
@@ -382,17 +384,17 @@
                 Math.min(equalShare(s), Math.max(RESERVED_SHARE * equalShare(s), DEMAND_HEADROOM * s.demand));
         double free = baseShare(s) - localNeed - s.totalLent(nowUs, borrower);
         boolean full = leases.isEmpty() && s.lent.size() >= MAX_BORROWERS;
-        // As the borrower reads it: a rounding up would be lent twice.
+        // Rounded down to a float, as the borrower receives it: rounding up would exceed the limit.
         double lent = full ? 0 : Math.nextDown((float) Math.max(0, Math.min(amount, free)));
         if (lent > 0) {
-            s.lent.computeIfAbsent(borrower, b -> new ArrayList<>()).add(new Lease(number, lent, nowUs + LEASE_US));
+            s.lent.computeIfAbsent(borrower, b -> new ArrayList<>()).add(new Lease(sequence, lent, nowUs + LEASE_US));
         }
-        send(peerIndex, LEASE_GRANT, key, s, number, Math.max(0, lent));
+        send(peerIndex, LEASE_GRANT, key, s, sequence, Math.max(0, lent));
     }
 
-    private void onLeaseGrant(int peerIndex, LimitState s, int number, double amount) {
+    private void onLeaseGrant(int peerIndex, LimitState s, int sequence, double amount) {
         LeaseRequest request = s.pendingRequests.get(peerIndex);
-        if (request == null || request.sequence != number || nowUs - request.sentUs >= LEASE_US) {
+        if (request == null || request.sequence != sequence || nowUs - request.sentUs >= LEASE_US) {
             return;
         }
         s.pendingRequests.remove(peerIndex);
@@ -401,27 +403,27 @@
         }
         if (amount <= 0) {
             s.refusedUntilUs.put(peerIndex, nowUs + REFUSAL_BACKOFF_US);
-            // An earlier lease of theirs runs on to its own end.
+            // An earlier lease from this lender remains valid until it expires.
             return;
         }
-        s.borrowed.put(peerIndex, new Lease(number, amount, request.sentUs + LEASE_US));
+        s.borrowed.put(peerIndex, new Lease(sequence, amount, request.sentUs + LEASE_US));
     }
 
-    // ---- users ----------------------------------------------------------------------------------------
+    // ---- queries --------------------------------------------------------------------------------------
 
-    /** What the module may use of each limit; told again within half of {@code validUs}. */
+    /** The share of each limit that this sidecar may use. The caller refreshes it within half of {@code validUs}. */
     public List<Share> shares(long now, long validUs) {
         advance(now);
         List<Share> shares = new ArrayList<>();
         for (LimitState s : limits.values()) {
-            double baseShare = Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
-            double share = baseShare;
+            double ownShare = Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+            double share = ownShare;
             long validUntilUs = nowUs + validUs;
-            for (Lease l : s.borrowed.values()) {
-                // One that ends before the next telling would take all the others with it.
-                if (l.expiresUs > nowUs + TICK_INTERVAL_US) {
-                    share += l.amount;
-                    validUntilUs = Math.min(validUntilUs, l.expiresUs);
+            for (Lease lease : s.borrowed.values()) {
+                // A lease that expires before the next refresh would end the validity of all others.
+                if (lease.expiresUs > nowUs + TICK_INTERVAL_US) {
+                    share += lease.amount;
+                    validUntilUs = Math.min(validUntilUs, lease.expiresUs);
                 }
             }
             shares.add(new Share(
@@ -430,7 +432,7 @@
                     s.limit.subject(),
                     s.limit.inFlight(),
                     share,
-                    baseShare,
+                    ownShare,
                     validUntilUs));
         }
         return shares;
--- a/src/main/java/rushproxy/fleet/shared/HybridClock.java
+++ b/src/main/java/rushproxy/fleet/shared/HybridClock.java
@@ -4,32 +4,33 @@
 import java.util.Map;
 
 /**
- * A hybrid logical clock (Kulkarni, Demirbas, Madappa, Avva, Leone 2014): stamps of 48 bits of milliseconds since 1970 and 16
- * bits of order within one, each greater than all that were given or seen before. Two things are added for hosts whose
- * clock is wrong: a stamp further ahead than {@link #MAX_DRIFT_MS} is not taken, and a host that is further off than that
- * from the middle of those it hears goes by theirs. One thread.
+ * Hybrid logical clock (Kulkarni, Demirbas, Madappa, Avva, Leone 2014). Stamps have 48 bits of Unix time in milliseconds and a
+ * 16-bit sequence within a millisecond; each is greater than all that were issued or observed before. Two additions handle hosts
+ * with a wrong clock: stamps further ahead than {@link #MAX_DRIFT_MS} are rejected, and a host that is further than that from the
+ * median of its peers' clocks is corrected to the median. Not thread-safe.
  */
 public final class HybridClock {
-    /** Clocks that are kept by a time service differ by far less; a store's word may be this far from the order of events. */
+    /** Far above the error of synchronised clocks. The order of writes may differ from that of events by up to this. */
     public static final long MAX_DRIFT_MS = 5_000;
-    /** As many members are heard for the middle; with fewer than three nobody can say whose clock is wrong. */
+    /** Peers whose clocks are used for the median, the most recently heard ones. */
     private static final int MAX_PEERS = 15;
-
+    /** With fewer peers it is undecidable whose clock is wrong. */
     private static final int MIN_PEERS = 3;
+
     private static final int SEQUENCE_BITS = 16;
 
     private long lastStamp;
     private long correctionMs;
-    /** How far each is ahead of the own clock, the longest unheard first. */
+    /** By member id, how far its clock is ahead of the local one; the least recently heard first. */
     private final Map<Long, Long> offsetsMs = new LinkedHashMap<>();
 
-    /** A stamp for an event of now. */
+    /** Issues a stamp for an event at this time. */
     public long stamp(long nowUs) {
         lastStamp = Math.max(lastStamp + 1, correctedMs(nowUs) << SEQUENCE_BITS);
         return lastStamp;
     }
 
-    /** The own time, corrected: what the others hear of. */
+    /** The corrected local time, as sent to other members. */
     public long correctedMs(long nowUs) {
         return nowUs / 1_000 + correctionMs;
     }
@@ -38,7 +39,7 @@
         return stamp >>> SEQUENCE_BITS;
     }
 
-    /** False where the stamp is too far ahead to be taken; else what follows is stamped after it. */
+    /** Observes a received stamp, so that later ones are greater; false if it is too far ahead and rejected. */
     public boolean observe(long stamp, long nowUs) {
         if (millisOf(stamp) > correctedMs(nowUs) + MAX_DRIFT_MS) {
             return false;
@@ -48,9 +49,9 @@
     }
 
     /**
-     * A member's own time has come in a datagram.
+     * Records another member's time from a datagram.
      *
-     * @return whether the own time is another by it: what was stamped before may be ahead of all, and wants a new stamp
+     * @return whether it changed the correction of the local clock, so that earlier stamps may be wrong and need renewal
      */
     public boolean onRemoteTime(long member, long remoteMs, long nowUs) {
         offsetsMs.remove(member);
@@ -65,7 +66,7 @@
                 offsetsMs.values().stream().mapToLong(Long::longValue).sorted().toArray();
         long median = sorted[sorted.length / 2];
         long newCorrectionMs = Math.abs(median) > MAX_DRIFT_MS ? median : 0;
-        // The middle moves a little with each datagram; time that does so too would be no time.
+        // The median changes slightly with each datagram; the correction must not follow these fluctuations.
         if (Math.abs(newCorrectionMs - correctionMs) <= MAX_DRIFT_MS) {
             return false;
         }
@@ -74,7 +75,7 @@
         return true;
     }
 
-    /** By how much the own clock is corrected; 0 where it goes well. */
+    /** Correction applied to the local clock; 0 if it is accurate enough. */
     public long correctionMs() {
         return correctionMs;
     }
--- a/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
+++ b/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
@@ -15,44 +15,46 @@
 import rushproxy.fleet.PeerDirectory;
 
 /**
- * A small replicated store of a sidecar, without I/O: entries with one last writer by {@link HybridClock}, told on while they
- * are news (Demers et al. 1987, rumours; as deltas, Almeida, Shoker, Baquero 2018) and compared with one other each second by a
- * tree of two levels of hashes, so that what was missed is found. One thread; equal calls give equal results.
+ * Small replicated last-writer-wins store. Entries are ordered by {@link HybridClock}, gossiped while they are new (rumour
+ * mongering, Demers et al. 1987; as deltas, Almeida, Shoker, Baquero 2018) and compared with one random member per second by a
+ * two-level hash tree, so that missed updates are repaired. Performs no I/O and is deterministic: equal calls give equal
+ * results. Not thread-safe.
  *
- * <p>What one alone knows of an owned table whose writer has gone stays with that one: it counts nowhere else.
+ * <p>Entries with a lease carry the remaining time instead of an expiry timestamp, so that they expire even if clocks are wrong.
+ * An entry of an owned table is accepted only from its writer or from two other members, so that a malicious member can write
+ * only in its own name. An entry that only one member has after its writer has gone is therefore not accepted anywhere else.
  *
- * <p>Entries with a lease carry the time that is left, not an end by the clock: no clock has to be right for them to end.
- * An entry of an owned table counts only from its writer, or from two others: one that lies can write in its own name alone.
- *
- * <p>Not taken: one table of all members' words (its size grows with the fleet), and signatures, which 256 bytes don't hold.
+ * <p>Two alternatives were rejected: one table of all members' statements, whose size grows with the fleet, and signatures,
+ * which don't fit into datagrams of 256 bytes.
  */
 public final class ReplicatedStore {
-    /** Call {@link #onTick} this often. */
+    /** Interval at which {@link #onTick} is to be called. */
     public static final long TICK_INTERVAL_US = 100_000;
 
     static final long COMPARE_INTERVAL_US = 1_000_000;
     private static final long JOIN_PHASE_US = 2_000_000;
-    /** Reads hold while somebody was heard within this: three comparisons, each with its answer. */
+    /** Reads are fresh while a message was received within this time: enough for three comparisons, each with its answer. */
     public static final long CONTACT_TIMEOUT_US = 5_000_000;
-    /** A change is told on so many times log2 of the fleet's size datagrams. */
+    /** An update is sent on this number times log2 of the fleet's size datagrams. */
     private static final double RETRANSMIT_FACTOR = 2;
-    /** Members told at a tick; more by the writer, whose word alone needs no second. */
+    /** Members that get updates at a tick. */
     private static final int GOSSIP_FANOUT = 2;
-
+    /** The same for a writer's own updates, which alone need no confirmation by a second member. */
     private static final int WRITER_GOSSIP_FANOUT = 6;
-    /** Of changes that others have told us already, so many tellings are saved. */
+    /** Transmissions saved when another member already has the update. */
     private static final int DUPLICATE_DISCOUNT = 1;
 
     private static final int TREE_FANOUT = 32;
     private static final int MAX_LEAF_SECTIONS = 3;
-    /** Entries that one exchange sends at most. */
+    /** Datagrams with entries per answer of a comparison. */
     private static final int MAX_REPAIR_DATAGRAMS = 3;
-    /** Of one sender, and of all, as yet unconfirmed. */
+    /** Unconfirmed entries kept per sender. */
     private static final int MAX_PENDING_PER_SENDER = 64;
-
+    /** Unconfirmed entries kept in all. */
     private static final int MAX_PENDING = 512;
+
     private static final long PENDING_TIMEOUT_US = 10_000_000;
-    /** What has less than this left is not compared: it ends here and there at about that time. */
+    /** Entries with less of their lease left are not compared: they expire at slightly different times at each member. */
     private static final long MIN_COMPARED_LEASE_US = 1_000_000;
 
     private static final long SWEEP_INTERVAL_US = 500_000;
@@ -68,11 +70,11 @@
     private static final int LEAVES = 23;
     private static final int REQUEST = 24;
 
-    /** A record's own {@code equals} and {@code hashCode} are made at their first call, which holds the event loop up. */
-    private record EntryKey(int table, long key, long writer) {
+    /** Explicit {@code equals} and {@code hashCode}: a record's own are generated at their first call, which blocks the event loop. */
+    private record EntryId(int table, long key, long writer) {
         @Override
         public boolean equals(Object o) {
-            return o instanceof EntryKey other && table == other.table && key == other.key && writer == other.writer;
+            return o instanceof EntryId other && table == other.table && key == other.key && writer == other.writer;
         }
 
         @Override
@@ -81,18 +83,18 @@
         }
     }
 
-    /** {@code value} is null where it was taken back. */
+    /** One version of an entry; {@code value} is null for a tombstone. */
     private static final class Entry {
-        private final EntryKey id;
+        private final EntryId id;
         private final long writer;
         private final byte[] value;
         private final long stamp;
-        /** {@code Long.MAX_VALUE} for no end. */
+        /** {@code Long.MAX_VALUE} for no expiry. */
         private final long expiresUs;
 
         private final long rank;
 
-        Entry(Table t, EntryKey id, long writer, byte[] value, long stamp, long untilUs) {
+        Entry(Table t, EntryId id, long writer, byte[] value, long stamp, long expiresUs) {
             rank = t.ranked() && value != null && value.length >= Long.BYTES
                     ? ByteBuffer.wrap(value).getLong()
                     : 0;
@@ -100,7 +102,7 @@
             this.writer = writer;
             this.value = value;
             this.stamp = stamp;
-            this.expiresUs = untilUs;
+            this.expiresUs = expiresUs;
         }
 
         boolean supersedes(Entry other) {
@@ -120,7 +122,7 @@
         }
     }
 
-    /** {@code peerIndex} is the place of the one who told it: names can be made up, places can't. */
+    /** An unconfirmed entry. {@code peerIndex} identifies the sender, as a member can forge names but not its peer index. */
     private record Pending(Entry entry, int peerIndex, long receivedUs) {}
 
     private final long selfId;
@@ -131,10 +133,10 @@
     private final SplittableRandom random;
     private final HybridClock clock = new HybridClock();
     private final Map<Integer, Table> tables = new LinkedHashMap<>();
-    private final Map<Integer, Map<EntryKey, Entry>> entries = new HashMap<>();
-    private final Map<EntryKey, Pending> unconfirmed = new LinkedHashMap<>();
-    /** What is news, and how often it is still to be told. */
-    private final Map<EntryKey, Integer> pendingUpdates = new LinkedHashMap<>();
+    private final Map<Integer, Map<EntryId, Entry>> entries = new HashMap<>();
+    private final Map<EntryId, Pending> unconfirmed = new LinkedHashMap<>();
+    /** Entries to be gossiped and the number of datagrams that are still to carry each. */
+    private final Map<EntryId, Integer> pendingUpdates = new LinkedHashMap<>();
 
     private final long startUs;
     private long incarnation;
@@ -145,9 +147,9 @@
     private final Map<String, Long> loggedUs = new HashMap<>();
 
     /**
-     * @param me    the own member's id
-     * @param part  the bit by which members say that they have a store
-     * @param taken a datagram's length that is somebody else's, -1 for none
+     * @param selfId         id of the local member
+     * @param feature        feature bit of members that have a store
+     * @param reservedLength datagram length used by another protocol on the same socket, -1 for none
      */
     public ReplicatedStore(
             long selfId,
@@ -173,11 +175,11 @@
         }
     }
 
-    // ---- users --------------------------------------------------------------------------------------
+    // ---- reads and writes ---------------------------------------------------------------------------
 
     /**
-     * Writes, or renews, the own entry of an owned table, or the one entry of another. The value is the store's own then. Of a
-     * ranked table the caller sees to it that the rank is no lower than what is there.
+     * Writes or renews the local member's entry of an owned table, or the single entry of any other table. The store takes
+     * ownership of the value. In a ranked table the caller makes sure that the rank is not lower than that of the stored value.
      */
     public void put(long now, Table t, long key, byte[] value) {
         if (value.length > t.maxValueBytes()) {
@@ -187,9 +189,9 @@
         write(now, t, key, value);
     }
 
-    /** Takes it back: all forget it, and a grave keeps old copies from coming back. */
+    /** Removes an entry at all members. A tombstone keeps old copies from returning. */
     public void remove(long now, Table t, long key) {
-        Entry entry = entries.get(t.id()).get(keyOf(t, key, selfId));
+        Entry entry = entries.get(t.id()).get(idOf(t, key, selfId));
         if (entry != null && entry.value != null) {
             write(now, t, key, null);
         }
@@ -200,7 +202,7 @@
         long lifetimeMs = value == null ? t.tombstoneMs() : t.leaseMs();
         Entry entry = new Entry(
                 t,
-                keyOf(t, key, selfId),
+                idOf(t, key, selfId),
                 selfId,
                 value,
                 clock.stamp(nowUs),
@@ -208,52 +210,61 @@
         install(t, entry);
     }
 
-    /** Null where nothing is known, or no more. */
+    /** Null if there is no entry, or it has expired or was removed. */
     public StoredEntry read(long now, Table t, long key, long writer) {
         advance(now);
-        Entry h = entries.get(t.id()).get(keyOf(t, key, writer));
-        return h == null || h.value == null || h.expiresUs <= nowUs ? null : toStoredEntry(t, h);
+        Entry entry = entries.get(t.id()).get(idOf(t, key, writer));
+        return entry == null || entry.value == null || entry.expiresUs <= nowUs ? null : toStoredEntry(t, entry);
     }
 
-    /** All that is known of a table and has not ended, in no order. */
+    /** All entries of a table that have a value and have not expired, in no order. */
     public List<StoredEntry> readAll(long now, Table t) {
         advance(now);
         List<StoredEntry> all = new ArrayList<>();
-        for (Entry h : entries.get(t.id()).values()) {
-            if (h.value != null && h.expiresUs > nowUs) {
-                all.add(toStoredEntry(t, h));
+        for (Entry entry : entries.get(t.id()).values()) {
+            if (entry.value != null && entry.expiresUs > nowUs) {
+                all.add(toStoredEntry(t, entry));
             }
         }
         return all;
     }
 
-    private StoredEntry toStoredEntry(Table t, Entry h) {
+    private StoredEntry toStoredEntry(Table t, Entry entry) {
         long ageUs = t.leaseMs() > 0
-                ? t.leaseMs() * 1_000 - (h.expiresUs - nowUs)
-                : Math.max(0, (clock.correctedMs(nowUs) - HybridClock.millisOf(h.stamp)) * 1_000);
-        boolean own = h.writer == selfId;
+                ? t.leaseMs() * 1_000 - (entry.expiresUs - nowUs)
+                : Math.max(0, (clock.correctedMs(nowUs) - HybridClock.millisOf(entry.stamp)) * 1_000);
+        boolean own = entry.writer == selfId;
         return new StoredEntry(
-                h.id.key, h.writer, h.value.clone(), ageUs, own || nowUs - lastContactUs < CONTACT_TIMEOUT_US);
+                entry.id.key,
+                entry.writer,
+                entry.value.clone(),
+                ageUs,
+                own || nowUs - lastContactUs < CONTACT_TIMEOUT_US);
     }
 
     long selfId() {
         return selfId;
     }
 
-    /** Entries that are kept, graves with them: what its bounds bound. */
+    /** Number of entries that are held, including tombstones, as the bounds of the tables count them. */
     public int size() {
         return entries.values().stream().mapToInt(Map::size).sum();
     }
 
-    /** A hash of all that has a value, of these writers and since these milliseconds where they own it; equal where two hold the same. */
+    /**
+     * Hash of all entries with a value, equal for stores with equal content. Entries of owned tables count only if written since
+     * {@code sinceMs} of their writer.
+     */
     public long fingerprint(long now, LongUnaryOperator sinceMs) {
         advance(now);
         long sum = 0;
-        for (Map.Entry<Integer, Map<EntryKey, Entry>> table : entries.entrySet()) {
-            for (Entry h : table.getValue().values()) {
+        for (Map.Entry<Integer, Map<EntryId, Entry>> table : entries.entrySet()) {
+            for (Entry entry : table.getValue().values()) {
                 boolean counts = !tables.get(table.getKey()).owned()
-                        || HybridClock.millisOf(h.stamp) >= sinceMs.applyAsLong(h.writer);
-                sum += counts && h.expiresUs > nowUs && h.value != null ? hashOf(h, Arrays.hashCode(h.value)) : 0;
+                        || HybridClock.millisOf(entry.stamp) >= sinceMs.applyAsLong(entry.writer);
+                sum += counts && entry.expiresUs > nowUs && entry.value != null
+                        ? hashOf(entry, Arrays.hashCode(entry.value))
+                        : 0;
             }
         }
         return sum;
@@ -261,7 +272,7 @@
 
     // ---- time ---------------------------------------------------------------------------------------
 
-    /** {@code incarnation} is the own member's at this time. */
+    /** {@code incarnation}: the current one of the local member. */
     public void onTick(long now, long incarnation) {
         advance(now);
         this.incarnation = incarnation;
@@ -271,13 +282,13 @@
         }
         boolean hasOwnUpdates = pendingUpdates.keySet().stream().anyMatch(id -> id.writer == selfId);
         for (int i = 0; i < (hasOwnUpdates ? WRITER_GOSSIP_FANOUT : GOSSIP_FANOUT) && !pendingUpdates.isEmpty(); i++) {
-            int to = peers.randomPeer(feature, random);
-            if (to >= 0) {
-                environment.send(to, addUpdates(newEnvelope()).toBytes(reservedLength));
+            int peerIndex = peers.randomPeer(feature, random);
+            if (peerIndex >= 0) {
+                environment.send(peerIndex, addUpdates(newEnvelope()).toBytes(reservedLength));
             }
         }
         if (nowUs >= nextCompareUs) {
-            // Who has just come has missed all.
+            // After a start everything is missing, so comparisons run at every tick.
             nextCompareUs = nowUs - startUs < JOIN_PHASE_US
                     ? nowUs + TICK_INTERVAL_US
                     : Math.max(nextCompareUs + COMPARE_INTERVAL_US, nowUs + COMPARE_INTERVAL_US / 2);
@@ -290,8 +301,8 @@
     }
 
     private void removeExpired() {
-        for (Map<EntryKey, Entry> table : entries.values()) {
-            table.values().removeIf(h -> h.expiresUs <= nowUs);
+        for (Map<EntryId, Entry> table : entries.values()) {
+            table.values().removeIf(entry -> entry.expiresUs <= nowUs);
         }
         unconfirmed.values().removeIf(p -> p.receivedUs + PENDING_TIMEOUT_US <= nowUs);
     }
@@ -302,50 +313,50 @@
         return Envelope.from(selfId, incarnation).addSection(CLOCK, b);
     }
 
-    /** The first in line are told and go to its end, or out of it. */
+    /** Adds updates from the head of the queue and puts them back at the tail until their limit is reached. */
     private Envelope addUpdates(Envelope e) {
         ByteBuffer b = ByteBuffer.allocate(Math.max(0, e.remainingBytes()));
-        Map<EntryKey, Integer> requeued = new LinkedHashMap<>();
-        for (Iterator<Map.Entry<EntryKey, Integer>> i =
-                        pendingUpdates.entrySet().iterator();
+        Map<EntryId, Integer> requeued = new LinkedHashMap<>();
+        for (Iterator<Map.Entry<EntryId, Integer>> i = pendingUpdates.entrySet().iterator();
                 i.hasNext() && b.remaining() > ENTRY_HEADER_BYTES; ) {
-            Map.Entry<EntryKey, Integer> n = i.next();
-            Entry h = entries.get(n.getKey().table).get(n.getKey());
-            if (h != null && h.expiresUs > nowUs && !encodeEntry(b, h)) {
+            Map.Entry<EntryId, Integer> update = i.next();
+            Entry entry = entries.get(update.getKey().table).get(update.getKey());
+            if (entry != null && entry.expiresUs > nowUs && !encodeEntry(b, entry)) {
                 break;
             }
             i.remove();
-            if (h != null && n.getValue() > 1) {
-                requeued.put(n.getKey(), n.getValue() - 1);
+            if (entry != null && update.getValue() > 1) {
+                requeued.put(update.getKey(), update.getValue() - 1);
             }
         }
         pendingUpdates.putAll(requeued);
         return b.position() == 0 ? e : e.addSection(ENTRIES, b);
     }
 
-    /** False where it has no room. */
-    private boolean encodeEntry(ByteBuffer b, Entry h) {
-        int length = h.value == null ? 0 : h.value.length;
+    /** False if it does not fit. */
+    private boolean encodeEntry(ByteBuffer b, Entry entry) {
+        int length = entry.value == null ? 0 : entry.value.length;
         if (b.remaining() < ENTRY_HEADER_BYTES + length) {
             return false;
         }
-        b.put((byte) (h.id.table | (h.value == null ? TOMBSTONE_FLAG : 0)));
-        Envelope.put48(b, h.id.key);
-        Envelope.put48(b, h.writer);
-        b.putLong(h.stamp).putInt(h.expiresUs == Long.MAX_VALUE ? NO_EXPIRY : (int) ((h.expiresUs - nowUs) / 1_000));
+        b.put((byte) (entry.id.table | (entry.value == null ? TOMBSTONE_FLAG : 0)));
+        Envelope.put48(b, entry.id.key);
+        Envelope.put48(b, entry.writer);
+        b.putLong(entry.stamp)
+                .putInt(entry.expiresUs == Long.MAX_VALUE ? NO_EXPIRY : (int) ((entry.expiresUs - nowUs) / 1_000));
         b.put((byte) length);
         if (length > 0) {
-            b.put(h.value);
+            b.put(entry.value);
         }
         return true;
     }
 
-    // ---- comparing ------------------------------------------------------------------------------------
+    // ---- anti-entropy ---------------------------------------------------------------------------------
 
-    /** The upper level of the tree goes to one member; equal stores end it with that. */
+    /** Sends the upper level of the tree to a random member, which answers only if the stores differ. */
     private void startComparison() {
-        int to = peers.randomPeer(feature, random);
-        if (to < 0) {
+        int peerIndex = peers.randomPeer(feature, random);
+        if (peerIndex < 0) {
             return;
         }
         int salt = random.nextInt();
@@ -353,20 +364,23 @@
         for (long hash : treeHashes(salt, -1)) {
             b.putInt((int) hash);
         }
-        environment.send(to, newEnvelope().addSection(DIGEST, b).toBytes(reservedLength));
+        environment.send(peerIndex, newEnvelope().addSection(DIGEST, b).toBytes(reservedLength));
     }
 
-    /** Of the buckets, or of the leaves of one: sums, so that the order does not matter; salted, so that no two stay equal by chance. */
+    /**
+     * Hashes of all buckets, or for {@code bucket >= 0} of its leaves. They are sums, so that the order does not matter, and
+     * salted, so that a collision does not persist.
+     */
     private long[] treeHashes(int salt, int bucket) {
         long[] hashes = new long[TREE_FANOUT];
-        for (Map<EntryKey, Entry> table : entries.values()) {
-            for (Entry h : table.values()) {
-                if (h.expiresUs - MIN_COMPARED_LEASE_US > nowUs) {
-                    int place = treePosition(h.id);
+        for (Map<EntryId, Entry> table : entries.values()) {
+            for (Entry entry : table.values()) {
+                if (entry.expiresUs - MIN_COMPARED_LEASE_US > nowUs) {
+                    int position = treePosition(entry.id);
                     if (bucket < 0) {
-                        hashes[place >>> 5 & TREE_FANOUT - 1] += hashOf(h, salt);
-                    } else if ((place >>> 5 & TREE_FANOUT - 1) == bucket) {
-                        hashes[place & TREE_FANOUT - 1] += hashOf(h, salt);
+                        hashes[position >>> 5 & TREE_FANOUT - 1] += hashOf(entry, salt);
+                    } else if ((position >>> 5 & TREE_FANOUT - 1) == bucket) {
+                        hashes[position & TREE_FANOUT - 1] += hashOf(entry, salt);
                     }
                 }
             }
@@ -374,11 +388,11 @@
         return hashes;
     }
 
-    private static long hashOf(Entry h, long salt) {
-        return mix(h.id.key ^ Long.rotateLeft(h.writer, 21) ^ mix(h.stamp ^ salt << 32 ^ h.id.table));
+    private static long hashOf(Entry entry, long salt) {
+        return mix(entry.id.key ^ Long.rotateLeft(entry.writer, 21) ^ mix(entry.stamp ^ salt << 32 ^ entry.id.table));
     }
 
-    private static int treePosition(EntryKey id) {
+    private static int treePosition(EntryId id) {
         return (int) mix(id.key ^ Long.rotateLeft(id.writer, 17) ^ (long) id.table << 56);
     }
 
@@ -400,17 +414,17 @@
         Envelope e = newEnvelope();
         for (int n = 0; n < MAX_LEAF_SECTIONS && !differing.isEmpty(); n++) {
             int bucket = differing.remove(random.nextInt(differing.size()));
-            ByteBuffer l =
+            ByteBuffer leaves =
                     ByteBuffer.allocate(5 + 2 * TREE_FANOUT).put((byte) bucket).putInt(salt);
             for (long hash : treeHashes(salt, bucket)) {
-                l.putShort((short) hash);
+                leaves.putShort((short) hash);
             }
-            e.addSection(LEAVES, l);
+            e.addSection(LEAVES, leaves);
         }
         environment.send(peerIndex, e.toBytes(reservedLength));
     }
 
-    /** Where leaves differ the own entries go out and the other's are asked for. */
+    /** Sends the entries of differing leaves and requests those of the other member. */
     private void onLeaves(int peerIndex, ByteBuffer b) {
         if (b.remaining() < 5 + 2 * TREE_FANOUT) {
             return;
@@ -429,15 +443,15 @@
         }
     }
 
-    private void sendEntries(int to, int bucket, int mask) {
+    private void sendEntries(int peerIndex, int bucket, int mask) {
         List<Entry> wanted = new ArrayList<>();
-        for (Map<EntryKey, Entry> table : entries.values()) {
-            for (Entry h : table.values()) {
-                int place = treePosition(h.id);
-                if ((place >>> 5 & TREE_FANOUT - 1) == bucket
-                        && (mask & 1 << (place & TREE_FANOUT - 1)) != 0
-                        && h.expiresUs > nowUs) {
-                    wanted.add(h);
+        for (Map<EntryId, Entry> table : entries.values()) {
+            for (Entry entry : table.values()) {
+                int position = treePosition(entry.id);
+                if ((position >>> 5 & TREE_FANOUT - 1) == bucket
+                        && (mask & 1 << (position & TREE_FANOUT - 1)) != 0
+                        && entry.expiresUs > nowUs) {
+                    wanted.add(entry);
                 }
             }
         }
@@ -447,22 +461,22 @@
             while (!wanted.isEmpty() && encodeEntry(b, wanted.get(wanted.size() - 1))) {
                 wanted.remove(wanted.size() - 1);
             }
-            environment.send(to, e.addSection(ENTRIES, b).toBytes(reservedLength));
+            environment.send(peerIndex, e.addSection(ENTRIES, b).toBytes(reservedLength));
         }
     }
 
-    // ---- datagrams ------------------------------------------------------------------------------------
+    // ---- messages -------------------------------------------------------------------------------------
 
-    /** From the member at this place of the list, which has been taken for the letter's sender; what can't be true is left out. */
+    /** Handles a message whose sender has been verified to be the member at this peer index. Implausible content is ignored. */
     public void onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
         if (message.sender() == selfId) {
             return;
         }
         recordContact();
-        for (Envelope.Section s : message.sections()) {
-            ByteBuffer b = ByteBuffer.wrap(s.bytes());
-            switch (s.type()) {
+        for (Envelope.Section section : message.sections()) {
+            ByteBuffer b = ByteBuffer.wrap(section.bytes());
+            switch (section.type()) {
                 case CLOCK -> onClock(message.sender(), b);
                 case ENTRIES -> onEntries(message.sender(), peerIndex, b);
                 case DIGEST -> onDigest(peerIndex, b);
@@ -482,34 +496,34 @@
             return;
         }
         if (clock.onRemoteTime(sender, Envelope.get48(b), nowUs)) {
-            environment.logEvent(
-                    "the own clock is off by " + -clock.correctionMs() + " ms of the others', and is corrected by it");
-            // What it has written is ahead of all time, or will be passed by what was written before it.
-            for (Map.Entry<Integer, Map<EntryKey, Entry>> table : entries.entrySet()) {
-                for (Entry h : List.copyOf(table.getValue().values())) {
-                    if (h.writer == selfId) {
+            environment.logEvent("the local clock is off by " + -clock.correctionMs()
+                    + " ms from the median of the fleet, corrected");
+            // Entries written with the wrong clock would win over later writes, or lose to earlier ones.
+            for (Map.Entry<Integer, Map<EntryId, Entry>> table : entries.entrySet()) {
+                for (Entry entry : List.copyOf(table.getValue().values())) {
+                    if (entry.writer == selfId) {
                         install(
                                 tables.get(table.getKey()),
                                 new Entry(
                                         tables.get(table.getKey()),
-                                        h.id,
+                                        entry.id,
                                         selfId,
-                                        h.value,
+                                        entry.value,
                                         clock.stamp(nowUs),
-                                        h.expiresUs));
+                                        entry.expiresUs));
                     }
                 }
             }
         }
     }
 
-    /** Who was alone for longer than graves are kept may hold what was taken back long ago. */
+    /** After an isolation longer than tombstones are kept, entries without expiry may have been removed elsewhere and are dropped. */
     private void recordContact() {
         if (lastContactUs != NEVER && nowUs - lastContactUs > Table.TOMBSTONE_MS * 1_000) {
             int before = size();
-            entries.values().forEach(t -> t.values().removeIf(h -> h.expiresUs == Long.MAX_VALUE));
+            entries.values().forEach(t -> t.values().removeIf(entry -> entry.expiresUs == Long.MAX_VALUE));
             environment.logEvent(
-                    "was alone for longer than a day: " + (before - size()) + " entries without an end are forgotten");
+                    "was isolated for more than a day: " + (before - size()) + " entries without expiry are dropped");
         }
         lastContactUs = nowUs;
     }
@@ -540,8 +554,8 @@
             if (!clock.observe(stamp, nowUs)) {
                 logRateLimited(
                         "ahead",
-                        peers.nameOf(sender) + " tells of what is more than " + HybridClock.MAX_DRIFT_MS
-                                + " ms ahead of this clock: left out");
+                        peers.nameOf(sender) + " sent an entry more than " + HybridClock.MAX_DRIFT_MS
+                                + " ms ahead of the local clock: ignored");
                 continue;
             }
             merge(
@@ -550,7 +564,7 @@
                     peerIndex,
                     new Entry(
                             t,
-                            keyOf(t, key, writer),
+                            idOf(t, key, writer),
                             writer,
                             tombstone ? null : value,
                             stamp,
@@ -567,31 +581,32 @@
             if (!current.isSameVersion(received)) {
                 pendingUpdates.putIfAbsent(current.id, 1);
             } else {
-                // Known there too: the fewer tellings are left to do.
+                // The sender has the same version, so fewer transmissions are needed.
                 pendingUpdates.computeIfPresent(
                         current.id, (id, left) -> left > DUPLICATE_DISCOUNT ? left - DUPLICATE_DISCOUNT : null);
             }
             return;
         }
         if (received.writer == selfId) {
-            // A process of this name wrote it before us: what we have is later, or will be by the clock that saw it.
+            // Written by an earlier process of this name: a local value is restamped, so that it wins.
             if (current != null) {
                 install(t, new Entry(t, current.id, selfId, current.value, clock.stamp(nowUs), current.expiresUs));
                 return;
             }
         }
-        // Where all may write, whoever lies may do so in its own name: there is nothing to confirm.
+        // Only owned tables need confirmation: in others a malicious member could write in its own name anyway.
         if (t.owned() && sender != received.writer) {
-            Pending p = unconfirmed.get(received.id);
-            boolean confirmed = p != null && p.peerIndex != peerIndex && p.entry.isSameVersion(received);
+            Pending pending = unconfirmed.get(received.id);
+            boolean confirmed =
+                    pending != null && pending.peerIndex != peerIndex && pending.entry.isSameVersion(received);
             if (!confirmed) {
-                boolean newer = p == null || received.supersedes(p.entry);
+                boolean newer = pending == null || received.supersedes(pending.entry);
                 long unconfirmedOfSender = unconfirmed.values().stream()
                         .filter(o -> o.peerIndex == peerIndex)
                         .count();
                 if (newer
                         && unconfirmedOfSender < MAX_PENDING_PER_SENDER
-                        && (p != null || unconfirmed.size() < MAX_PENDING)) {
+                        && (pending != null || unconfirmed.size() < MAX_PENDING)) {
                     unconfirmed.put(received.id, new Pending(received, peerIndex, nowUs));
                 }
                 return;
@@ -601,31 +616,31 @@
         install(t, received);
     }
 
-    private void install(Table t, Entry h) {
-        Map<EntryKey, Entry> table = entries.get(t.id());
-        table.put(h.id, h);
+    private void install(Table t, Entry entry) {
+        Map<EntryId, Entry> table = entries.get(t.id());
+        table.put(entry.id, entry);
         int log = 32 - Integer.numberOfLeadingZeros(Math.max(2, peers.size()));
-        pendingUpdates.remove(h.id);
-        pendingUpdates.put(
-                h.id, (int) Math.ceil(RETRANSMIT_FACTOR * log * (h.writer == selfId ? WRITER_GOSSIP_FANOUT : 1)));
+        pendingUpdates.remove(entry.id);
+        pendingUpdates.put(entry.id, (int)
+                Math.ceil(RETRANSMIT_FACTOR * log * (entry.writer == selfId ? WRITER_GOSSIP_FANOUT : 1)));
         if (t.owned()) {
-            evictExcess(t, table, h.id.key, t.maxWritersPerKey(), "writers of one key");
+            evictExcess(t, table, entry.id.key, t.maxWritersPerKey(), "writers of one key");
         }
         evictExcess(t, table, -1, t.maxEntries(), "entries");
     }
 
-    /** Of the key's entries, or of all with -1, the last in an order that all share go, and all keep the same. */
-    private void evictExcess(Table t, Map<EntryKey, Entry> table, long key, int max, String what) {
+    /** Evicts the last entry of a key (of the table for -1) in an order common to all members, so that all keep the same ones. */
+    private void evictExcess(Table t, Map<EntryId, Entry> table, long key, int max, String what) {
         int count = 0;
         Entry last = null;
         if (key < 0 && table.size() <= max) {
             return;
         }
-        for (Entry h : table.values()) {
-            if (key < 0 || h.id.key == key) {
+        for (Entry entry : table.values()) {
+            if (key < 0 || entry.id.key == key) {
                 count++;
-                last = last == null || Integer.compareUnsigned(treePosition(h.id), treePosition(last.id)) > 0
-                        ? h
+                last = last == null || Integer.compareUnsigned(treePosition(entry.id), treePosition(last.id)) > 0
+                        ? entry
                         : last;
             }
         }
@@ -639,7 +654,7 @@
         }
     }
 
-    /** The same is not said twice within a minute. */
+    /** Logs at most one event per topic and {@link #LOG_INTERVAL_US}. */
     private void logRateLimited(String topic, String text) {
         Long lastUs = loggedUs.get(topic);
         if (lastUs == null || nowUs - lastUs > LOG_INTERVAL_US) {
@@ -648,8 +663,8 @@
         }
     }
 
-    private static EntryKey keyOf(Table t, long key, long writer) {
-        return new EntryKey(t.id(), key, t.owned() ? writer : 0);
+    private static EntryId idOf(Table t, long key, long writer) {
+        return new EntryId(t.id(), key, t.owned() ? writer : 0);
     }
 
     /** Stafford's variant 13. */
--- a/src/main/java/rushproxy/fleet/shared/Table.java
+++ b/src/main/java/rushproxy/fleet/shared/Table.java
@@ -1,16 +1,16 @@
 package rushproxy.fleet.shared;
 
 /**
- * One kind of shared entries and its bounds, the same at all sidecars of a version; an entry of a table that a sidecar does not
- * know is skipped there.
+ * A table of the {@link ReplicatedStore} with its bounds, the same at all sidecars of one version. Sidecars skip entries of
+ * unknown tables.
  *
- * @param id         on the wire, 1 to 127
- * @param owned      each writer has entries of its own, which nobody else writes; else one entry a key, and the last writer's holds
- * @param most       entries kept at one sidecar; past it those go whose place in an order that all share is the last
- * @param mostPerKey writers kept of one key, by the same order
- * @param mostBytes  of one value
- * @param ranked     the first eight bytes of a value are its rank, and the higher goes before the later: orders that are fenced
- * @param leaseMs    an entry ends so long after it was written or renewed, and its age is at most this; 0: it does not end
+ * @param id               on the wire, 1 to 127
+ * @param owned            whether each writer has its own entry of a key; otherwise a key has one entry and the last writer wins
+ * @param ranked           whether the first eight bytes of a value are its rank (a fencing token), which precedes the timestamp
+ * @param maxEntries       entries kept at one sidecar; beyond it the last ones in an order common to all sidecars are evicted
+ * @param maxWritersPerKey writers kept per key, evicted in the same order
+ * @param maxValueBytes    of one value
+ * @param leaseMs          lifetime of an entry after it was written or renewed; 0 for no expiry
  */
 public record Table(
         int id,
@@ -21,17 +21,20 @@
         int maxWritersPerKey,
         int maxValueBytes,
         long leaseMs) {
-    /** What is taken back is remembered for so long: a lease for what has one, a day for what has none. */
+    /** Lifetime of tombstones in tables without a lease; in others it is the lease. */
     static final long TOMBSTONE_MS = 86_400_000;
 
-    /** What is known of servers. Three witnesses tell as much as a hundred; two more may be wrong, or leave. Room for some 1,200 servers. */
+    /**
+     * Witness reports on servers. Three witnesses per server are as good as a hundred; two more may be wrong or leave. Holds about
+     * 1,200 servers.
+     */
     public static final Table VERDICTS = new Table(1, "verdicts", true, false, 6_144, 5, 8, 15_000);
-    /** The operators' fleet-wide limits: few, and they stay. */
+    /** Fleet-wide limits set by operators: few, and without expiry. */
     public static final Table LIMITS = new Table(2, "limits", false, false, 64, 1, 48, 0);
-    /** Counters by writer and incarnation, of 2,048 processes four each; a quiet one is forgotten after a quarter of an hour. */
+    /** Counters by writer and incarnation, four for each of 2,048 processes; one that is not renewed expires after 15 minutes. */
     public static final Table COUNTS = new Table(3, "counts", true, false, 8_192, 2_048, 24, 900_000);
 
-    /** What releases order: by epoch of the controller, then by its steps. Forgotten a day after its last step. */
+    /** Orders of releases, ranked by the controller's epoch and then by its step. They expire a day after the last step. */
     public static final Table ORDERS = new Table(4, "orders", false, true, 16, 1, 96, TOMBSTONE_MS);
 
     long tombstoneMs() {
--- a/src/main/java/rushproxy/fleet/shared/Verdicts.java
+++ b/src/main/java/rushproxy/fleet/shared/Verdicts.java
@@ -17,39 +17,40 @@
 import rushproxy.fleet.PeerDirectory;
 
 /**
- * What the fleet says of its servers: each sidecar writes what it has seen itself and nothing that it heard; a verdict needs
- * independent witnesses and ends by itself. Without I/O; one thread.
+ * The fleet's verdicts on servers. Each sidecar publishes only what it has observed itself; a verdict needs independent
+ * witnesses and expires. Performs no I/O. Not thread-safe.
  *
- * <p>Bounds: at most {@link #MAX_EJECTED_FRACTION} of the servers are out by verdicts, and past it none is (Envoy's panic threshold); a sidecar
- * that accuses more than {@link #MAX_ACCUSED_FRACTION} of them is itself the suspect and counts for none of them. So no one member
- * and no two cost the fleet a server that a third finds good, and no number of them costs it more than that part.
+ * <p>Bounds: verdicts eject at most {@link #MAX_EJECTED_FRACTION} of the servers, and beyond it none (like Envoy's panic
+ * threshold). A sidecar that accuses more than {@link #MAX_ACCUSED_FRACTION} of them is itself suspected, and its reports are
+ * ignored. So neither one member nor two can eject a server that a third finds good, and any number of members can eject at most
+ * that fraction.
  */
 public final class Verdicts {
-    /** Witnesses that a verdict needs, with fewer others who find the server good. */
+    /** Witnesses that a verdict needs; they also must outnumber those that find the server good. */
     public static final int MIN_WITNESSES = 2;
-    /** Of the listed servers, at most so many are out by verdicts (and one in a small fleet). */
+    /** Fraction of the listed servers that verdicts may eject (at least one server in a small fleet). */
     public static final double MAX_EJECTED_FRACTION = 0.25;
-    /** Who accuses more of the servers than this, and at least {@link #MIN_ACCUSED_SERVERS}, sees its own fault. */
+    /** A sidecar that accuses more of the servers than this, and at least {@link #MIN_ACCUSED_SERVERS}, is probably faulty itself. */
     public static final double MAX_ACCUSED_FRACTION = 1 / 3.0;
 
     private static final int MIN_ACCUSED_SERVERS = 3;
-    /** Own evidence is renewed so often, for as long as it is not older than {@link #EVIDENCE_TTL_US}. */
+    /** Published evidence is renewed at this interval while it is younger than {@link #EVIDENCE_TTL_US}. */
     static final long RENEW_INTERVAL_US = 5_000_000;
-    /** A server that is left alone is tried again within 8 s. */
+    /** Longer than the 8 s within which an avoided server is tried again, which renews the evidence. */
     static final long EVIDENCE_TTL_US = 12_000_000;
 
     private static final long GOOD_TTL_US = 3_000_000;
-    /** So many others tell as much as one more would. */
+    /** With this many other witnesses an additional report is redundant and not published. */
     private static final int SUFFICIENT_WITNESSES = 3;
-    /** What the module was told counts for so long; it is told each second. */
+    /** Validity of verdicts, which are evaluated every second. */
     static final long VERDICT_TTL_US = 2_500_000;
 
     private static final int VALUE_BYTES = 6;
 
-    /** One voice on a server. */
+    /** One member's report on a server. */
     public record WitnessReport(long witness, Evidence kind, double factor, int count, int zone, long ageUs) {}
 
-    /** All that is said of one server; {@code reason} tells operators why it holds, or not. */
+    /** The verdict on a server with its reports; {@code reason} tells operators why it holds or not. */
     public record Assessment(String server, Verdict verdict, List<WitnessReport> reports, String reason) {}
 
     private static final class LocalEvidence {
@@ -59,7 +60,7 @@
         private long observedUs;
         private long publishedUs = Long.MIN_VALUE / 2;
         private boolean published;
-        /** What the log has of it last, null where that it was taken back. */
+        /** The kind that was logged last; null after a withdrawal. */
         private Evidence loggedKind;
     }
 
@@ -75,7 +76,7 @@
     private boolean panic;
     private Set<String> heldServers = Set.of();
 
-    /** {@code zone} is the own one's number in the settings. */
+    /** {@code zone}: index of the local zone in the settings. */
     public Verdicts(ReplicatedStore store, long selfId, int zone, PeerDirectory peers, Environment environment) {
         this.store = store;
         this.selfId = selfId;
@@ -84,39 +85,40 @@
         this.environment = environment;
     }
 
-    /** The zones of the servers that are listed as ready, by id, -1 where it is none of the settings': of others nothing is said. */
+    /** Sets the ready servers: the index of their zone in the settings by id, -1 for an unknown zone. All others are ignored. */
     public void setServers(Map<String, Integer> ready) {
-        Map<Long, String> now = new HashMap<>();
-        ready.keySet().forEach(id -> now.put(Envelope.idOf(id), id));
-        servers = now;
+        Map<Long, String> byId = new HashMap<>();
+        ready.keySet().forEach(id -> byId.put(Envelope.idOf(id), id));
+        servers = byId;
         zones = Map.copyOf(ready);
         localEvidence.keySet().retainAll(ready.keySet());
     }
 
-    /** Own evidence, fresh at this time. */
+    /** Records evidence that this sidecar has observed itself. */
     public void recordEvidence(long nowUs, String server, Evidence kind, double factor) {
         if (!servers.containsKey(Envelope.idOf(server))) {
             return;
         }
-        LocalEvidence o = localEvidence.computeIfAbsent(server, id -> new LocalEvidence());
-        if (o.kind != kind) {
-            o.count = 0;
-            o.publishedUs = Long.MIN_VALUE / 2;
+        LocalEvidence evidence = localEvidence.computeIfAbsent(server, id -> new LocalEvidence());
+        if (evidence.kind != kind) {
+            evidence.count = 0;
+            evidence.publishedUs = Long.MIN_VALUE / 2;
         }
-        o.kind = kind;
-        o.factor = factor;
-        o.count = Math.min(255, o.count + 1);
-        o.observedUs = nowUs;
+        evidence.kind = kind;
+        evidence.factor = factor;
+        evidence.count = Math.min(255, evidence.count + 1);
+        evidence.observedUs = nowUs;
     }
 
-    /** Writes and renews the own words, and says what holds now. To be called each second, and after evidence. */
+    /** Publishes and renews local evidence and returns the current verdicts. To be called every second and after new evidence. */
     public List<Assessment> evaluate(long nowUs) {
         Map<Long, List<WitnessReport>> reports = collectReports(nowUs);
         updateSuspectedWitnesses(reports);
         publishEvidence(nowUs, reports);
         List<Assessment> assessments = assess(nowUs, reports);
         long ejected = assessments.stream()
-                .filter(c -> c.verdict.holds() && c.verdict.kind().out())
+                .filter(assessment ->
+                        assessment.verdict.holds() && assessment.verdict.kind().out())
                 .count();
         boolean tooMany = ejected > Math.max(1, (int) (MAX_EJECTED_FRACTION * servers.size()));
         if (tooMany != panic) {
@@ -124,15 +126,18 @@
             environment.logEvent(
                     tooMany
                             ? "verdicts against " + ejected + " of " + servers.size()
-                                    + " servers: too many to believe, none counts"
-                            : "verdicts against " + ejected + " of " + servers.size() + " servers: they count again");
+                                    + " servers: too many, all are ignored"
+                            : "verdicts against " + ejected + " of " + servers.size() + " servers: they apply again");
         }
         if (panic) {
-            assessments.replaceAll(c -> new Assessment(
-                    c.server,
-                    withHolds(c.verdict, c.verdict.holds() && !c.verdict.kind().out()),
-                    c.reports,
-                    c.verdict.kind().out() ? "too many at once" : c.reason));
+            assessments.replaceAll(assessment -> new Assessment(
+                    assessment.server,
+                    withHolds(
+                            assessment.verdict,
+                            assessment.verdict.holds()
+                                    && !assessment.verdict.kind().out()),
+                    assessment.reports,
+                    assessment.verdict.kind().out() ? "too many verdicts at once" : assessment.reason));
         }
         logChanges(assessments);
         return assessments;
@@ -142,97 +147,104 @@
         return new Verdict(v.upstream(), v.kind(), v.factor(), v.witnesses(), v.ownWord(), holds, v.untilUs());
     }
 
-    /** All words that count, by server, the own ones with them. */
+    /** Fresh reports of live members by server, including this sidecar's own. */
     private Map<Long, List<WitnessReport>> collectReports(long nowUs) {
         Map<Long, List<WitnessReport>> reports = new TreeMap<>();
-        for (StoredEntry r : store.readAll(nowUs, Table.VERDICTS)) {
-            if (r.value().length < VALUE_BYTES
-                    || !servers.containsKey(r.key())
-                    || !r.fresh()
-                    || r.writer() != selfId && !peers.isLive(r.writer())) {
+        for (StoredEntry entry : store.readAll(nowUs, Table.VERDICTS)) {
+            if (entry.value().length < VALUE_BYTES
+                    || !servers.containsKey(entry.key())
+                    || !entry.fresh()
+                    || entry.writer() != selfId && !peers.isLive(entry.writer())) {
                 continue;
             }
-            ByteBuffer b = ByteBuffer.wrap(r.value());
+            ByteBuffer b = ByteBuffer.wrap(entry.value());
             int kind = b.get() & 255;
             if (kind < Evidence.values().length) {
-                reports.computeIfAbsent(r.key(), k -> new ArrayList<>())
+                reports.computeIfAbsent(entry.key(), k -> new ArrayList<>())
                         .add(new WitnessReport(
-                                r.writer(),
+                                entry.writer(),
                                 Evidence.values()[kind],
                                 (b.getShort() & 0xFFFF) / 16.0,
                                 b.get() & 255,
                                 b.get() & 255,
-                                r.ageUs()));
+                                entry.ageUs()));
             }
         }
-        reports.values().forEach(words -> words.sort((a, b) -> Long.compare(a.witness, b.witness)));
+        reports.values().forEach(serverReports -> serverReports.sort((a, b) -> Long.compare(a.witness, b.witness)));
         return reports;
     }
 
     private void updateSuspectedWitnesses(Map<Long, List<WitnessReport>> reports) {
         Map<Long, Integer> accusedCounts = new HashMap<>();
         reports.values()
-                .forEach(words -> words.stream()
-                        .filter(w -> w.kind.out() || w.kind == Evidence.SLOW)
-                        .forEach(w -> accusedCounts.merge(w.witness, 1, Integer::sum)));
-        // The store keeps a few witnesses a server: the own evidence is all here.
+                .forEach(serverReports -> serverReports.stream()
+                        .filter(report -> report.kind.out() || report.kind == Evidence.SLOW)
+                        .forEach(report -> accusedCounts.merge(report.witness, 1, Integer::sum)));
+        // The store keeps only a few witnesses per server, so the local evidence is counted separately.
         accusedCounts.merge(
                 selfId,
                 (int) localEvidence.values().stream()
-                        .filter(o -> o.kind.out() || o.kind == Evidence.SLOW)
+                        .filter(evidence -> evidence.kind.out() || evidence.kind == Evidence.SLOW)
                         .count(),
                 Math::max);
         Set<Long> suspected = new HashSet<>();
-        accusedCounts.forEach((who, count) -> {
+        accusedCounts.forEach((witness, count) -> {
             if (count >= MIN_ACCUSED_SERVERS && count > MAX_ACCUSED_FRACTION * servers.size()) {
-                suspected.add(who);
+                suspected.add(witness);
             }
         });
-        for (long who : suspected) {
-            if (!suspectedWitnesses.contains(who)) {
-                environment.logEvent((who == selfId ? "this sidecar" : peers.nameOf(who)) + " accuses "
-                        + accusedCounts.get(who) + " of "
+        for (long witness : suspected) {
+            if (!suspectedWitnesses.contains(witness)) {
+                environment.logEvent((witness == selfId ? "this sidecar" : peers.nameOf(witness)) + " accuses "
+                        + accusedCounts.get(witness) + " of "
                         + servers.size() + " servers: "
-                        + (who == selfId ? "it is itself the suspect, and tells nobody" : "its word is left out"));
+                        + (witness == selfId
+                                ? "it suspects itself and publishes no reports"
+                                : "its reports are ignored"));
             }
         }
         suspectedWitnesses = suspected;
     }
 
     private void publishEvidence(long nowUs, Map<Long, List<WitnessReport>> reports) {
-        localEvidence.values().removeIf(o -> o.observedUs + EVIDENCE_TTL_US < nowUs && !o.published);
+        localEvidence
+                .values()
+                .removeIf(evidence -> evidence.observedUs + EVIDENCE_TTL_US < nowUs && !evidence.published);
         for (Map.Entry<String, LocalEvidence> e : localEvidence.entrySet()) {
-            LocalEvidence o = e.getValue();
+            LocalEvidence evidence = e.getValue();
             long key = Envelope.idOf(e.getKey());
             List<WitnessReport> serverReports = reports.getOrDefault(key, List.of());
             long others = serverReports.stream()
-                    .filter(w -> w.witness != selfId && w.kind == o.kind)
+                    .filter(report -> report.witness != selfId && report.kind == evidence.kind)
                     .count();
-            boolean accused = serverReports.stream().anyMatch(w -> w.witness != selfId && w.kind != Evidence.GOOD);
-            boolean fresh = nowUs - o.observedUs < (o.kind == Evidence.GOOD ? GOOD_TTL_US : EVIDENCE_TTL_US);
+            boolean accused =
+                    serverReports.stream().anyMatch(report -> report.witness != selfId && report.kind != Evidence.GOOD);
+            boolean fresh =
+                    nowUs - evidence.observedUs < (evidence.kind == Evidence.GOOD ? GOOD_TTL_US : EVIDENCE_TTL_US);
             boolean publish = fresh
                     && !suspectedWitnesses.contains(selfId)
-                    && (o.published || others < SUFFICIENT_WITNESSES)
-                    && (o.kind != Evidence.GOOD || accused);
-            if (!publish && o.published) {
+                    && (evidence.published || others < SUFFICIENT_WITNESSES)
+                    && (evidence.kind != Evidence.GOOD || accused);
+            if (!publish && evidence.published) {
                 store.remove(nowUs, Table.VERDICTS, key);
-                o.published = false;
-                o.loggedKind = null;
-                environment.logEvent("this sidecar says nothing of " + e.getKey() + " any more");
-            } else if (publish && nowUs - o.publishedUs >= RENEW_INTERVAL_US) {
+                evidence.published = false;
+                evidence.loggedKind = null;
+                environment.logEvent("this sidecar reports nothing about " + e.getKey() + " any more");
+            } else if (publish && nowUs - evidence.publishedUs >= RENEW_INTERVAL_US) {
                 ByteBuffer b = ByteBuffer.allocate(VALUE_BYTES)
-                        .put((byte) o.kind.ordinal())
-                        .putShort((short) Math.min(65_535, Math.round(o.factor * 16)))
-                        .put((byte) o.count)
+                        .put((byte) evidence.kind.ordinal())
+                        .putShort((short) Math.min(65_535, Math.round(evidence.factor * 16)))
+                        .put((byte) evidence.count)
                         .put((byte) zone);
                 store.put(nowUs, Table.VERDICTS, key, b.array());
-                o.published = true;
-                o.publishedUs = nowUs;
-                if (o.loggedKind != o.kind) {
-                    String before = o.loggedKind == null ? "" : ", before: " + lowerCaseName(o.loggedKind);
-                    o.loggedKind = o.kind;
-                    environment.logEvent(
-                            "this sidecar says that " + e.getKey() + " is " + lowerCaseName(o.kind) + before);
+                evidence.published = true;
+                evidence.publishedUs = nowUs;
+                if (evidence.loggedKind != evidence.kind) {
+                    String previously =
+                            evidence.loggedKind == null ? "" : ", previously: " + lowerCaseName(evidence.loggedKind);
+                    evidence.loggedKind = evidence.kind;
+                    environment.logEvent("this sidecar reports that " + e.getKey() + " is "
+                            + lowerCaseName(evidence.kind) + previously);
                 }
             }
         }
@@ -243,19 +255,20 @@
         for (Map.Entry<Long, List<WitnessReport>> e : reports.entrySet()) {
             String server = servers.get(e.getKey());
             List<WitnessReport> credible = e.getValue().stream()
-                    .filter(w -> !suspectedWitnesses.contains(w.witness))
+                    .filter(report -> !suspectedWitnesses.contains(report.witness))
                     .toList();
-            long good = credible.stream().filter(w -> w.kind == Evidence.GOOD).count();
+            long good = credible.stream()
+                    .filter(report -> report.kind == Evidence.GOOD)
+                    .count();
             List<WitnessReport> against =
-                    credible.stream().filter(w -> w.kind.out()).toList();
+                    credible.stream().filter(report -> report.kind.out()).toList();
             if (against.isEmpty()) {
-                Map<Evidence, List<WitnessReport>> serverZone = new TreeMap<>();
+                Map<Evidence, List<WitnessReport>> byKind = new TreeMap<>();
                 credible.stream()
-                        .filter(w -> w.kind != Evidence.GOOD)
-                        .forEach(w -> serverZone
-                                .computeIfAbsent(w.kind, k -> new ArrayList<>())
-                                .add(w));
-                against = serverZone.values().stream()
+                        .filter(report -> report.kind != Evidence.GOOD)
+                        .forEach(report -> byKind.computeIfAbsent(report.kind, k -> new ArrayList<>())
+                                .add(report));
+                against = byKind.values().stream()
                         .max((a, b) -> a.size() != b.size()
                                 ? Integer.compare(a.size(), b.size())
                                 : b.get(0).kind.compareTo(a.get(0).kind))
@@ -265,26 +278,33 @@
                 continue;
             }
             boolean enough = against.size() >= MIN_WITNESSES;
-            // Witnesses of one zone that is neither ours nor the server's may speak of the way between zones.
+            // Witnesses of a single zone, neither the local nor the server's, may see only a fault of the network
+            // between zones.
             int serverZone = zones.get(server);
-            boolean wellPlaced = against.stream().filter(w -> w.zone == zone).count() >= MIN_WITNESSES
-                    || against.stream().filter(w -> w.zone == serverZone).count() >= MIN_WITNESSES
+            boolean wellPlaced = against.stream()
+                                    .filter(report -> report.zone == zone)
+                                    .count()
+                            >= MIN_WITNESSES
+                    || against.stream()
+                                    .filter(report -> report.zone == serverZone)
+                                    .count()
+                            >= MIN_WITNESSES
                     || against.stream().mapToInt(WitnessReport::zone).distinct().count() > 1;
             boolean holds = enough && wellPlaced && against.size() > good;
             Evidence kind =
                     against.stream().map(WitnessReport::kind).sorted().toList().get(against.size() / 2);
-            // The most careful word of a restart, the least of slowness.
+            // The smallest factor: the most cautious one for a restart, the mildest for slowness.
             double factor = against.stream()
-                    .filter(w -> w.kind == kind)
+                    .filter(report -> report.kind == kind)
                     .mapToDouble(WitnessReport::factor)
                     .min()
                     .orElse(1);
             String reason = holds
                     ? "holds"
                     : !enough
-                            ? "one witness alone"
-                            : !wellPlaced ? "seen from one other zone alone" : "others find it good";
-            boolean ownWord = against.stream().anyMatch(w -> w.witness == selfId);
+                            ? "only one witness"
+                            : !wellPlaced ? "seen from only one other zone" : "outweighed by good reports";
+            boolean ownWord = against.stream().anyMatch(report -> report.witness == selfId);
             assessments.add(new Assessment(
                     server,
                     new Verdict(server, kind, factor, against.size(), ownWord, holds, nowUs + VERDICT_TTL_US),
@@ -300,24 +320,27 @@
 
     private void logChanges(List<Assessment> assessments) {
         Set<String> holding = new HashSet<>();
-        for (Assessment c : assessments) {
-            if (c.verdict.holds()) {
-                holding.add(c.server);
-                if (!heldServers.contains(c.server)) {
-                    environment.logEvent(c.server + " is " + lowerCaseName(c.verdict.kind()) + " by word of "
+        for (Assessment assessment : assessments) {
+            if (assessment.verdict.holds()) {
+                holding.add(assessment.server);
+                if (!heldServers.contains(assessment.server)) {
+                    environment.logEvent(assessment.server + " is " + lowerCaseName(assessment.verdict.kind())
+                            + " as reported by "
                             + String.join(
                                     ", ",
-                                    c.reports.stream()
-                                            .filter(w -> w.kind != Evidence.GOOD)
-                                            .map(w -> (w.witness == selfId ? "this sidecar" : peers.nameOf(w.witness))
-                                                    + " (" + w.count + ")")
+                                    assessment.reports.stream()
+                                            .filter(report -> report.kind != Evidence.GOOD)
+                                            .map(report -> (report.witness == selfId
+                                                            ? "this sidecar"
+                                                            : peers.nameOf(report.witness))
+                                                    + " (" + report.count + ")")
                                             .toList()));
                 }
             }
         }
         for (String server : heldServers) {
             if (!holding.contains(server)) {
-                environment.logEvent("nothing is held against " + server + " any more");
+                environment.logEvent("the verdict against " + server + " is lifted");
             }
         }
         heldServers = holding;
--- a/src/main/java/rushproxy/fleet/shared/WarmStart.java
+++ b/src/main/java/rushproxy/fleet/shared/WarmStart.java
@@ -12,18 +12,19 @@
 import rushproxy.fleet.PeerDirectory;
 
 /**
- * A process that has just started asks three of those who are here for what they know, and ends with it, or with its time: no answer
- * is an ordinary start. Who has started of late itself gives none. What the bytes mean is their user's. Without I/O; one thread.
+ * Transfers learned state to a process that has just started. It requests the state of several live members and finishes with
+ * three answers or at the time limit; without answers the process starts cold. Members that started recently don't answer. The
+ * content of the state is opaque. Performs no I/O. Not thread-safe.
  */
 public final class WarmStart {
-    /** From the start on; a start takes longer for other reasons. */
+    /** Time limit, counted from the start; shorter than the rest of a process start, so that it causes no delay. */
     public static final long MAX_WAIT_US = 600_000;
-    /** Others' middle is wanted, so that one alone can't mislead. */
+    /** Answers needed for a median, so that a single wrong one has no effect. */
     private static final int WANTED_ANSWERS = 3;
 
     private static final int REQUEST_FANOUT = 6;
     private static final long RETRY_INTERVAL_US = 100_000;
-    /** Who knows for less than this knows next to nothing. */
+    /** A member with a shorter uptime has learned too little to answer. */
     private static final long MIN_UPTIME_US = 10_000_000;
 
     private static final int CHUNK_BYTES = 200;
@@ -40,14 +41,14 @@
     private final SplittableRandom random;
     private final Supplier<byte[]> localState;
     private final long startUs;
-    /** By the place that tells, its parts; complete ones go to {@code answers}. */
+    /** Received chunks by the sender's peer index; complete states go to {@code answers}. */
     private final Map<Integer, byte[][]> incoming = new LinkedHashMap<>();
 
     private final Map<Integer, byte[]> answers = new LinkedHashMap<>();
     private long nextRequestUs;
     private boolean finished;
 
-    /** {@code localState} gives what this process knows at the time of the call. */
+    /** {@code localState} returns this process's current state, for requests of other members. */
     public WarmStart(
             long selfId,
             int feature,
@@ -68,16 +69,16 @@
         random = new SplittableRandom(seed);
     }
 
-    /** No more is waited for: three have told, or the time is up. */
+    /** Whether enough answers have arrived or the time limit is reached. */
     public boolean isFinished() {
         return finished;
     }
 
-    /** What was told, each by another; none after the first call that follows {@link #isFinished}. */
+    /** Removes and returns the received states, each from a different member. */
     public List<byte[]> takeAnswers() {
-        List<byte[]> all = new ArrayList<>(answers.values());
+        List<byte[]> taken = new ArrayList<>(answers.values());
         answers.clear();
-        return all;
+        return taken;
     }
 
     public void onTick(long nowUs, long incarnation) {
@@ -102,13 +103,13 @@
         }
     }
 
-    /** From the member at this place of the list. */
+    /** Handles a message of the member at this peer index. */
     public void onMessage(long nowUs, int peerIndex, Envelope.Message message, long incarnation) {
-        for (Envelope.Section s : message.sections()) {
-            if (s.type() == STATE_REQUEST && nowUs - startUs >= MIN_UPTIME_US) {
+        for (Envelope.Section section : message.sections()) {
+            if (section.type() == STATE_REQUEST && nowUs - startUs >= MIN_UPTIME_US) {
                 sendState(peerIndex, incarnation);
-            } else if (s.type() == STATE_CHUNK && !finished && s.bytes().length > 2) {
-                onChunk(peerIndex, s.bytes());
+            } else if (section.type() == STATE_CHUNK && !finished && section.bytes().length > 2) {
+                onChunk(peerIndex, section.bytes());
             }
         }
     }
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -374,7 +374,7 @@
                             one.put("per", h.limit().inFlight() ? "in_flight" : "per_second");
                             one.put("most", h.limit().max());
                             one.put("share", h.share());
-                            one.put("alone", h.baseShare());
+                            one.put("alone", h.equalShare());
                             one.put("lent", h.lent());
                             one.put("borrowed", h.borrowed());
                             one.put("demand", h.demand());
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -73,11 +73,11 @@
         sim.until(8 * SECOND_US);
         assertEquals(8, membersWhereItHolds("s3").size());
         assertTrue(
-                hasLogged(5, "s3 is silent by word of") && hasLogged(5, "n0 ("),
+                hasLogged(5, "s3 is silent as reported by") && hasLogged(5, "n0 ("),
                 sim.node(5).notes.toString());
         sim.until(6 * SECOND_US + (Table.VERDICTS.leaseMs() + 1_000) * 1_000 + Verdicts.EVIDENCE_TTL_US);
         assertTrue(membersWhereItHolds("s3").isEmpty());
-        assertTrue(hasLogged(5, "nothing is held against s3 any more"));
+        assertTrue(hasLogged(5, "the verdict against s3 is lifted"));
     }
 
     @Test
@@ -85,7 +85,7 @@
         observeUntil("s3", Evidence.FAILING, 1, 20 * SECOND_US, 0);
         sim.until(10 * SECOND_US);
         assertTrue(membersWhereItHolds("s3").isEmpty());
-        assertEquals("one witness alone", assessment(5, "s3").reason());
+        assertEquals("only one witness", assessment(5, "s3").reason());
     }
 
     @Test
@@ -94,7 +94,7 @@
         observeUntil("s3", Evidence.SILENT, 1, 20 * SECOND_US, 0, 2, 4);
         sim.until(10 * SECOND_US);
         assertEquals(List.of(0, 2, 4, 6), membersWhereItHolds("s3"));
-        assertEquals("seen from one other zone alone", assessment(1, "s3").reason());
+        assertEquals("seen from only one other zone", assessment(1, "s3").reason());
     }
 
     @Test
@@ -112,7 +112,7 @@
         observeUntil("s3", Evidence.GOOD, 1, 30 * SECOND_US, 2, 3, 4);
         sim.until(12 * SECOND_US);
         assertFalse(holds(5, "s3"));
-        assertEquals("others find it good", assessment(5, "s3").reason());
+        assertEquals("outweighed by good reports", assessment(5, "s3").reason());
     }
 
     @Test
@@ -133,14 +133,14 @@
         observeUntil("s3", Evidence.SLOW, 2, 7 * SECOND_US, 0);
         sim.until(40 * SECOND_US);
         List<String> own = sim.node(0).notes.stream()
-                .filter(n -> n.contains("this sidecar says"))
+                .filter(n -> n.contains("this sidecar reports"))
                 .map(n -> n.substring(n.indexOf("this")))
                 .toList();
         assertEquals(
                 List.of(
-                        "this sidecar says that s3 is silent",
-                        "this sidecar says that s3 is slow, before: silent",
-                        "this sidecar says nothing of s3 any more"),
+                        "this sidecar reports that s3 is silent",
+                        "this sidecar reports that s3 is slow, previously: silent",
+                        "this sidecar reports nothing about s3 any more"),
                 own);
     }
 
@@ -162,7 +162,7 @@
         assertTrue(
                 membersWhereItHolds("s0").isEmpty() && membersWhereItHolds("s3").isEmpty());
         assertTrue(
-                hasLogged(6, "4 of 12 servers: too many to believe, none counts"),
+                hasLogged(6, "4 of 12 servers: too many, all are ignored"),
                 sim.node(6).notes.toString());
     }
 
@@ -175,7 +175,7 @@
         sim.until(10 * SECOND_US);
         assertTrue(membersWhereItHolds("s2").isEmpty(), "it is no second witness");
         assertTrue(
-                hasLogged(1, "this sidecar accuses 8 of 12 servers: it is itself the suspect, and tells nobody"),
+                hasLogged(1, "this sidecar accuses 8 of 12 servers: it suspects itself and publishes no reports"),
                 sim.node(1).notes.toString());
     }
 
@@ -196,7 +196,7 @@
         sim.until(6 * SECOND_US);
         assertTrue(membersWhereItHolds("s2").isEmpty());
         assertTrue(
-                hasLogged(5, "n1 accuses") && hasLogged(5, "of 12 servers: its word is left out"),
+                hasLogged(5, "n1 accuses") && hasLogged(5, "of 12 servers: its reports are ignored"),
                 sim.node(5).notes.toString());
     }
 
