--- a/src/main/java/rushproxy/fleet/release/Evidence.java
+++ b/src/main/java/rushproxy/fleet/release/Evidence.java
@@ -1,24 +1,26 @@
 package rushproxy.fleet.release;
 
 /**
- * How strongly events speak for a higher rate in one group than in another, as an e-process: a number that starts at 1 and, while both
- * rates are the same at each time, exceeds 1/a at <em>any</em> time with a chance of at most a (Ville's inequality; Grünwald, de Heide,
- * Koolen 2024; Waudby-Smith, Ramdas 2024). So it may be looked at after every batch, and a fault that hits both groups
- * does not move it: only who of the two the events hit counts, not how many there were.
+ * Evidence that events occur at a higher rate in the candidate group than in the control group, as an e-process: a number that starts
+ * at 1 and, as long as both rates are equal, exceeds 1/a at <em>any</em> time with a probability of at most a (Ville's inequality;
+ * Grünwald, de Heide, Koolen 2024; Waudby-Smith, Ramdas 2024). It may therefore be checked after every batch. A fault that affects
+ * both groups does not change it, as only the distribution of events between the groups counts and not their number.
  *
- * <p>Of m events in a batch k hit the new group, which had the part q of what could have been hit. While the rates are the same k is
- * hypergeometric, and E[r^k] is at most (1 - q + r q)^m (Hoeffding 1963, Theorem 4). So r^k / (1 - q + r q)^m multiplies up to
- * an e-process for each ratio r; the mean over several ratios is one too, and needs no guess of how bad the new ones are.
+ * <p>Of m events in a batch, k fall into the candidate group, which has a fraction q of the observations. With equal rates k is
+ * hypergeometric, and E[r^k] is at most (1 - q + r q)^m (Hoeffding 1963, Theorem 4). So the product of r^k / (1 - q + r q)^m over
+ * the batches is an e-process for each ratio r. The mean over several ratios is one too, and makes no assumption on how bad the
+ * candidate is.
  */
 final class Evidence {
+    /** Ratios of the candidate's event rate to that of control for which evidence is collected. */
     private static final double[] RATIOS = {1.2, 1.5, 2, 4, 10};
 
     private final double[] logEvidence = new double[RATIOS.length];
 
-    /** Of {@code ofNew} and {@code ofControl} that could be hit, so many were; counts of one batch. */
+    /** Adds one batch: events and observations of both groups. */
     void add(long candidateEvents, long candidateTotal, long controlEvents, long controlTotal) {
         if (candidateTotal <= 0 || controlTotal <= 0) {
-            // Nobody to compare with: it tells nothing.
+            // Without observations in one group there is nothing to compare.
             return;
         }
         double q = candidateTotal / (double) (candidateTotal + controlTotal);
--- a/src/main/java/rushproxy/fleet/release/Gate.java
+++ b/src/main/java/rushproxy/fleet/release/Gate.java
@@ -7,16 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * Judges the new servers of one stage against control servers of the same kind, zone and age, by what all sidecars have seen of both
- * meanwhile. Without I/O, time is told; equal batches give equal verdicts. One thread.
+ * Compares the new servers of one stage with control servers of the same kind, zone and age, by the concurrent observations of all
+ * sidecars. Performs no I/O; the time is passed in. Deterministic: equal batches give equal verdicts. Not thread-safe.
  *
- * <p>Three kinds of events are looked at, in each stratum: failures, silence, and answers slower than three quarters of
- * control's were so far. Each has its {@link Evidence}; those of one kind are averaged over the strata, so that what is bad in one
- * zone or for one class alone shows, and the three share the false-halt rate. So a good release is halted falsely with a
- * chance of at most {@link Criteria#falseHaltProbability}, however often it is looked at; the chance counts for each stage.
+ * <p>Three kinds of events are tested in each stratum: failures, timeouts, and answers slower than the 75th percentile of control
+ * so far. Each has its {@link Evidence}. The evidence of one kind is averaged over the strata, so that a regression in a single zone
+ * or class is found, and the three kinds share the false-halt probability. A good release is therefore halted with a probability of
+ * at most {@link Criteria#falseHaltProbability} per stage, however often it is evaluated.
  */
 public final class Gate {
-    /** What a gate says of a stage: go on, wait, stop where it is, or take it back. */
+    /** Whether a stage proceeds, waits, is halted, or is rolled back. */
     public enum Verdict {
         ON,
         WAIT,
@@ -25,13 +25,15 @@
     }
 
     /**
-     * @param leastUs    the stage lasts at least this long
-     * @param mostUs     and where it can't be told by then, it is halted
-     * @param answers    of each group at least so many
-     * @param falseHalts chance of halting a good release, at most
-     * @param worse      the stage goes on only while the new ones' part of bad answers is at most this above control's
-     * @param slower     and their median at most so many times control's
-     * @param sickAt     part of bad answers of control from which nothing can be told: a fault hits both
+     * Criteria of a stage.
+     *
+     * @param minDurationUs        minimum duration of the stage
+     * @param maxDurationUs        a stage that is inconclusive after this time is halted
+     * @param minAnswers           minimum attempts per group
+     * @param falseHaltProbability maximum probability of halting a good release
+     * @param maxBadFractionExcess maximum excess of the candidate's fraction of failures and timeouts over that of control
+     * @param maxMedianRatio       maximum ratio of the candidate's median latency to that of control
+     * @param sickControlFraction  fraction of bad answers of control above which a stage is inconclusive, as a fault affects both groups
      */
     public record Criteria(
             long minDurationUs,
@@ -44,7 +46,7 @@
         public static final Criteria DEFAULT = new Criteria(30_000_000, 600_000_000, 200, 0.01, 0.02, 1.25, 0.3);
     }
 
-    /** {@code reason} is for people: what speaks against it, or what is missing. */
+    /** {@code reason} tells operators the evidence against the release or the unmet criterion. */
     public record Decision(Verdict verdict, String reason) {}
 
     private static final class Stratum {
@@ -53,21 +55,21 @@
         private final Evidence slowness = new Evidence();
         private final Tally candidate = new Tally();
         private final Tally control = new Tally();
-        /** Of control before this batch; a batch's own would not be known beforehand. */
+        /** From control before the current batch, as the e-process requires a threshold that is fixed beforehand. */
         private long slowThresholdUs;
     }
 
     private static final int EVENT_KINDS = 3;
-    /** Answers of control before slowness can be told. */
+    /** Answers needed to judge latency, or whether control is sick. */
     private static final int MIN_CONTROL_ANSWERS = 40;
-    /** The way back is taken where the evidence is as strong as this many false halts in a row would be rare. */
+    /** A release is rolled back if the evidence is as unlikely as this many consecutive false halts. */
     private static final double ROLLBACK_FACTOR = 2;
 
     private final Criteria criteria;
     private final Map<String, Stratum> strata = new TreeMap<>();
     private long startedUs;
     private boolean started;
-    /** Control's answers since it was last told whether it is sick. */
+    /** Attempts on control since {@link #controlSick} was last evaluated. */
     private long recentControlAttempts;
 
     private long recentControlBad;
@@ -77,7 +79,7 @@
         this.criteria = criteria;
     }
 
-    /** What came since the batch before, in one stratum. Servers that still warm up belong to neither. */
+    /** Adds the tallies of one stratum since the previous batch. Servers that are warming up belong to neither group. */
     public void addBatch(String stratum, Tally candidate, Tally control) {
         Stratum state = strata.computeIfAbsent(stratum, n -> new Stratum());
         state.failure.add(candidate.failures(), candidate.attempts(), control.failures(), control.attempts());
@@ -96,7 +98,7 @@
         recentControlBad += control.failures() + control.timeouts();
     }
 
-    /** To be asked after the batches of a time, as often as anybody likes. */
+    /** Evaluates the stage after the batches of an interval; may be called any number of times. */
     public Decision decide(long nowUs) {
         if (!started) {
             started = true;
@@ -125,22 +127,22 @@
             return new Decision(Verdict.HALT, describe(strongestKind, max));
         }
         if (controlSick) {
-            return new Decision(Verdict.WAIT, "control servers fail too: nothing can be told");
+            return new Decision(Verdict.WAIT, "control servers fail too: inconclusive");
         }
         String unmet = unmetCriterion(nowUs);
         if (unmet == null) {
             return new Decision(Verdict.ON, "no worse than control");
         }
         return nowUs - startedUs >= criteria.maxDurationUs
-                ? new Decision(Verdict.HALT, "it can't be told in time: " + unmet)
+                ? new Decision(Verdict.HALT, "inconclusive at the end of the stage: " + unmet)
                 : new Decision(Verdict.WAIT, unmet);
     }
 
     private double meanLogEvidence(int kind) {
         double max = 0;
         List<Double> logs = new ArrayList<>();
-        for (Stratum s : strata.values()) {
-            double log = (kind == 0 ? s.failure : kind == 1 ? s.silence : s.slowness).log();
+        for (Stratum stratum : strata.values()) {
+            double log = (kind == 0 ? stratum.failure : kind == 1 ? stratum.silence : stratum.slowness).log();
             logs.add(log);
             max = Math.max(max, log);
         }
@@ -156,40 +158,41 @@
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
             worst = worst == null || logEvidence(e.getValue(), kind) > logEvidence(worst.getValue(), kind) ? e : worst;
         }
-        Stratum s = worst.getValue();
+        Stratum stratum = worst.getValue();
         return String.format(
                 Locale.ROOT,
-                "%s, most in %s: %d of %d failed and %d were silent, control %d of %d and %d; medians %.1f and %.1f ms;"
+                "%s, strongest in %s: %d of %d failed and %d timed out, control %d of %d and %d; medians %.1f and %.1f ms;"
                         + " evidence e^%.1f",
                 kind,
                 worst.getKey(),
-                s.candidate.failures(),
-                s.candidate.attempts(),
-                s.candidate.timeouts(),
-                s.control.failures(),
-                s.control.attempts(),
-                s.control.timeouts(),
-                s.candidate.percentileUs(50) / 1e3,
-                s.control.percentileUs(50) / 1e3,
+                stratum.candidate.failures(),
+                stratum.candidate.attempts(),
+                stratum.candidate.timeouts(),
+                stratum.control.failures(),
+                stratum.control.attempts(),
+                stratum.control.timeouts(),
+                stratum.candidate.percentileUs(50) / 1e3,
+                stratum.control.percentileUs(50) / 1e3,
                 log);
     }
 
-    private static double logEvidence(Stratum s, String kind) {
-        return (kind.equals("failures") ? s.failure : kind.equals("silence") ? s.silence : s.slowness).log();
+    private static double logEvidence(Stratum stratum, String kind) {
+        return (kind.equals("failures") ? stratum.failure : kind.equals("silence") ? stratum.silence : stratum.slowness)
+                .log();
     }
 
-    /** Null where the stage may go on. */
+    /** Describes the first criterion that is not met; null if the stage may proceed. */
     private String unmetCriterion(long nowUs) {
         Tally candidate = new Tally();
         Tally control = new Tally();
-        strata.values().forEach(s -> {
-            candidate.add(s.candidate);
-            control.add(s.control);
+        strata.values().forEach(stratum -> {
+            candidate.add(stratum.candidate);
+            control.add(stratum.control);
         });
         if (candidate.attempts() < criteria.minAnswers || control.attempts() < criteria.minAnswers) {
             return String.format(
                     Locale.ROOT,
-                    "%d answers of new and %d of control servers, %d of each are wanted",
+                    "%d answers of new and %d of control servers, %d of each are needed",
                     candidate.attempts(),
                     control.attempts(),
                     criteria.minAnswers);
@@ -203,22 +206,23 @@
         if (candidateBad > controlBad + criteria.maxBadFractionExcess) {
             return String.format(
                     Locale.ROOT,
-                    "%.1f%% of new answers are bad, %.1f%% of control's",
+                    "%.1f%% of the answers of new servers are bad, %.1f%% of control",
                     100 * candidateBad,
                     100 * controlBad);
         }
-        // In one stratum: over all of them a mix that differs would look like slowness.
+        // Per stratum: over all strata, a different mix of requests would look like slowness.
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
-            Stratum s = e.getValue();
-            if (s.candidate.successes() >= MIN_CONTROL_ANSWERS
-                    && s.control.successes() >= MIN_CONTROL_ANSWERS
-                    && s.candidate.percentileUs(50) > criteria.maxMedianRatio * s.control.percentileUs(50)) {
+            Stratum stratum = e.getValue();
+            if (stratum.candidate.successes() >= MIN_CONTROL_ANSWERS
+                    && stratum.control.successes() >= MIN_CONTROL_ANSWERS
+                    && stratum.candidate.percentileUs(50)
+                            > criteria.maxMedianRatio * stratum.control.percentileUs(50)) {
                 return String.format(
                         Locale.ROOT,
-                        "%s: a median of %.1f ms, control's is %.1f ms",
+                        "%s: median of %.1f ms, %.1f ms for control",
                         e.getKey(),
-                        s.candidate.percentileUs(50) / 1e3,
-                        s.control.percentileUs(50) / 1e3);
+                        stratum.candidate.percentileUs(50) / 1e3,
+                        stratum.control.percentileUs(50) / 1e3);
             }
         }
         return null;
--- a/src/main/java/rushproxy/fleet/release/Plan.java
+++ b/src/main/java/rushproxy/fleet/release/Plan.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a release is to do.
+ * Plan of a release.
  *
- * @param whom   the new servers
- * @param stages in order; after the last the new servers have all of their shares
- * @param safe   the new servers' weight at a sidecar that is cut off for long
- * @param backUs the way back halves the weight this often, so that the old servers can take it up
+ * @param selector           selects the new servers
+ * @param stages             stages in order; after the last the new servers get their full shares
+ * @param safeWeight         weight of the new servers at a sidecar that is isolated for long
+ * @param rollbackIntervalUs interval at which a rollback halves the weight, so that the old servers can take over the load
  */
 public record Plan(
         String name, ReleaseOrder.Selector selector, List<Stage> stages, double safeWeight, long rollbackIntervalUs) {
-    /** The part of its share that what is released gets, and what has to hold before the next stage. */
+    /** Fraction of their shares that the new servers get, and the criteria for the next stage. */
     public record Stage(double weight, Gate.Criteria criteria) {}
 
     public Plan {
@@ -21,12 +21,12 @@
             throw new IllegalArgumentException("a plan without stages");
         }
         double previous = 0;
-        for (Stage s : stages) {
-            if (!(s.weight > previous && s.weight <= 1)) {
-                throw new IllegalArgumentException(
-                        "stages: a weight of " + s.weight + " after " + previous + "; each is larger, and 1 at most");
+        for (Stage stage : stages) {
+            if (!(stage.weight > previous && stage.weight <= 1)) {
+                throw new IllegalArgumentException("stages: a weight of " + stage.weight + " after " + previous
+                        + "; each must be larger than the previous one and at most 1");
             }
-            previous = s.weight;
+            previous = stage.weight;
         }
     }
 }
--- a/src/main/java/rushproxy/fleet/release/ReleaseController.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseController.java
@@ -6,16 +6,18 @@
 import rushproxy.fleet.release.ReleaseMonitor.TallyPair;
 
 /**
- * The controller of one release: what it orders next, by its plan and by what the sidecars tell. Without I/O: it is told the time, the
- * reports and the operators' calls, and each step that it takes goes to {@code stepSink} before it is the {@link #order}. One thread.
+ * Controller of one release: decides its next order from its plan and the sidecars' reports. Performs no I/O: the time, the reports
+ * and operators' calls are passed in, and each step goes to {@code stepSink} before it becomes the {@link #lastStep}. Not
+ * thread-safe.
  */
 public final class ReleaseController {
-    /** One step: what is ordered, which stage it belongs to, and why. All that a later controller has to know. */
+    /** One step: its order, its stage and its reason. All that a controller needs to resume the release. */
     public record Step(ReleaseOrder order, int stage, String reason) {}
 
-    /** Of the sidecars, at least this part has to report, or nothing is judged and nothing goes on. */
+    /** More than this fraction of the sidecars has to report before a stage is evaluated. */
     public static final double REPORT_QUORUM = 0.5;
 
+    /** A rollback ends below this weight. */
     private static final double MIN_WEIGHT = 0.01;
 
     private final Plan plan;
@@ -28,9 +30,9 @@
     private final Map<String, Map<String, TallyPair>> previousReports = new HashMap<>();
 
     /**
-     * @param epoch later than that of every controller before
-     * @param after the last step of the controller before; null where the release begins
-     * @param steps keeps each step, durably, before anybody hears of it; what it throws ends the controller where it is
+     * @param epoch        greater than that of every earlier controller
+     * @param previousStep last step of the previous controller; null for a new release
+     * @param stepSink     stores each step durably before it is published; if it throws, the controller keeps its last step
      */
     public ReleaseController(Plan plan, int epoch, Step previousStep, long nowUs, Consumer<Step> stepSink) {
         this.plan = plan;
@@ -39,13 +41,13 @@
         if (previousStep == null) {
             takeStep(nowUs, ReleaseOrder.State.ON, plan.stages().get(0).weight(), 0, "begins");
         } else {
-            ReleaseOrder o = previousStep.order();
+            ReleaseOrder order = previousStep.order();
             takeStep(
                     nowUs,
-                    o.state(),
-                    o.weight(),
+                    order.state(),
+                    order.weight(),
                     Math.min(previousStep.stage(), plan.stages().size() - 1),
-                    "goes on where epoch " + o.epoch() + ", step " + o.step() + " stood");
+                    "resumes where epoch " + order.epoch() + ", step " + order.step() + " stood");
         }
     }
 
@@ -63,17 +65,17 @@
         waitReason = "";
     }
 
-    /** What all sidecars are to be told, again and again: one that was not reached is told later. */
+    /** The step whose order is to be sent to all sidecars repeatedly, as some may not be reached at first. */
     public Step lastStep() {
         return lastStep;
     }
 
-    /** What the stage waits for; empty where nothing was judged yet. */
+    /** What the stage waits for; empty before its first evaluation. */
     public String waitReason() {
         return waitReason;
     }
 
-    /** All is done or undone: nothing follows. */
+    /** Whether the release is complete or fully rolled back, so that no step follows. */
     public boolean isFinished() {
         return lastStep.order().state() == ReleaseOrder.State.DONE
                 || lastStep.order().state() == ReleaseOrder.State.BACK
@@ -81,8 +83,10 @@
     }
 
     /**
-     * What the sidecars that were reached have counted since their start, by their names and by strata; {@code sidecars} there are. To be
-     * called each second or so.
+     * Evaluates the reports of the sidecars that were reached: their tallies since their start, by sidecar and by stratum. To be
+     * called about every second.
+     *
+     * @param sidecarCount number of all sidecars
      */
     public void onReports(long nowUs, Map<String, Map<String, TallyPair>> reports, int sidecarCount) {
         if (isFinished()) {
@@ -92,26 +96,30 @@
             if (nowUs - lastStepUs >= plan.rollbackIntervalUs()) {
                 double half = lastStep.order().weight() / 2;
                 takeStep(
-                        nowUs, ReleaseOrder.State.BACK, half < MIN_WEIGHT ? 0 : half, lastStep.stage(), "further back");
+                        nowUs,
+                        ReleaseOrder.State.BACK,
+                        half < MIN_WEIGHT ? 0 : half,
+                        lastStep.stage(),
+                        "rollback continues");
             }
             return;
         }
         if (reports.size() <= REPORT_QUORUM * sidecarCount) {
-            // It may be the one that is cut off: others may have another controller.
-            waitReason = reports.size() + " of " + sidecarCount + " sidecars report, more than half are wanted";
+            // This controller may be partitioned, and another one active on the other side.
+            waitReason = reports.size() + " of " + sidecarCount + " sidecars report, more than half are needed";
             return;
         }
         reports.forEach((sidecar, strata) -> {
             Map<String, TallyPair> previous = previousReports.getOrDefault(sidecar, Map.of());
             boolean first = !previousReports.containsKey(sidecar);
             strata.forEach((stratum, pair) -> {
-                // What was seen before the stage began is not the stage's.
+                // A sidecar's first report of a stage is only the baseline: it includes earlier stages.
                 if (!first) {
-                    TallyPair b = previous.get(stratum);
+                    TallyPair earlier = previous.get(stratum);
                     gate.addBatch(
                             stratum,
-                            pair.candidate().deltaSince(b == null ? null : b.candidate()),
-                            pair.control().deltaSince(b == null ? null : b.control()));
+                            pair.candidate().deltaSince(earlier == null ? null : earlier.candidate()),
+                            pair.control().deltaSince(earlier == null ? null : earlier.control()));
                 }
             });
             previousReports.put(sidecar, strata);
@@ -120,12 +128,17 @@
             waitReason = "halted";
             return;
         }
-        Gate.Decision r = gate.decide(nowUs);
-        switch (r.verdict()) {
-            case WAIT -> waitReason = r.reason();
+        Gate.Decision decision = gate.decide(nowUs);
+        switch (decision.verdict()) {
+            case WAIT -> waitReason = decision.reason();
             case HALT ->
-                takeStep(nowUs, ReleaseOrder.State.HALTED, lastStep.order().weight(), lastStep.stage(), r.reason());
-            case BACK -> rollBack(nowUs, r.reason());
+                takeStep(
+                        nowUs,
+                        ReleaseOrder.State.HALTED,
+                        lastStep.order().weight(),
+                        lastStep.stage(),
+                        decision.reason());
+            case BACK -> rollBack(nowUs, decision.reason());
             case ON -> {
                 int next = lastStep.stage() + 1;
                 if (next < plan.stages().size()) {
@@ -134,15 +147,15 @@
                             ReleaseOrder.State.ON,
                             plan.stages().get(next).weight(),
                             next,
-                            r.reason());
+                            decision.reason());
                 } else {
-                    takeStep(nowUs, ReleaseOrder.State.DONE, 1, lastStep.stage(), r.reason());
+                    takeStep(nowUs, ReleaseOrder.State.DONE, 1, lastStep.stage(), decision.reason());
                 }
             }
         }
     }
 
-    /** Weights stay as they are. */
+    /** Halts the release at the current weight. */
     public void halt(long nowUs, String reason) {
         if (lastStep.order().state() == ReleaseOrder.State.ON
                 || lastStep.order().state() == ReleaseOrder.State.BACK && !isFinished()) {
@@ -150,7 +163,7 @@
         }
     }
 
-    /** The stage that was halted begins anew. */
+    /** Restarts the halted stage. */
     public void resume(long nowUs, String reason) {
         if (lastStep.order().state() == ReleaseOrder.State.HALTED) {
             takeStep(
@@ -162,14 +175,14 @@
         }
     }
 
-    /** The new servers are taken out, by halves; also one that was halted, or is done. */
+    /** Starts to halve the new servers' weight repeatedly; also for a halted or completed release. */
     public void rollBack(long nowUs, String reason) {
         if (lastStep.order().state() != ReleaseOrder.State.BACK) {
             takeStep(nowUs, ReleaseOrder.State.BACK, lastStep.order().weight() / 2, lastStep.stage(), reason);
         }
     }
 
-    /** The new servers are taken out at once. */
+    /** Sets the new servers' weight to 0 at once. */
     public void abort(long nowUs, String reason) {
         takeStep(nowUs, ReleaseOrder.State.BACK, 0, lastStep.stage(), reason);
     }
--- a/src/main/java/rushproxy/fleet/release/ReleaseMonitor.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseMonitor.java
@@ -17,78 +17,79 @@
 import rushproxy.Balancer.Upstream;
 
 /**
- * What one sidecar sees of each release's new servers and of their control: servers of the same kind and zone that are new in no
- * release. Servers that still warm up count for neither, so both are of the same age. One thread; ends with its sidecar.
+ * Tallies one sidecar's attempts on each release's new servers (candidates) and their control: servers of the same kind and zone that
+ * belong to no release. Servers that are warming up are excluded from both, so that the groups are comparable in age. Tallies are lost
+ * when the process ends. Not thread-safe.
  */
 public final class ReleaseMonitor {
-    /** Of one release: classes by kinds and zones. */
+    /** Strata per release: classes by kinds and zones. */
     static final int MAX_STRATA = 64;
 
-    /** Both groups of one stratum. */
+    /** Tallies of both groups of one stratum. */
     public record TallyPair(Tally candidate, Tally control) {}
 
     private final ReleaseOrders orders;
     private final long warmUpUs;
     private Map<String, Upstream> servers = Map.of();
-    /** Kinds and zones that the releases' new servers are in. */
+    /** By release, kinds and zones of its new servers. */
     private final Map<String, Set<String>> candidateGroups = new HashMap<>();
 
     private final Map<String, Map<String, TallyPair>> tallies = new HashMap<>();
 
-    /** A server is warm so long after its start. */
+    /** {@code warmUpUs}: time after its start at which a server is warm. */
     public ReleaseMonitor(ReleaseOrders orders, long warmUpUs) {
         this.orders = orders;
         this.warmUpUs = warmUpUs;
     }
 
-    /** The servers that may be used now; to be told when they or the orders have changed. */
+    /** Sets the servers that are ready; to be called when they or the orders change. */
     public void setServers(Collection<Upstream> ready) {
         Map<String, Upstream> byId = new HashMap<>();
-        ready.forEach(u -> byId.put(u.id(), u));
+        ready.forEach(upstream -> byId.put(upstream.id(), upstream));
         servers = byId;
         candidateGroups.clear();
-        for (Upstream u : ready) {
-            orders.releasesOf(u)
+        for (Upstream upstream : ready) {
+            orders.releasesOf(upstream)
                     .forEach(release -> candidateGroups
                             .computeIfAbsent(release, r -> new HashSet<>())
-                            .add(kindAndZone(u)));
+                            .add(kindAndZone(upstream)));
         }
         tallies.keySet().retainAll(candidateGroups.keySet());
     }
 
-    private static String kindAndZone(Upstream u) {
-        return u.kind() + " in " + u.zone();
+    private static String kindAndZone(Upstream upstream) {
+        return upstream.kind() + " in " + upstream.zone();
     }
 
-    /** An attempt has ended. Costs next to nothing while there is no release. */
+    /** Records the outcome of an attempt. Cheap while there is no release. */
     public void recordAttempt(long nowUs, String server, String requestClass, Outcome outcome, long latencyUs) {
-        Upstream u = candidateGroups.isEmpty() ? null : servers.get(server);
-        if (u == null || nowUs - u.startedUs() < warmUpUs) {
+        Upstream upstream = candidateGroups.isEmpty() ? null : servers.get(server);
+        if (upstream == null || nowUs - upstream.startedUs() < warmUpUs) {
             return;
         }
-        List<String> releases = orders.releasesOf(u);
+        List<String> releases = orders.releasesOf(upstream);
         candidateGroups.forEach((release, groups) -> {
             boolean isCandidate = releases.contains(release);
-            if (!isCandidate && (!releases.isEmpty() || !groups.contains(kindAndZone(u)))) {
+            if (!isCandidate && (!releases.isEmpty() || !groups.contains(kindAndZone(upstream)))) {
                 return;
             }
             Map<String, TallyPair> strata = tallies.computeIfAbsent(release, r -> new TreeMap<>());
-            String stratum = requestClass + " at " + kindAndZone(u);
+            String stratum = requestClass + " at " + kindAndZone(upstream);
             if (!strata.containsKey(stratum) && strata.size() >= MAX_STRATA) {
                 return;
             }
             TallyPair pair = strata.computeIfAbsent(stratum, s -> new TallyPair(new Tally(), new Tally()));
-            Tally t = isCandidate ? pair.candidate : pair.control;
+            Tally tally = isCandidate ? pair.candidate : pair.control;
             switch (outcome) {
-                case OK -> t.addSuccess(latencyUs);
-                case ERROR, RESET, REJECTED -> t.addFailure();
-                case TIMEOUT, CONNECT_FAILED -> t.addTimeout();
+                case OK -> tally.addSuccess(latencyUs);
+                case ERROR, RESET, REJECTED -> tally.addFailure();
+                case TIMEOUT, CONNECT_FAILED -> tally.addTimeout();
                 default -> {}
             }
         });
     }
 
-    /** For the controller: a line of values that JSON has, histograms as base64. */
+    /** Tallies of a release for its controller, as JSON values with histograms in base64. */
     public List<Map<String, Object>> exportTallies(String release) {
         List<Map<String, Object>> exported = new ArrayList<>();
         tallies.getOrDefault(release, Map.of()).forEach((stratum, pair) -> {
@@ -101,28 +102,28 @@
         return exported;
     }
 
-    private static List<Object> encodeTally(Tally t) {
-        ByteBuffer b = ByteBuffer.allocate(t.latencies().getNeededByteBufferCapacity());
-        int length = t.latencies().encodeIntoCompressedByteBuffer(b);
+    private static List<Object> encodeTally(Tally tally) {
+        ByteBuffer b = ByteBuffer.allocate(tally.latencies().getNeededByteBufferCapacity());
+        int length = tally.latencies().encodeIntoCompressedByteBuffer(b);
         return List.of(
-                t.attempts(),
-                t.failures(),
-                t.timeouts(),
+                tally.attempts(),
+                tally.failures(),
+                tally.timeouts(),
                 Base64.getEncoder().encodeToString(java.util.Arrays.copyOf(b.array(), length)));
     }
 
-    /** The tally that {@code asked}, {@code failed}, {@code silent} and a histogram in base64 are; throws where they are none. */
+    /** Parses the counts and the base64 histogram of a tally; throws if they are inconsistent. */
     public static Tally parseTally(long attempts, long failures, long timeouts, String histogram) {
         try {
             Histogram h = Histogram.decodeFromCompressedByteBuffer(
                     ByteBuffer.wrap(Base64.getDecoder().decode(histogram)), 0);
             if (failures < 0 || timeouts < 0 || attempts != failures + timeouts + h.getTotalCount()) {
-                throw new IllegalArgumentException(
-                        "a tally of " + attempts + " that adds up to " + (failures + timeouts + h.getTotalCount()));
+                throw new IllegalArgumentException("a tally of " + attempts + " attempts that add up to "
+                        + (failures + timeouts + h.getTotalCount()));
             }
             return Tally.fromCounts(attempts, failures, timeouts, h);
         } catch (DataFormatException | RuntimeException e) {
-            throw new IllegalArgumentException("no tally: " + e.getMessage(), e);
+            throw new IllegalArgumentException("invalid tally: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/rushproxy/fleet/release/ReleaseOrder.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseOrder.java
@@ -8,19 +8,20 @@
 import rushproxy.Balancer.Upstream;
 
 /**
- * What a release's controller orders of all sidecars at one step. Of two for the same release the one of the later epoch holds, then the one
- * of the later step: a controller that has been superseded orders nothing any more.
+ * Order of a release's controller to all sidecars at one step. Of two orders for the same release the one with the later epoch applies,
+ * and within an epoch the one with the later step, so that a superseded controller has no effect.
  *
- * @param release name, 24 letters, digits, '.', '_' and '-' at most
- * @param epoch   of the controller, 1 to 2^31 - 1
- * @param step    of its plan, from 0
- * @param weight  part of their shares that the new servers get, 0 to 1
- * @param safe    the same for a sidecar that has heard nobody for longer than {@link ReleaseOrders#ISOLATION_TIMEOUT_US}
- * @param whom    the new servers
+ * @param release    name of at most 24 letters, digits, '.', '_' and '-'
+ * @param epoch      epoch of the controller, 1 to 2^31 - 1, used as a fencing token
+ * @param step       step of the controller, from 0
+ * @param state      state of the release
+ * @param weight     fraction of their shares that the new servers get, 0 to 1
+ * @param safeWeight the same at a sidecar that has been isolated for longer than {@link ReleaseOrders#ISOLATION_TIMEOUT_US}
+ * @param selector   selects the new servers
  */
 public record ReleaseOrder(
         String release, int epoch, int step, State state, double weight, double safeWeight, Selector selector) {
-    /** How far a release is. */
+    /** State of a release: proceeding, halted, rolling back or complete. */
     public enum State {
         ON,
         HALTED,
@@ -28,9 +29,9 @@
         DONE
     }
 
-    /** Which servers are the release's: by one of these, or all of those that are not null. Ids alone, or the others together. */
+    /** Selects a release's servers, either by ids alone or by all of the other fields that are not null. */
     public record Selector(List<String> ids, String kind, String zone, Integer pod, Long startedAfterMs) {
-        /** Throws with what is wrong: words like {@code kind=K,zone=Z,pod=3,started-after=MS} or {@code ids=a+b+c}. */
+        /** Parses expressions like {@code kind=K,zone=Z,pod=3,started-after=MS} or {@code ids=a+b+c}; throws with the mistake. */
         public static Selector parse(String expression) {
             List<String> ids = null;
             String kind = null;
@@ -38,11 +39,11 @@
             Integer pod = null;
             Long startedAfterMs = null;
             for (String term : expression.split(",", -1)) {
-                int eq = term.indexOf('=');
-                String name = eq < 0 ? term : term.substring(0, eq);
-                String value = eq < 0 ? "" : term.substring(eq + 1);
+                int separator = term.indexOf('=');
+                String name = separator < 0 ? term : term.substring(0, separator);
+                String value = separator < 0 ? "" : term.substring(separator + 1);
                 if (value.isEmpty()) {
-                    throw new IllegalArgumentException("'" + term + "' is no NAME=VALUE");
+                    throw new IllegalArgumentException("'" + term + "' is not NAME=VALUE");
                 }
                 try {
                     switch (name) {
@@ -56,23 +57,23 @@
                                     "'" + name + "' is not ids, kind, zone, pod or started-after");
                     }
                 } catch (NumberFormatException e) {
-                    throw new IllegalArgumentException("'" + term + "': no whole number");
+                    throw new IllegalArgumentException("'" + term + "': not a whole number");
                 }
             }
             if (ids != null && (kind != null || zone != null || pod != null || startedAfterMs != null)) {
-                throw new IllegalArgumentException("'" + expression + "': ids go with nothing else");
+                throw new IllegalArgumentException("'" + expression + "': ids can't be combined with other terms");
             }
             return new Selector(ids, kind, zone, pod, startedAfterMs);
         }
 
-        public boolean matches(Upstream u) {
+        public boolean matches(Upstream server) {
             if (ids != null) {
-                return ids.contains(u.id());
+                return ids.contains(server.id());
             }
-            return (kind == null || kind.equals(u.kind()))
-                    && (zone == null || zone.equals(u.zone()))
-                    && (pod == null || pod == u.cell())
-                    && (startedAfterMs == null || u.startedUs() / 1_000 > startedAfterMs);
+            return (kind == null || kind.equals(server.kind()))
+                    && (zone == null || zone.equals(server.zone()))
+                    && (pod == null || pod == server.cell())
+                    && (startedAfterMs == null || server.startedUs() / 1_000 > startedAfterMs);
         }
 
         public String expression() {
@@ -110,7 +111,12 @@
         }
         if (epoch <= 0 || step < 0 || !(weight >= 0 && weight <= 1) || !(safeWeight >= 0 && safeWeight <= 1)) {
             throw new IllegalArgumentException(String.format(
-                    Locale.ROOT, "epoch %d, step %d, weights %s and %s: no order", epoch, step, weight, safeWeight));
+                    Locale.ROOT,
+                    "epoch %d, step %d, weights %s and %s: out of range",
+                    epoch,
+                    step,
+                    weight,
+                    safeWeight));
         }
         int length = HEADER_BYTES + (release + selector.expression()).getBytes(StandardCharsets.UTF_8).length;
         if (length > MAX_BYTES) {
@@ -119,7 +125,7 @@
         }
     }
 
-    /** Eight bytes of rank, then the rest. */
+    /** Encodes the order for the store. Epoch and step come first, as the eight bytes of its rank. */
     byte[] encode() {
         byte[] name = release.getBytes(StandardCharsets.UTF_8);
         byte[] expression = selector.expression().getBytes(StandardCharsets.UTF_8);
@@ -135,7 +141,7 @@
                 .array();
     }
 
-    /** Null where the bytes are no order. */
+    /** Null if the bytes don't encode an order. */
     static ReleaseOrder decode(byte[] bytes) {
         try {
             ByteBuffer b = ByteBuffer.wrap(bytes);
@@ -157,7 +163,7 @@
                     safeWeight,
                     Selector.parse(new String(expression, StandardCharsets.UTF_8)));
         } catch (RuntimeException e) {
-            // Whatever a peer sends: too short, out of bounds, no names.
+            // Bytes from a peer may be too short, out of range or have invalid names.
             return null;
         }
     }
--- a/src/main/java/rushproxy/fleet/release/ReleaseOrders.java
+++ b/src/main/java/rushproxy/fleet/release/ReleaseOrders.java
@@ -13,11 +13,11 @@
 import rushproxy.fleet.shared.Table;
 
 /**
- * The orders of releases as one sidecar knows and follows them. They come by a call to it or by the store, and hold without a
- * word of anybody for {@link #ISOLATION_TIMEOUT_US}; then the new servers get their safe weight. Without I/O; one thread.
+ * The release orders in force at one sidecar. They arrive by a call or through the store, and remain in force for
+ * {@link #ISOLATION_TIMEOUT_US} of isolation; then the new servers get their safe weight. Performs no I/O. Not thread-safe.
  */
 public final class ReleaseOrders {
-    /** A sidecar that hears nobody keeps the last order for so long: longer than a controller's restart, shorter than a night. */
+    /** An isolated sidecar keeps the last order for this long: longer than a controller's restart, shorter than a night. */
     public static final long ISOLATION_TIMEOUT_US = 300_000_000;
 
     private final ReplicatedStore store;
@@ -32,7 +32,7 @@
         lastContactUs = nowUs;
     }
 
-    /** Takes an order and tells the fleet; null, or why it is refused: an order of a later epoch or step is known. */
+    /** Accepts an order and shares it with the fleet; returns null, or why it is rejected: a later epoch or step is known. */
     public String submit(long nowUs, ReleaseOrder order) {
         lastContactUs = nowUs;
         refresh(nowUs, true);
@@ -50,14 +50,14 @@
         return null;
     }
 
-    /** What is known now. {@code heard}: somebody was heard of late, so the orders are what the fleet has. */
+    /** Reads the orders from the store. {@code hasContact}: other members are live, so the orders are those of the fleet. */
     public Collection<ReleaseOrder> refresh(long nowUs, boolean hasContact) {
         lastContactUs = hasContact ? nowUs : lastContactUs;
         Map<Long, ReleaseOrder> received = new HashMap<>();
-        for (StoredEntry r : store.readAll(nowUs, Table.ORDERS)) {
-            ReleaseOrder o = ReleaseOrder.decode(r.value());
-            if (o != null && Envelope.idOf(o.release()) == r.key()) {
-                received.put(r.key(), o);
+        for (StoredEntry entry : store.readAll(nowUs, Table.ORDERS)) {
+            ReleaseOrder order = ReleaseOrder.decode(entry.value());
+            if (order != null && Envelope.idOf(order.release()) == entry.key()) {
+                received.put(entry.key(), order);
             }
         }
         received.forEach((key, order) -> {
@@ -76,37 +76,37 @@
             usesSafeWeights = isolated;
             environment.logEvent(
                     isolated
-                            ? "nobody was heard for " + ISOLATION_TIMEOUT_US / 1_000_000
-                                    + " s: releases are at their safe weights"
-                            : "somebody is heard again: releases are as ordered");
+                            ? "no contact to other members for " + ISOLATION_TIMEOUT_US / 1_000_000
+                                    + " s: releases use their safe weights"
+                            : "contact to other members again: releases use their ordered weights");
         }
         return List.copyOf(orders.values());
     }
 
-    /** Weights below 1 by server's id; of one that is in two releases the lower. */
+    /** Weights below 1 by server id; a server in two releases gets the lower one. */
     public Map<String, Double> weights(Collection<Upstream> servers) {
         Map<String, Double> weights = new HashMap<>();
-        for (ReleaseOrder o : orders.values()) {
-            // Done: the release is what there is.
-            double weight = o.state() == ReleaseOrder.State.DONE
+        for (ReleaseOrder order : orders.values()) {
+            // After a complete release its servers are ordinary ones.
+            double weight = order.state() == ReleaseOrder.State.DONE
                     ? 1
-                    : usesSafeWeights ? Math.min(o.safeWeight(), o.weight()) : o.weight();
-            for (Upstream u : servers) {
-                if (weight < 1 && o.selector().matches(u)) {
-                    weights.merge(u.id(), weight, Math::min);
+                    : usesSafeWeights ? Math.min(order.safeWeight(), order.weight()) : order.weight();
+            for (Upstream server : servers) {
+                if (weight < 1 && order.selector().matches(server)) {
+                    weights.merge(server.id(), weight, Math::min);
                 }
             }
         }
         return weights;
     }
 
-    /** The releases that a server is new in; control to none of these. */
-    public List<String> releasesOf(Upstream u) {
+    /** The unfinished releases that the server belongs to; it is a control server for none of them. */
+    public List<String> releasesOf(Upstream server) {
         List<String> releases = new ArrayList<>();
         orders.values().stream()
-                .filter(o ->
-                        o.state() != ReleaseOrder.State.DONE && o.selector().matches(u))
-                .forEach(o -> releases.add(o.release()));
+                .filter(order -> order.state() != ReleaseOrder.State.DONE
+                        && order.selector().matches(server))
+                .forEach(order -> releases.add(order.release()));
         return releases;
     }
 }
--- a/src/main/java/rushproxy/fleet/release/Tally.java
+++ b/src/main/java/rushproxy/fleet/release/Tally.java
@@ -3,13 +3,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What was seen of one group of servers in one stratum (a class in a zone) over some time: answers of all kinds, those that failed,
- * those that never came, and how long the good ones took. Adds up over sidecars and over time. One thread.
+ * Outcomes of the attempts on one group of servers in one stratum (a class in a zone): all attempts, failures, timeouts, and the
+ * latencies of the successes. Tallies can be added up over sidecars and over time. Not thread-safe.
  */
 public final class Tally {
-    /** Two digits tell 1% apart; latencies above a minute count as one. */
+    /** Longer latencies are recorded as this. */
     private static final long MAX_LATENCY_US = 60_000_000;
-
+    /** A resolution of 1%. */
     private static final int SIGNIFICANT_DIGITS = 2;
 
     private long attempts;
@@ -17,7 +17,7 @@
     private long timeouts;
     private final Histogram latenciesUs = new Histogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
 
-    /** An answer with success, after so many microseconds. */
+    /** Records a successful answer. */
     public void addSuccess(long latencyUs) {
         attempts++;
         latenciesUs.recordValue(Math.max(1, Math.min(MAX_LATENCY_US, latencyUs)));
@@ -40,19 +40,19 @@
         latenciesUs.add(other.latenciesUs);
     }
 
-    /** What has come since an earlier state of the same tally; that of a process that has started anew counts from its start. */
-    public Tally deltaSince(Tally before) {
+    /** The difference to an earlier state of the same tally; after a restart of its process, all of it. */
+    public Tally deltaSince(Tally earlier) {
         Tally delta = new Tally();
         delta.add(this);
-        if (before != null
-                && before.attempts <= attempts
-                && before.failures <= failures
-                && before.timeouts <= timeouts
-                && before.latenciesUs.getTotalCount() <= latenciesUs.getTotalCount()) {
-            delta.attempts -= before.attempts;
-            delta.failures -= before.failures;
-            delta.timeouts -= before.timeouts;
-            delta.latenciesUs.subtract(before.latenciesUs);
+        if (earlier != null
+                && earlier.attempts <= attempts
+                && earlier.failures <= failures
+                && earlier.timeouts <= timeouts
+                && earlier.latenciesUs.getTotalCount() <= latenciesUs.getTotalCount()) {
+            delta.attempts -= earlier.attempts;
+            delta.failures -= earlier.failures;
+            delta.timeouts -= earlier.timeouts;
+            delta.latenciesUs.subtract(earlier.latenciesUs);
         }
         return delta;
     }
@@ -73,14 +73,14 @@
         return latenciesUs.getTotalCount();
     }
 
-    /** Good answers that took longer. */
+    /** Number of successes that took longer. */
     public long slowerThan(long thresholdUs) {
         return thresholdUs >= MAX_LATENCY_US
                 ? 0
                 : latenciesUs.getTotalCount() - latenciesUs.getCountBetweenValues(0, thresholdUs);
     }
 
-    /** Microseconds that so many percent of the good answers took at most; 0 where there was none. */
+    /** Latency percentile of the successes; 0 without any. */
     public long percentileUs(double percent) {
         return latenciesUs.getTotalCount() == 0 ? 0 : latenciesUs.getValueAtPercentile(percent);
     }
@@ -90,11 +90,11 @@
     }
 
     static Tally fromCounts(long attempts, long failures, long timeouts, Histogram latenciesUs) {
-        Tally t = new Tally();
-        t.attempts = attempts;
-        t.failures = failures;
-        t.timeouts = timeouts;
-        t.latenciesUs.add(latenciesUs);
-        return t;
+        Tally tally = new Tally();
+        tally.attempts = attempts;
+        tally.failures = failures;
+        tally.timeouts = timeouts;
+        tally.latenciesUs.add(latenciesUs);
+        return tally;
     }
 }
--- a/src/test/java/rushproxy/fleet/release/GateTest.java
+++ b/src/test/java/rushproxy/fleet/release/GateTest.java
@@ -77,7 +77,7 @@
             }
             r = gate.decide(s * SECOND_US);
         }
-        assertTrue(r.verdict() != Verdict.ON && r.reason().contains("most in read in z3"), r.toString());
+        assertTrue(r.verdict() != Verdict.ON && r.reason().contains("strongest in read in z3"), r.toString());
     }
 
     @Test
@@ -100,7 +100,7 @@
         Gate gate = new Gate(CRITERIA);
         assertEquals(null, run(gate, 60, s -> tally(10, 10_000, 10, 0), s -> tally(30, 10_000, 30, 0)));
         assertEquals(
-                "control servers fail too: nothing can be told",
+                "control servers fail too: inconclusive",
                 gate.decide(60 * SECOND_US).reason());
         // And slowness of both is none of the new ones'.
         Gate other = new Gate(CRITERIA);
@@ -121,11 +121,13 @@
             assertEquals(Verdict.WAIT, r.verdict());
             assertEquals(
                     (minute + 1) + " answers of new and " + 2 * (minute + 1)
-                            + " of control servers, 200 of each are wanted",
+                            + " of control servers, 200 of each are needed",
                     r.reason());
         }
         Gate.Decision r = gate.decide(600 * SECOND_US);
-        assertTrue(r.verdict() == Verdict.HALT && r.reason().startsWith("it can't be told in time"), r.toString());
+        assertTrue(
+                r.verdict() == Verdict.HALT && r.reason().startsWith("inconclusive at the end of the stage"),
+                r.toString());
     }
 
     @Test
--- a/src/test/java/rushproxy/fleet/release/ReleaseControllerTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseControllerTest.java
@@ -90,7 +90,7 @@
         reports.reachableSidecars = 2;
         run(c, 200);
         assertEquals("ON:0.05", stepSummary());
-        assertEquals("2 of 4 sidecars report, more than half are wanted", c.waitReason());
+        assertEquals("2 of 4 sidecars report, more than half are needed", c.waitReason());
         reports.reachableSidecars = 3;
         run(c, 15);
         assertEquals("ON:0.05 ON:0.25", stepSummary());
--- a/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
@@ -147,11 +147,11 @@
         }
         assertTrue(ReleaseOrder.Selector.parse("ids=a+b").matches(server("b", "k", "z", 1, 0)));
         for (String[] bad : new String[][] {
-            {"", "'' is no NAME=VALUE"},
-            {"kind", "'kind' is no NAME=VALUE"},
-            {"pod=x", "'pod=x': no whole number"},
+            {"", "'' is not NAME=VALUE"},
+            {"kind", "'kind' is not NAME=VALUE"},
+            {"pod=x", "'pod=x': not a whole number"},
             {"color=red", "'color' is not ids, kind, zone, pod or started-after"},
-            {"ids=a,kind=k", "ids go with nothing else"}
+            {"ids=a,kind=k", "ids can't be combined with other terms"}
         }) {
             String said = assertThrows(IllegalArgumentException.class, () -> ReleaseOrder.Selector.parse(bad[0]))
                     .getMessage();
