--- a/src/test/java/rushproxy/fleet/member/MembershipTest.java
+++ b/src/test/java/rushproxy/fleet/member/MembershipTest.java
@@ -17,10 +17,16 @@
 import rushproxy.lab.sim.MemberSim;
 import rushproxy.lab.sim.MemberSim.Node;
 
-/** The hard cases of membership, on a simulated network with written time. */
+/** Failure detection and membership under faults, on a simulated network with virtual time. */
 class MembershipTest {
     private static final long SECOND_US = 1_000_000;
-    /** Bounds that docs/MEMBERSHIP.md states. */
+    /** Unix time at which the simulation starts. */
+    private static final long EPOCH_US = 1_700_000_000_000_000L;
+    /** Section type of member updates. */
+    private static final int UPDATES = 6;
+
+    private static final int ANY_SECTION = 200;
+    /** Bounds documented in docs/MEMBERSHIP.md. */
     private static final long DETECTION_BOUND_US = 4 * SECOND_US;
 
     private static final long CONVERGENCE_BOUND_US = 20 * SECOND_US;
@@ -29,26 +35,26 @@
         MemberSim sim = new MemberSim(seed).hosts(n).network(loss, 0.05, 300, 40_000);
         sim.startAll();
         sim.until(10 * SECOND_US);
-        assertTrue(sim.agree(), "they never found each other");
+        assertTrue(sim.agree(), "the members don't see the whole fleet");
         return sim;
     }
 
     private static void assertConverges(MemberSim sim, long withinUs) {
-        long until = sim.us() + withinUs;
-        while (!sim.agree() && sim.us() < until) {
+        long deadlineUs = sim.us() + withinUs;
+        while (!sim.agree() && sim.us() < deadlineUs) {
             sim.until(sim.us() + 100_000);
         }
         assertTrue(
                 sim.agree(),
-                () -> "not whole: "
+                () -> "no agreement: "
                         + sim.nodes().stream()
                                 .map(n -> n.name + " sees "
                                         + (n.up() ? n.membership().view() : "-"))
                                 .toList());
     }
 
-    private static boolean hasLogged(Node n, String text) {
-        return n.notes.stream().anyMatch(l -> l.contains(text));
+    private static boolean hasLogged(Node node, String text) {
+        return node.notes.stream().anyMatch(l -> l.contains(text));
     }
 
     @Test
@@ -61,7 +67,7 @@
         assertTrue(hasLogged(sim.node(0), "n5 is dead: "), sim.node(0).notes.toString());
     }
 
-    /** Each of many seeds: somebody is killed, somebody stalls, a tenth of all is lost; nobody who lives is called dead. */
+    /** With a member killed, others stalling and 10% loss, only the killed one is declared dead, for each of many seeds. */
     @Test
     void noLiveMemberIsDeclaredDeadAcrossSeeds() {
         for (long seed = 1; seed <= 1_000; seed++) {
@@ -75,11 +81,11 @@
                 sim.later(random.nextLong(3 * SECOND_US), () -> sim.stall(n, 200_000 + random.nextLong(1_300_000)));
             }
             sim.until(13 * SECOND_US);
-            long of = seed;
+            long currentSeed = seed;
             for (int i = 1; i < 6; i++) {
-                assertEquals(0, sim.seenAs(sim.node(i), Member.State.DEAD), () -> "seed " + of);
+                assertEquals(0, sim.seenAs(sim.node(i), Member.State.DEAD), () -> "seed " + currentSeed);
             }
-            assertEquals(5, sim.seenAs(sim.node(0), Member.State.DEAD), () -> "seed " + of);
+            assertEquals(5, sim.seenAs(sim.node(0), Member.State.DEAD), () -> "seed " + currentSeed);
         }
     }
 
@@ -94,7 +100,7 @@
         }
     }
 
-    /** It reads nothing, its probes run out, and everybody seems silent: it must doubt itself. */
+    /** A stalled member reads no answers, so all others seem silent to it; it must not declare them dead. */
     @Test
     void stalledObserverDeclaresNobodyDead() {
         MemberSim sim = startFleet(8, 3, 0);
@@ -107,7 +113,7 @@
         }
     }
 
-    /** SIGSTOP for 10 s: dead to the others, and itself again within a moment of its return. */
+    /** A process stopped for 10 s, as by SIGSTOP, is declared dead and must be accepted again when it continues. */
     @Test
     void memberStoppedForLongIsDeclaredDeadAndRejoins() {
         MemberSim sim = startFleet(8, 4, 0.1);
@@ -118,7 +124,7 @@
         assertConverges(sim, CONVERGENCE_BOUND_US);
     }
 
-    /** n0 hears n1, n1 does not hear n0: the others hear both, and witnesses speak for either. */
+    /** n1 doesn't receive from n0; the others reach both, so indirect probes must clear both suspicions. */
     @Test
     void oneWayLinkFailureKillsNobody() {
         MemberSim sim = startFleet(8, 5, 0.05);
@@ -150,7 +156,7 @@
         MemberSim sim = startFleet(5, 7, 0);
         sim.cut((from, to) -> from.number == 4 || to.number == 4);
         sim.until(sim.us() + 15 * SECOND_US);
-        // It hears nobody, so it accuses nobody: it still counts them, and they do not count it.
+        // The isolated member suspects nobody, as the fault may be its own; the others declare it dead.
         assertEquals(4, sim.seenAs(sim.node(4), Member.State.DEAD));
         assertEquals(
                 MembershipView.Standing.MAJORITY,
@@ -189,7 +195,7 @@
         MemberSim sim = startFleet(5, 10, 0);
         for (int i = 0; i < 3; i++) {
             Node n = sim.node(i);
-            n.membership().leave(1_700_000_000_000_000L + sim.us());
+            n.membership().leave(EPOCH_US + sim.us());
             sim.until(sim.us() + 100_000);
             sim.kill(n);
         }
@@ -199,65 +205,65 @@
                 MembershipView.Standing.MAJORITY,
                 sim.node(3).membership().view().standing());
         assertEquals(2, sim.node(3).membership().view().expectedCount());
-        // It is back: a new process is no longer one that has left.
+        // A new process of that name is live again.
         sim.start(sim.node(0));
         sim.until(sim.us() + 3 * SECOND_US);
         assertEquals(2, sim.seenAs(sim.node(0), Member.State.ALIVE));
     }
 
-    /** The address goes over to the new process; the old one hears nothing, speaks on for a while and leaves. */
+    /** During a handover the new process has the address, while the old one still sends for a while and then leaves. */
     @Test
     void replacedProcessStaysOneLiveMember() {
         MemberSim sim = startFleet(6, 11, 0);
         Node node = sim.node(2);
-        Membership old = node.membership();
+        Membership predecessor = node.membership();
         sim.start(node);
         for (int i = 0; i < 40; i++) {
-            old.onTick(1_700_000_000_000_000L + sim.us());
+            predecessor.onTick(EPOCH_US + sim.us());
             sim.until(sim.us() + 100_000);
             for (Node n : sim.nodes()) {
                 assertFalse(
                         MemberSim.state(n, node) == Member.State.DEAD || MemberSim.state(n, node) == Member.State.LEFT,
                         "at " + n.name);
-                assertTrue(n.membership().view().liveCount() <= 6, n.name + " counts both");
+                assertTrue(n.membership().view().liveCount() <= 6, n.name + " counts both processes");
             }
         }
-        old.leave(1_700_000_000_000_000L + sim.us());
+        predecessor.leave(EPOCH_US + sim.us());
         sim.until(sim.us() + 2 * SECOND_US);
         assertEquals(5, sim.seenAs(node, Member.State.ALIVE));
         assertConverges(sim, SECOND_US);
     }
 
-    /** Whoever lies has its own voice alone: not another's, and not a second one. */
+    /** A malicious member must not send as another member, nor as a second one. */
     @Test
     void peerIndexIdentifiesOneMemberWhileItIsHeard() {
         MemberSim sim = new MemberSim(31).hosts(4).network(0, 0, 300, 2_000);
         sim.startAll();
         sim.until(5 * SECOND_US);
-        Node at = sim.node(0);
-        Node liar = sim.node(3);
+        Node receiver = sim.node(0);
+        Node attacker = sim.node(3);
         long victim = sim.node(1).membership().self().id();
-        long ghost = Envelope.idOf("ghost");
+        long unknown = Envelope.idOf("ghost");
         long incarnation = sim.node(1).membership().self().incarnation();
-        sim.deliver(liar, at, Envelope.from(victim, incarnation + 5).toBytes(-1));
-        sim.deliver(liar, at, Envelope.from(ghost, incarnation).toBytes(-1));
-        assertEquals(1, at.membership().member(victim).peerIndex);
-        assertEquals(incarnation, at.membership().member(victim).incarnation());
-        assertEquals(null, at.membership().member(ghost));
-        assertTrue(at.membership().isLive(victim)
-                && at.membership().isLive(liar.membership().self().id()));
-        // Where the place is silent it may be another's.
-        sim.kill(liar);
+        sim.deliver(attacker, receiver, Envelope.from(victim, incarnation + 5).toBytes(-1));
+        sim.deliver(attacker, receiver, Envelope.from(unknown, incarnation).toBytes(-1));
+        assertEquals(1, receiver.membership().member(victim).peerIndex);
+        assertEquals(incarnation, receiver.membership().member(victim).incarnation());
+        assertEquals(null, receiver.membership().member(unknown));
+        assertTrue(receiver.membership().isLive(victim)
+                && receiver.membership().isLive(attacker.membership().self().id()));
+        // After its member is gone, the index may be taken by another one.
+        sim.kill(attacker);
         sim.until(8 * SECOND_US);
-        sim.start(liar);
-        liar.membership().leave(1_700_000_000_000_000L + sim.us());
-        sim.kill(liar);
+        sim.start(attacker);
+        attacker.membership().leave(EPOCH_US + sim.us());
+        sim.kill(attacker);
         sim.until(12 * SECOND_US);
-        sim.deliver(liar, at, Envelope.from(ghost, incarnation).toBytes(-1));
-        assertEquals(3, at.membership().member(ghost).peerIndex);
+        sim.deliver(attacker, receiver, Envelope.from(unknown, incarnation).toBytes(-1));
+        assertEquals(3, receiver.membership().member(unknown).peerIndex);
     }
 
-    /** One name at two places: the later stays, the earlier goes quiet, both have said so, and then it is calm. */
+    /** With two processes of one name the earlier one stops, both log it, and no further state changes follow. */
     @Test
     void duplicateNamesDoNotFlap() {
         MemberSim sim = new MemberSim(12).network(0, 0, 300, 2_000);
@@ -282,7 +288,7 @@
         assertEquals(4, sim.node(0).membership().view().liveCount());
     }
 
-    /** Lists of 5, 6 and 7 names in other orders: each sees those whom it can, and none is taken for another. */
+    /** Peer lists of 5, 6 and 7 names in different orders must not lead to a member being taken for another one. */
     @Test
     void differingPeerListsAreResolvedFromReplies() {
         MemberSim sim = new MemberSim(13).network(0.05, 0, 300, 20_000);
@@ -319,7 +325,7 @@
         }
     }
 
-    /** A process that starts with a clock far behind, after one that ran ahead, is itself again all the same. */
+    /** A process that restarts with a clock behind that of its predecessor must be accepted despite its smaller incarnation. */
     @Test
     void restartWithEarlierClockRejoins() {
         MemberSim sim = startFleet(6, 15, 0);
@@ -331,33 +337,33 @@
         assertEquals(5, sim.seenAs(sim.node(1), Member.State.ALIVE));
     }
 
-    /** The program before says its word and no more: it counts as here, and nobody calls it dead. */
+    /** A sidecar of the previous program version, which doesn't take part in the membership, must count as live while it sends. */
     @Test
     void legacySidecarCountsAsLive() {
         MemberSim sim = new MemberSim(16).hosts(3);
         sim.start(sim.node(0));
         sim.start(sim.node(1));
         for (int i = 0; i < 40; i++) {
-            sim.node(0).membership().onLegacyDatagram(1_700_000_000_000_000L + sim.us(), 2);
+            sim.node(0).membership().onLegacyDatagram(EPOCH_US + sim.us(), 2);
             sim.until(sim.us() + 500_000);
         }
         assertEquals(3, sim.node(0).membership().view().liveCount());
         sim.until(sim.us() + 12 * SECOND_US);
-        assertEquals(2, sim.node(0).membership().view().liveCount(), "it has been silent for long");
+        assertEquals(2, sim.node(0).membership().view().liveCount(), "a silent legacy sidecar still counts");
     }
 
-    /** Bytes spoilt, cut off or made up, from a known address: nothing is thrown, and nobody is called dead by it. */
+    /** Corrupt, truncated or forged datagrams from a known address must not throw, nor make a member dead. */
     @Test
     void corruptDatagramsChangeNothing() {
         MemberSim sim = startFleet(5, 17, 0);
         SplittableRandom random = new SplittableRandom(17);
-        Envelope good = Envelope.from(
+        Envelope envelope = Envelope.from(
                 Envelope.idOf("n1"), sim.node(1).membership().self().incarnation());
-        byte[] whole =
-                good.addSection(6, ByteBuffer.allocate(36).put(new byte[36])).toBytes(-1);
+        byte[] valid = envelope.addSection(UPDATES, ByteBuffer.allocate(36).put(new byte[36]))
+                .toBytes(-1);
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = Arrays.copyOf(whole, random.nextInt(2) == 0 ? whole.length : random.nextInt(whole.length));
-            for (int flips = random.nextInt(4) + (bytes.length == whole.length ? 1 : 0);
+            byte[] bytes = Arrays.copyOf(valid, random.nextInt(2) == 0 ? valid.length : random.nextInt(valid.length));
+            for (int flips = random.nextInt(4) + (bytes.length == valid.length ? 1 : 0);
                     flips > 0 && bytes.length > 0;
                     flips--) {
                 bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
@@ -368,19 +374,20 @@
         assertConverges(sim, SECOND_US);
     }
 
-    /** Well made, and of what can't be true: an incarnation of next year, a state that there is not, a zone that there is not. */
+    /** Well-formed updates with an incarnation far in the future, an unknown state or an unknown zone must be ignored. */
     @Test
     void implausibleUpdatesAreIgnored() {
         MemberSim sim = startFleet(5, 18, 0);
         Node n0 = sim.node(0);
-        long last = (1L << 48) - 1;
-        long now = sim.node(2).membership().self().incarnation();
-        for (long[] lie : new long[][] {{last, 2, 0}, {now, 9, 0}, {now, 2, 77}}) {
+        long maxIncarnation = (1L << 48) - 1;
+        long currentIncarnation = sim.node(2).membership().self().incarnation();
+        for (long[] forged :
+                new long[][] {{maxIncarnation, 2, 0}, {currentIncarnation, 9, 0}, {currentIncarnation, 2, 77}}) {
             ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
             Envelope.put48(b, Envelope.idOf("n2"));
-            Envelope.put48(b, lie[0]);
-            b.put((byte) lie[1])
-                    .put((byte) lie[2])
+            Envelope.put48(b, forged[0]);
+            b.put((byte) forged[1])
+                    .put((byte) forged[2])
                     .putShort((short) 2)
                     .put((byte) 1)
                     .put((byte) 0);
@@ -390,16 +397,21 @@
                     Envelope.from(
                                     Envelope.idOf("n1"),
                                     sim.node(1).membership().self().incarnation())
-                            .addSection(6, b)
+                            .addSection(UPDATES, b)
                             .toBytes(-1));
             assertEquals(Member.State.ALIVE, MemberSim.state(n0, sim.node(2)));
-            assertEquals(now, n0.membership().member(Envelope.idOf("n2")).incarnation());
+            assertEquals(
+                    currentIncarnation,
+                    n0.membership().member(Envelope.idOf("n2")).incarnation());
         }
-        sim.deliver(sim.node(1), n0, Envelope.from(Envelope.idOf("n9"), last).toBytes(-1));
+        sim.deliver(
+                sim.node(1),
+                n0,
+                Envelope.from(Envelope.idOf("n9"), maxIncarnation).toBytes(-1));
         assertNull(n0.membership().member(Envelope.idOf("n9")));
     }
 
-    /** A false word of a death is refuted by the one whom it calls dead. */
+    /** A member that is falsely reported dead must refute it. */
     @Test
     void falseDeathIsRefuted() {
         MemberSim sim = startFleet(6, 19, 0.1);
@@ -418,7 +430,7 @@
                 Envelope.from(
                                 Envelope.idOf("n1"),
                                 sim.node(1).membership().self().incarnation())
-                        .addSection(6, b)
+                        .addSection(UPDATES, b)
                         .toBytes(-1));
         assertEquals(Member.State.DEAD, MemberSim.state(sim.node(0), sim.node(3)));
         sim.until(sim.us() + 2 * SECOND_US);
@@ -426,15 +438,15 @@
         assertEquals(incarnation + 6, sim.node(3).membership().self().incarnation());
     }
 
-    /** No length of the program before's is ever sent, and an envelope never passes for whole when it is not. */
+    /** An envelope of the reserved length would be taken for a datagram of the previous program version, so it is padded. */
     @Test
     void envelopeNeverHasTheReservedLength() {
         for (int section = 0; section < 200; section++) {
-            Envelope e = Envelope.from(5, 6)
-                    .addSection(200, ByteBuffer.allocate(section).put(new byte[section]));
-            int length = e.toBytes(-1).length;
+            Envelope envelope = Envelope.from(5, 6)
+                    .addSection(ANY_SECTION, ByteBuffer.allocate(section).put(new byte[section]));
+            int length = envelope.toBytes(-1).length;
             Envelope again = Envelope.from(5, 6)
-                    .addSection(200, ByteBuffer.allocate(section).put(new byte[section]));
+                    .addSection(ANY_SECTION, ByteBuffer.allocate(section).put(new byte[section]));
             byte[] padded = again.toBytes(length);
             assertEquals(length + 1, padded.length);
             assertEquals(1, Envelope.parse(padded).sections().size());
--- a/src/test/java/rushproxy/fleet/release/ReleaseControllerTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseControllerTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The controller of a release: its stages, its end, its way back, and what it knows after it was killed. */
+/** Stages, completion, halt and rollback of a release, and the text form of tallies. */
 class ReleaseControllerTest {
     private static final long SECOND_US = 1_000_000;
     static final Gate.Criteria CRITERIA =
@@ -25,10 +25,10 @@
     private final List<ReleaseController.Step> steps = new ArrayList<>();
     private long nowUs = 1_000 * SECOND_US;
 
-    private void run(ReleaseController c, int seconds) {
+    private void run(ReleaseController controller, int seconds) {
         for (int i = 0; i < seconds; i++) {
             nowUs += SECOND_US;
-            c.onReports(nowUs, reports.nextSecond(), 4);
+            controller.onReports(nowUs, reports.nextSecond(), 4);
         }
     }
 
@@ -42,23 +42,23 @@
 
     @Test
     void goodReleasePassesAllStages() {
-        ReleaseController c = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
-        run(c, 9);
+        ReleaseController controller = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
+        run(controller, 9);
         assertEquals("ON:0.05", stepSummary());
-        assertTrue(c.waitReason().endsWith("of 10 s"), c.waitReason());
-        run(c, 60);
+        assertTrue(controller.waitReason().endsWith("of 10 s"), controller.waitReason());
+        run(controller, 60);
         assertEquals("ON:0.05 ON:0.25 ON:1.0 DONE:1.0", stepSummary());
-        assertTrue(c.isFinished());
+        assertTrue(controller.isFinished());
     }
 
     @Test
     void badReleaseIsRolledBackByHalvesToZero() {
-        ReleaseController c = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
-        run(c, 15);
+        ReleaseController controller = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
+        run(controller, 15);
         reports.failuresPer20 = 8;
-        run(c, 40);
-        assertTrue(c.isFinished());
-        assertEquals(0, c.lastStep().order().weight());
+        run(controller, 40);
+        assertTrue(controller.isFinished());
+        assertEquals(0, controller.lastStep().order().weight());
         assertTrue(steps.get(2).reason().startsWith("failures"), steps.get(2).reason());
         for (int i = 3; i < steps.size(); i++) {
             assertTrue(steps.get(i).order().weight() <= steps.get(i - 1).order().weight() / 2 + 1e-9, stepSummary());
@@ -67,32 +67,32 @@
 
     @Test
     void haltKeepsWeightsUntilResumedOrRolledBack() {
-        ReleaseController c = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
-        run(c, 15);
-        c.halt(nowUs, "by hand");
-        run(c, 100);
+        ReleaseController controller = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
+        run(controller, 15);
+        controller.halt(nowUs, "by hand");
+        run(controller, 100);
         assertEquals("ON:0.05 ON:0.25 HALTED:0.25", stepSummary());
-        c.resume(nowUs, "by hand");
-        run(c, 12);
-        c.rollBack(nowUs, "by hand");
-        run(c, 3);
-        c.halt(nowUs, "the way back too");
-        run(c, 20);
+        controller.resume(nowUs, "by hand");
+        run(controller, 12);
+        controller.rollBack(nowUs, "by hand");
+        run(controller, 3);
+        controller.halt(nowUs, "during the rollback");
+        run(controller, 20);
         assertEquals("ON:0.05 ON:0.25 HALTED:0.25 ON:0.25 ON:1.0 BACK:0.5 HALTED:0.5", stepSummary());
-        c.abort(nowUs, "by hand");
-        assertTrue(c.isFinished());
-        assertEquals(0, c.lastStep().order().weight());
+        controller.abort(nowUs, "by hand");
+        assertTrue(controller.isFinished());
+        assertEquals(0, controller.lastStep().order().weight());
     }
 
     @Test
     void releaseWaitsWithoutAQuorumOfReports() {
-        ReleaseController c = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
+        ReleaseController controller = new ReleaseController(PLAN, 1, null, nowUs, steps::add);
         reports.reachableSidecars = 2;
-        run(c, 200);
+        run(controller, 200);
         assertEquals("ON:0.05", stepSummary());
-        assertEquals("2 of 4 sidecars report, more than half are needed", c.waitReason());
+        assertEquals("2 of 4 sidecars report, more than half are needed", controller.waitReason());
         reports.reachableSidecars = 3;
-        run(c, 15);
+        run(controller, 15);
         assertEquals("ON:0.05 ON:0.25", stepSummary());
     }
 
@@ -113,25 +113,25 @@
 
     @Test
     void talliesRoundTripThroughText() {
-        Tally t = new Tally();
-        t.addSuccess(5_000);
-        t.addSuccess(7_000);
-        t.addFailure();
-        t.addTimeout();
-        ReleaseMonitor w = new ReleaseMonitor(null, 0);
-        assertTrue(w.exportTallies("none").isEmpty());
-        Tally again = ReleaseMonitor.parseTally(4, 1, 1, encodeHistogram(t));
-        assertEquals(4, again.attempts());
-        assertEquals(t.percentileUs(50), again.percentileUs(50));
-        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(9, 1, 1, encodeHistogram(t)));
+        Tally tally = new Tally();
+        tally.addSuccess(5_000);
+        tally.addSuccess(7_000);
+        tally.addFailure();
+        tally.addTimeout();
+        ReleaseMonitor monitor = new ReleaseMonitor(null, 0);
+        assertTrue(monitor.exportTallies("none").isEmpty());
+        Tally parsed = ReleaseMonitor.parseTally(4, 1, 1, encodeHistogram(tally));
+        assertEquals(4, parsed.attempts());
+        assertEquals(tally.percentileUs(50), parsed.percentileUs(50));
+        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(9, 1, 1, encodeHistogram(tally)));
         assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(4, 1, 1, "AAAA"));
-        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(4, 1, 1, "no base64"));
-        assertFalse(encodeHistogram(t).isEmpty());
+        assertThrows(IllegalArgumentException.class, () -> ReleaseMonitor.parseTally(4, 1, 1, "not base64"));
+        assertFalse(encodeHistogram(tally).isEmpty());
     }
 
-    private static String encodeHistogram(Tally t) {
-        java.nio.ByteBuffer b = java.nio.ByteBuffer.allocate(t.latencies().getNeededByteBufferCapacity());
-        int n = t.latencies().encodeIntoCompressedByteBuffer(b);
-        return java.util.Base64.getEncoder().encodeToString(Arrays.copyOf(b.array(), n));
+    private static String encodeHistogram(Tally tally) {
+        java.nio.ByteBuffer b = java.nio.ByteBuffer.allocate(tally.latencies().getNeededByteBufferCapacity());
+        int length = tally.latencies().encodeIntoCompressedByteBuffer(b);
+        return java.util.Base64.getEncoder().encodeToString(Arrays.copyOf(b.array(), length));
     }
 }
--- a/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
+++ b/src/test/java/rushproxy/fleet/release/ReleaseOrdersTest.java
@@ -15,7 +15,7 @@
 import rushproxy.fleet.shared.Table;
 import rushproxy.lab.sim.SharedSim;
 
-/** What controllers of releases order, as each sidecar of a simulated fleet follows it. */
+/** Propagation and precedence of release orders in a simulated fleet. */
 class ReleaseOrdersTest {
     private static final long SECOND_US = 1_000_000;
     private SharedSim sim;
@@ -41,14 +41,14 @@
         return new ReleaseOrder("r1", epoch, step, state, weight, 0.05, ReleaseOrder.Selector.parse("kind=new"));
     }
 
-    private String submit(int at, ReleaseOrder o) {
-        return orders[at].submit(sim.node(at).clock(), o);
+    private String submit(int node, ReleaseOrder order) {
+        return orders[node].submit(sim.node(node).clock(), order);
     }
 
-    /** The weight that the node gives to a new server now. */
-    private double weight(int at, boolean heard) {
-        orders[at].refresh(sim.node(at).clock(), heard);
-        return orders[at].weights(List.of(server("s1", "new", "a", 1, 0))).getOrDefault("s1", 1.0);
+    /** Current weight of a new server at the node. */
+    private double weight(int node, boolean hasContact) {
+        orders[node].refresh(sim.node(node).clock(), hasContact);
+        return orders[node].weights(List.of(server("s1", "new", "a", 1, 0))).getOrDefault("s1", 1.0);
     }
 
     @Test
@@ -65,13 +65,13 @@
         assertEquals(1, weight(3, true));
     }
 
-    /** Two controllers: whoever has the later epoch is obeyed, wherever and whenever the other one calls. */
+    /** With two controllers in a partition, the order of the later epoch must win, whichever was given last. */
     @Test
     void laterEpochWinsAndEarlierIsRejected() {
         sim.cut((a, b) -> a < 3 != b < 3);
         assertNull(submit(0, order(2, 0, ReleaseOrder.State.HALTED, 0.2)));
         sim.until(3 * SECOND_US);
-        // Later in time, older by epoch, behind a cut.
+        // Given later, with an earlier epoch, in the other partition.
         assertNull(submit(5, order(1, 7, ReleaseOrder.State.ON, 0.9)));
         sim.until(10 * SECOND_US);
         assertEquals(0.2, weight(1, true));
@@ -82,7 +82,7 @@
             assertEquals(0.2, weight(at, true), "n" + at);
             assertEquals("epoch 2, step 0 is known", submit(at, order(1, 8, ReleaseOrder.State.ON, 1)));
         }
-        assertNull(submit(4, order(2, 0, ReleaseOrder.State.HALTED, 0.2)), "said again");
+        assertNull(submit(4, order(2, 0, ReleaseOrder.State.HALTED, 0.2)), "a repeated order is accepted");
         assertEquals(
                 "another order of this epoch and step is known", submit(4, order(2, 0, ReleaseOrder.State.ON, 0.5)));
     }
@@ -142,20 +142,20 @@
 
     @Test
     void invalidSelectorsAreExplained() {
-        for (String words : new String[] {"kind=k,zone=z,pod=3,started-after=17", "ids=a+b+c", "pod=-1"}) {
-            assertEquals(words, ReleaseOrder.Selector.parse(words).expression());
+        for (String expression : new String[] {"kind=k,zone=z,pod=3,started-after=17", "ids=a+b+c", "pod=-1"}) {
+            assertEquals(expression, ReleaseOrder.Selector.parse(expression).expression());
         }
         assertTrue(ReleaseOrder.Selector.parse("ids=a+b").matches(server("b", "k", "z", 1, 0)));
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"", "'' is not NAME=VALUE"},
             {"kind", "'kind' is not NAME=VALUE"},
             {"pod=x", "'pod=x': not a whole number"},
             {"color=red", "'color' is not ids, kind, zone, pod or started-after"},
             {"ids=a,kind=k", "ids can't be combined with other terms"}
         }) {
-            String said = assertThrows(IllegalArgumentException.class, () -> ReleaseOrder.Selector.parse(bad[0]))
+            String message = assertThrows(IllegalArgumentException.class, () -> ReleaseOrder.Selector.parse(invalid[0]))
                     .getMessage();
-            assertTrue(said.contains(bad[1]), said);
+            assertTrue(message.contains(invalid[1]), message);
         }
         assertThrows(
                 IllegalArgumentException.class,
@@ -178,16 +178,16 @@
 
     @Test
     void randomBytesDecodeWithoutExceptions() {
-        ReleaseOrder o = order(3, 4, ReleaseOrder.State.BACK, 0.25);
-        assertEquals(o, ReleaseOrder.decode(o.encode()));
-        Random draw = new Random(5);
+        ReleaseOrder order = order(3, 4, ReleaseOrder.State.BACK, 0.25);
+        assertEquals(order, ReleaseOrder.decode(order.encode()));
+        Random random = new Random(5);
         for (int i = 0; i < 20_000; i++) {
-            byte[] noise = new byte[draw.nextInt(60)];
-            draw.nextBytes(noise);
+            byte[] noise = new byte[random.nextInt(60)];
+            random.nextBytes(noise);
             ReleaseOrder.decode(noise);
-            byte[] near = o.encode();
-            near[draw.nextInt(near.length)] = (byte) draw.nextInt();
-            ReleaseOrder.decode(near);
+            byte[] corrupted = order.encode();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
+            ReleaseOrder.decode(corrupted);
         }
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/FleetLimitsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/FleetLimitsTest.java
@@ -16,14 +16,17 @@
 import rushproxy.lab.sim.SharedFigures;
 import rushproxy.lab.sim.SharedSim;
 
-/** Leased shares of a limit: together never more than the limit, and where the demand is. */
+/** Leased shares of a limit: their sum never exceeds it, and they follow the demand. */
 class FleetLimitsTest {
     private static final long SECOND_US = 1_000_000;
     private static final double LIMIT = 100;
+    /** Section type of lease requests. */
+    private static final int LEASE_REQUEST = 30;
+
     private static final FleetLimits.Limit GLOBAL_LIMIT = new FleetLimits.Limit("all", Scope.ALL, "", false, LIMIT);
 
-    private static double share(SharedSim.Node n) {
-        return n.limits().shares(n.clock(), SECOND_US).get(0).share();
+    private static double share(SharedSim.Node node) {
+        return node.limits().shares(node.clock(), SECOND_US).get(0).share();
     }
 
     private static double totalShare(SharedSim sim) {
@@ -42,28 +45,29 @@
         });
     }
 
-    /** Loss, doubles, delays longer than a lease, cuts of every kind, deaths and restarts at once. */
+    /** Loss, duplicates, delays longer than a lease, partitions, crashes and restarts must not make the shares exceed the limit. */
     @Test
     void sharesNeverExceedTheLimit() {
         for (long seed = 1; seed <= 60; seed++) {
             SharedSim sim =
                     new SharedSim(seed, 8, 2, 0.15, 0.3, seed % 2 == 0 ? 30_000 : 2_500_000).limits(GLOBAL_LIMIT);
-            Random draw = new Random(seed);
-            double[] wants = new double[8];
+            Random random = new Random(seed);
+            double[] demands = new double[8];
             sim.startAll();
-            scheduleDemand(sim, 200_000, i -> wants[i]);
-            long of = seed;
+            scheduleDemand(sim, 200_000, i -> demands[i]);
+            long currentSeed = seed;
             sim.each(us -> assertTrue(
-                    totalShare(sim) <= LIMIT * (1 + 1e-9), () -> "seed " + of + ", " + us + " us: " + totalShare(sim)));
+                    totalShare(sim) <= LIMIT * (1 + 1e-9),
+                    () -> "seed " + currentSeed + ", " + us + " us: " + totalShare(sim)));
             for (int step = 0; step < 30; step++) {
-                sim.until(sim.us() + draw.nextInt(1_500_000));
-                wants[draw.nextInt(8)] = draw.nextInt(3) * 40;
-                int side = draw.nextInt(1 << 8);
-                switch (draw.nextInt(5)) {
-                    case 0 -> sim.cut((a, b) -> (side >> a & 1) != (side >> b & 1));
+                sim.until(sim.us() + random.nextInt(1_500_000));
+                demands[random.nextInt(8)] = random.nextInt(3) * 40;
+                int partition = random.nextInt(1 << 8);
+                switch (random.nextInt(5)) {
+                    case 0 -> sim.cut((a, b) -> (partition >> a & 1) != (partition >> b & 1));
                     case 1 -> sim.cut((a, b) -> false);
-                    case 2 -> sim.kill(sim.node(draw.nextInt(8)));
-                    case 3 -> sim.start(sim.node(draw.nextInt(8)));
+                    case 2 -> sim.kill(sim.node(random.nextInt(8)));
+                    case 3 -> sim.start(sim.node(random.nextInt(8)));
                     default -> {}
                 }
             }
@@ -77,8 +81,8 @@
         sim.startAll();
         scheduleDemand(sim, 200_000, i -> i == hot[0] ? 50 : 5);
         sim.until(8 * SECOND_US);
-        assertTrue(share(sim.node(2)) > 45, "of 50 asked: " + share(sim.node(2)));
-        assertTrue(share(sim.node(5)) >= 5, "what is needed there stays: " + share(sim.node(5)));
+        assertTrue(share(sim.node(2)) > 45, "of a demand of 50: " + share(sim.node(2)));
+        assertTrue(share(sim.node(5)) >= 5, "the lender keeps what it needs: " + share(sim.node(5)));
         hot[0] = 7;
         sim.until(16 * SECOND_US);
         assertTrue(
@@ -133,26 +137,27 @@
         assertFalse(sim.node(3).limits().removeLimit(sim.node(3).clock(), "none"));
         sim.until(16 * SECOND_US);
         sim.nodes().forEach(n -> assertEquals(25, share(n), 1e-6));
-        String text = "x".repeat(41);
+        String longName = "x".repeat(41);
         assertThrows(
                 IllegalArgumentException.class,
-                () -> FleetLimits.validated(new FleetLimits.Limit("n", Scope.TENANT, text, false, 1)));
+                () -> FleetLimits.validated(new FleetLimits.Limit("n", Scope.TENANT, longName, false, 1)));
     }
 
     @Test
     void documentedFiguresHold() {
         for (String event : List.of("calm", "split", "restart")) {
-            SharedFigures.Limited l = SharedFigures.limited(20, 0.1, event, 9);
-            assertTrue(l.most() <= 1 + 1e-9 && l.unused() < 0.15 && l.bytes() < 800, l.toString());
+            SharedFigures.Limited figures = SharedFigures.limited(20, 0.1, event, 9);
+            assertTrue(
+                    figures.most() <= 1 + 1e-9 && figures.unused() < 0.15 && figures.bytes() < 800, figures.toString());
         }
     }
 
-    /** No borrower of a large fleet is turned away for their number alone. */
+    /** The bound on borrowers must not reject any borrower of a large fleet. */
     @Test
     void lenderServesMoreThanAThousandBorrowers() {
-        int fleet = 1_100;
-        List<Integer> lentTo = new java.util.ArrayList<>();
-        Environment host = new Environment() {
+        int fleetSize = 1_100;
+        List<Integer> borrowers = new java.util.ArrayList<>();
+        Environment environment = new Environment() {
             @Override
             public void send(int peer, byte[] datagram) {
                 java.nio.ByteBuffer b = java.nio.ByteBuffer.wrap(
@@ -160,17 +165,17 @@
                 Envelope.get48(b);
                 b.getShort();
                 if (b.getFloat() > 0) {
-                    lentTo.add(peer);
+                    borrowers.add(peer);
                 }
             }
 
             @Override
             public void logEvent(String event) {}
         };
-        PeerDirectory group = new PeerDirectory() {
+        PeerDirectory peers = new PeerDirectory() {
             @Override
             public int size() {
-                return fleet;
+                return fleetSize;
             }
 
             @Override
@@ -188,21 +193,23 @@
                 return "" + member;
             }
         };
-        ReplicatedStore store = new ReplicatedStore(1, 2, -1, List.of(Table.LIMITS), 0, 1, group, host);
-        FleetLimits lender = new FleetLimits(1, fleet, 2, -1, store, List.of(GLOBAL_LIMIT), 0, 1, group, host);
-        long now = 2 * FleetLimits.LEASE_US;
-        for (int i = 1; i < fleet; i++) {
-            java.nio.ByteBuffer ask = java.nio.ByteBuffer.allocate(16);
-            Envelope.put48(ask, Envelope.idOf("all"));
-            ask.putShort((short) 1)
-                    .putFloat((float) (LIMIT / fleet / fleet / 2))
+        ReplicatedStore store = new ReplicatedStore(1, 2, -1, List.of(Table.LIMITS), 0, 1, peers, environment);
+        FleetLimits lender =
+                new FleetLimits(1, fleetSize, 2, -1, store, List.of(GLOBAL_LIMIT), 0, 1, peers, environment);
+        long nowUs = 2 * FleetLimits.LEASE_US;
+        for (int i = 1; i < fleetSize; i++) {
+            java.nio.ByteBuffer request = java.nio.ByteBuffer.allocate(16);
+            Envelope.put48(request, Envelope.idOf("all"));
+            request.putShort((short) 1)
+                    .putFloat((float) (LIMIT / fleetSize / fleetSize / 2))
                     .putFloat((float) LIMIT);
             lender.onMessage(
-                    now,
+                    nowUs,
                     i,
-                    Envelope.parse(
-                            Envelope.from(1_000 + i, 1).addSection(30, ask).toBytes(-1)));
+                    Envelope.parse(Envelope.from(1_000 + i, 1)
+                            .addSection(LEASE_REQUEST, request)
+                            .toBytes(-1)));
         }
-        assertEquals(fleet - 1, lentTo.size());
+        assertEquals(fleetSize - 1, borrowers.size());
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/ReplicatedStoreTest.java
+++ b/src/test/java/rushproxy/fleet/shared/ReplicatedStoreTest.java
@@ -16,10 +16,12 @@
 import rushproxy.lab.sim.SharedFigures;
 import rushproxy.lab.sim.SharedSim;
 
-/** The store on a simulated network: what is written is known everywhere within its bounds, whatever happens between. */
+/** Propagation, convergence and bounds of the replicated store on a simulated network with faults. */
 class ReplicatedStoreTest {
     private static final long SECOND_US = 1_000_000;
     private static final long DAY_US = 86_400 * SECOND_US;
+    /** Section type of entries. */
+    private static final int ENTRIES = 21;
 
     private static byte[] value(int n) {
         return ByteBuffer.allocate(4).putInt(n).array();
@@ -32,9 +34,9 @@
         return sim;
     }
 
-    private static Integer readLimit(SharedSim.Node n, long key) {
-        StoredEntry r = n.store().read(n.clock(), Table.LIMITS, key, 0);
-        return r == null ? null : ByteBuffer.wrap(r.value()).getInt();
+    private static Integer readLimit(SharedSim.Node node, long key) {
+        StoredEntry entry = node.store().read(node.clock(), Table.LIMITS, key, 0);
+        return entry == null ? null : ByteBuffer.wrap(entry.value()).getInt();
     }
 
     @ParameterizedTest
@@ -48,32 +50,32 @@
         }
     }
 
-    /** Writes, renewals, takings back, cuts, deaths and restarts at random, then peace: one value everywhere. */
+    /** After random writes, removals, partitions, crashes and restarts, all stores must have the same content. */
     @Test
     void storesConvergeAfterRandomFaults() {
         for (long seed = 1; seed <= 150; seed++) {
             SharedSim sim = new SharedSim(seed, 9, 3, 0.2, 0.2, 400_000);
-            Random draw = new Random(seed);
+            Random random = new Random(seed);
             sim.startAll();
             for (int step = 0; step < 40; step++) {
-                sim.until(sim.us() + draw.nextInt(900_000));
-                SharedSim.Node n = sim.node(draw.nextInt(9));
-                int side = draw.nextInt(1 << 9);
-                switch (draw.nextInt(8)) {
-                    case 0 -> sim.cut((a, b) -> (side >> a & 1) != (side >> b & 1));
-                    case 1 -> sim.cut((a, b) -> (side >> a & 1) == 1 && (side >> b & 1) == 0);
+                sim.until(sim.us() + random.nextInt(900_000));
+                SharedSim.Node n = sim.node(random.nextInt(9));
+                int partition = random.nextInt(1 << 9);
+                switch (random.nextInt(8)) {
+                    case 0 -> sim.cut((a, b) -> (partition >> a & 1) != (partition >> b & 1));
+                    case 1 -> sim.cut((a, b) -> (partition >> a & 1) == 1 && (partition >> b & 1) == 0);
                     case 2 -> sim.cut((a, b) -> false);
                     case 3 -> sim.kill(n);
                     case 4 -> sim.start(n);
                     case 5 ->
-                        sim.node(step % 9).store().remove(sim.node(step % 9).clock(), Table.LIMITS, draw.nextInt(4));
+                        sim.node(step % 9).store().remove(sim.node(step % 9).clock(), Table.LIMITS, random.nextInt(4));
                     default -> {
                         if (n.up()) {
                             n.store()
                                     .put(
                                             n.clock(),
-                                            draw.nextBoolean() ? Table.LIMITS : Table.COUNTS,
-                                            draw.nextInt(4),
+                                            random.nextBoolean() ? Table.LIMITS : Table.COUNTS,
+                                            random.nextInt(4),
                                             value(step));
                         }
                     }
@@ -107,10 +109,10 @@
         SharedSim sim = new SharedSim(6, 8, 1, 0.05, 0, 30_000);
         sim.jump(sim.node(0), 3_600 * SECOND_US);
         sim.startAll();
-        // Before it has heard anybody it can't know.
+        // Without messages from others it can't know that its clock is wrong.
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
         sim.until(5 * SECOND_US);
-        assertEquals(1, readLimit(sim.node(5), 7), "stamped anew once it knew better");
+        assertEquals(1, readLimit(sim.node(5), 7), "restamped after the correction");
         sim.node(3).store().put(sim.node(3).clock(), Table.LIMITS, 7, value(2));
         sim.until(10 * SECOND_US);
         sim.nodes().forEach(n -> assertEquals(2, readLimit(n, 7), "n" + n.number));
@@ -132,14 +134,14 @@
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
         sim.until(5 * SECOND_US);
         assertEquals(1, readLimit(sim.node(3), 7));
-        // Only comparisons run in this day: the fleet is small, and nothing is told.
+        // During this day there are only comparisons, as no updates are pending.
         sim.cut((a, b) -> a == 3 || b == 3);
         sim.node(1).store().remove(sim.node(1).clock(), Table.LIMITS, 7);
         sim.until(10 * SECOND_US);
         assertNull(readLimit(sim.node(2), 7));
         sim.until(DAY_US + 60 * SECOND_US);
-        assertEquals(0, sim.node(2).store().size(), "graves go away");
-        assertEquals(1, readLimit(sim.node(3), 7), "it was told of nothing");
+        assertEquals(0, sim.node(2).store().size(), "tombstones expire");
+        assertEquals(1, readLimit(sim.node(3), 7), "the isolated member still has the entry");
         sim.cut((a, b) -> false);
         sim.until(DAY_US + 80 * SECOND_US);
         sim.nodes().forEach(n -> assertNull(readLimit(n, 7), "n" + n.number));
@@ -151,8 +153,8 @@
         long id = sim.node(0).id;
         sim.node(0).store().put(sim.node(0).clock(), Table.VERDICTS, 7, value(1));
         sim.until(6 * SECOND_US);
-        StoredEntry r = sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id);
-        assertTrue(r.fresh() && Math.abs(r.ageUs() - 4 * SECOND_US) < SECOND_US / 2, r.toString());
+        StoredEntry entry = sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id);
+        assertTrue(entry.fresh() && Math.abs(entry.ageUs() - 4 * SECOND_US) < SECOND_US / 2, entry.toString());
         sim.cut((a, b) -> true);
         sim.until(12 * SECOND_US);
         assertFalse(sim.node(2)
@@ -160,7 +162,7 @@
                 .read(sim.node(2).clock(), Table.VERDICTS, 7, id)
                 .fresh());
         sim.until(18 * SECOND_US);
-        assertNull(sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id), "its lease has ended");
+        assertNull(sim.node(2).store().read(sim.node(2).clock(), Table.VERDICTS, 7, id), "the lease has expired");
     }
 
     @Test
@@ -185,7 +187,7 @@
 
     @Test
     void unknownTablesAreSkipped() {
-        Table later = new Table(9, "of tomorrow", true, false, 10, 5, 8, 60_000);
+        Table later = new Table(9, "later version", true, false, 10, 5, 8, 60_000);
         SharedSim sim = new SharedSim(10, 4, 1, 0, 0, 30_000);
         for (int i = 0; i < 4; i++) {
             sim.tables(
@@ -204,21 +206,25 @@
         }
     }
 
-    /** What is told of one is taken from itself, or from two others. */
+    /** An entry must be accepted only from its writer or from two other members. */
     @Test
     void forgedEntriesOfOtherWritersAreIgnored() {
         SharedSim sim = startFleet(11, 5, 0);
-        SharedSim.Node liar = sim.node(4);
-        sim.kill(liar);
-        for (int forged = 0; forged < 2; forged++) {
+        SharedSim.Node attacker = sim.node(4);
+        sim.kill(attacker);
+        for (int writer = 0; writer < 2; writer++) {
             ByteBuffer b = ByteBuffer.allocate(40).put((byte) Table.VERDICTS.id());
             Envelope.put48(b, 7);
-            Envelope.put48(b, sim.node(forged).id);
-            b.putLong(liar.clock() / 1_000 << 16).putInt(10_000).put((byte) 4).put(value(1));
-            byte[] lie = Envelope.from(liar.id, 1).addSection(21, b).toBytes(-1);
+            Envelope.put48(b, sim.node(writer).id);
+            b.putLong(attacker.clock() / 1_000 << 16)
+                    .putInt(10_000)
+                    .put((byte) 4)
+                    .put(value(1));
+            byte[] datagram =
+                    Envelope.from(attacker.id, 1).addSection(ENTRIES, b).toBytes(-1);
             for (int to = 0; to < 4; to++) {
-                sim.deliver(liar, sim.node(to), lie);
-                sim.deliver(liar, sim.node(to), lie);
+                sim.deliver(attacker, sim.node(to), datagram);
+                sim.deliver(attacker, sim.node(to), datagram);
             }
         }
         sim.until(12 * SECOND_US);
@@ -238,14 +244,14 @@
         sim.node(0).store().put(sim.node(0).clock(), Table.LIMITS, 7, value(1));
         sim.until(5 * SECOND_US);
         long before = sim.fingerprint(sim.node(1));
-        Random draw = new Random(12);
+        Random random = new Random(12);
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = new byte[draw.nextInt(200)];
-            draw.nextBytes(bytes);
-            byte[] noise = Envelope.from(sim.node(0).id, 1)
-                    .addSection(20 + draw.nextInt(6), ByteBuffer.allocate(200).put(bytes))
+            byte[] bytes = new byte[random.nextInt(200)];
+            random.nextBytes(bytes);
+            byte[] datagram = Envelope.from(sim.node(0).id, 1)
+                    .addSection(20 + random.nextInt(6), ByteBuffer.allocate(200).put(bytes))
                     .toBytes(-1);
-            sim.deliver(sim.node(0), sim.node(1), noise);
+            sim.deliver(sim.node(0), sim.node(1), datagram);
         }
         assertEquals(1, readLimit(sim.node(1), 7));
         sim.until(30 * SECOND_US);
@@ -275,7 +281,7 @@
         }
     }
 
-    /** Of each of a list of 1,024 servers three know something, and 1,024 processes count: nothing is left out for want of room. */
+    /** The tables must hold the witness reports on 1,024 servers, and a counter of each of 1,024 processes. */
     @Test
     void tablesHoldAThousandServers() {
         SharedSim sim = startFleet(11, 3, 0);
--- a/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
+++ b/src/test/java/rushproxy/fleet/shared/VerdictsTest.java
@@ -13,7 +13,7 @@
 import rushproxy.Balancer.Evidence;
 import rushproxy.lab.sim.SharedSim;
 
-/** What the fleet says of servers, and whom it believes. */
+/** Verdicts of a simulated fleet on its servers, and which witnesses count. */
 class VerdictsTest {
     private static final long SECOND_US = 1_000_000;
     private SharedSim sim;
@@ -29,7 +29,7 @@
         sim.until(2 * SECOND_US);
     }
 
-    /** The members with these numbers go on seeing it, until the time. */
+    /** Lets these members record the evidence every second until the given time. */
     private void observeUntil(String server, Evidence kind, double factor, long untilUs, int... members) {
         for (int m : members) {
             if (sim.node(m).up()) {
@@ -49,22 +49,22 @@
     }
 
     private boolean holds(int member, String server) {
-        Verdicts.Assessment c = assessment(member, server);
-        return c != null && c.verdict().holds();
+        Verdicts.Assessment assessment = assessment(member, server);
+        return assessment != null && assessment.verdict().holds();
     }
 
     private List<Integer> membersWhereItHolds(String server) {
-        List<Integer> where = new ArrayList<>();
+        List<Integer> holding = new ArrayList<>();
         for (int m = 0; m < 8; m++) {
             if (sim.node(m).up() && holds(m, server)) {
-                where.add(m);
+                holding.add(m);
             }
         }
-        return where;
+        return holding;
     }
 
-    private boolean hasLogged(int member, String words) {
-        return sim.node(member).notes.stream().anyMatch(n -> n.contains(words));
+    private boolean hasLogged(int member, String text) {
+        return sim.node(member).notes.stream().anyMatch(n -> n.contains(text));
     }
 
     @Test
@@ -90,7 +90,7 @@
 
     @Test
     void witnessesOfOneZoneCountOnlyInThatZone() {
-        // Even numbers are in zone 0, s3 is not: it may be well, and the way to it not.
+        // All witnesses are in zone 0 and s3 is not, so the fault may be in the network between the zones.
         observeUntil("s3", Evidence.SILENT, 1, 20 * SECOND_US, 0, 2, 4);
         sim.until(10 * SECOND_US);
         assertEquals(List.of(0, 2, 4, 6), membersWhereItHolds("s3"));
@@ -125,14 +125,14 @@
         assertTrue(membersWhereItHolds("s3").isEmpty());
     }
 
-    /** A verdict that lapsed, and nothing in the log said whose word had changed to what. */
+    /** Otherwise the log does not explain why a verdict lapsed. */
     @Test
     void changesOfOwnEvidenceAreLoggedOnce() {
         observeUntil("s3", Evidence.SILENT, 1, 5 * SECOND_US, 0, 1);
         sim.until(6 * SECOND_US);
         observeUntil("s3", Evidence.SLOW, 2, 7 * SECOND_US, 0);
         sim.until(40 * SECOND_US);
-        List<String> own = sim.node(0).notes.stream()
+        List<String> logged = sim.node(0).notes.stream()
                 .filter(n -> n.contains("this sidecar reports"))
                 .map(n -> n.substring(n.indexOf("this")))
                 .toList();
@@ -141,7 +141,7 @@
                         "this sidecar reports that s3 is silent",
                         "this sidecar reports that s3 is slow, previously: silent",
                         "this sidecar reports nothing about s3 any more"),
-                own);
+                logged);
     }
 
     @Test
@@ -173,24 +173,24 @@
         }
         observeUntil("s2", Evidence.SILENT, 1, 30 * SECOND_US, 4);
         sim.until(10 * SECOND_US);
-        assertTrue(membersWhereItHolds("s2").isEmpty(), "it is no second witness");
+        assertTrue(membersWhereItHolds("s2").isEmpty(), "it doesn't count as a second witness");
         assertTrue(
                 hasLogged(1, "this sidecar accuses 8 of 12 servers: it suspects itself and publishes no reports"),
                 sim.node(1).notes.toString());
     }
 
-    /** One that goes on telling all the same. */
+    /** A faulty or malicious member may publish reports although it should suspect itself. */
     @Test
     void witnessAccusingAllServersIsIgnored() {
         for (int s = 0; s < 12; s++) {
-            byte[] word = {(byte) Evidence.FAILING.ordinal(), 0, 16, 9, 1};
+            byte[] report = {(byte) Evidence.FAILING.ordinal(), 0, 16, 9, 1};
             sim.node(1)
                     .store()
                     .put(
                             sim.node(1).clock(),
                             Table.VERDICTS,
                             rushproxy.fleet.Envelope.idOf("s" + s),
-                            java.util.Arrays.copyOf(word, 6));
+                            java.util.Arrays.copyOf(report, 6));
         }
         observeUntil("s2", Evidence.SILENT, 1, 30 * SECOND_US, 4);
         sim.until(6 * SECOND_US);
--- a/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
+++ b/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
@@ -13,14 +13,16 @@
 import rushproxy.fleet.Environment;
 import rushproxy.fleet.PeerDirectory;
 
-/** A start that asks those who are here what they know. */
+/** Transfer of learned state from live members to a process that starts. */
 class WarmStartTest {
     private static final long START_US = 1_700_000_000_000_000L;
     private static final long LONG_UPTIME_US = 60_000_000;
+    /** Section type of state chunks. */
+    private static final int STATE_CHUNK = 41;
 
     private record Sent(int peerIndex, byte[] datagram) {}
 
-    /** Six places; who is asked is drawn by the store's own random source. */
+    /** Six peers, drawn by the random source of the component. */
     private static final class FakePeers implements Environment, PeerDirectory {
         private final List<Sent> sent = new ArrayList<>();
         private int otherPeers = 6;
@@ -61,15 +63,15 @@
         return new WarmStart(1, 2, -1, START_US, 5, peers, peers, () -> new byte[0]);
     }
 
-    /** What one that knows this much for so long answers to all that was sent. */
-    private List<byte[]> answersOf(long sinceUs, byte[] knows, int place) {
-        FakePeers out = new FakePeers();
-        WarmStart old = new WarmStart(100 + place, 2, -1, START_US - sinceUs, 6, out, out, () -> knows);
+    /** Answers of a peer with this uptime and state to the first request that was sent to it. */
+    private List<byte[]> answersOf(long uptimeUs, byte[] state, int peerIndex) {
+        FakePeers answered = new FakePeers();
+        WarmStart peer = new WarmStart(100 + peerIndex, 2, -1, START_US - uptimeUs, 6, answered, answered, () -> state);
         peers.sent.stream()
-                .filter(s -> s.peerIndex == place)
+                .filter(s -> s.peerIndex == peerIndex)
                 .limit(1)
-                .forEach(s -> old.onMessage(START_US, 0, Envelope.parse(s.datagram), 7));
-        return out.sent.stream().map(Sent::datagram).toList();
+                .forEach(s -> peer.onMessage(START_US, 0, Envelope.parse(s.datagram), 7));
+        return answered.sent.stream().map(Sent::datagram).toList();
     }
 
     private static byte[] state(int length, int fill) {
@@ -80,37 +82,37 @@
 
     @Test
     void finishesWithThreeMultiDatagramAnswers() {
-        WarmStart w = newWarmStart();
-        w.onTick(START_US, 1);
-        int told = 0;
-        for (int place = 1; place <= 6; place++) {
-            List<byte[]> parts = new ArrayList<>(answersOf(LONG_UPTIME_US, state(450, place), place));
-            java.util.Collections.reverse(parts);
-            for (byte[] part : parts) {
-                w.onMessage(START_US + 1_000, place, Envelope.parse(part), 1);
-                w.onMessage(START_US + 1_000, place, Envelope.parse(part), 1);
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
+        int answers = 0;
+        for (int peerIndex = 1; peerIndex <= 6; peerIndex++) {
+            List<byte[]> chunks = new ArrayList<>(answersOf(LONG_UPTIME_US, state(450, peerIndex), peerIndex));
+            java.util.Collections.reverse(chunks);
+            for (byte[] chunk : chunks) {
+                warmStart.onMessage(START_US + 1_000, peerIndex, Envelope.parse(chunk), 1);
+                warmStart.onMessage(START_US + 1_000, peerIndex, Envelope.parse(chunk), 1);
             }
-            told += parts.isEmpty() ? 0 : 1;
+            answers += chunks.isEmpty() ? 0 : 1;
         }
-        w.onTick(START_US + 2_000, 1);
-        assertEquals(told >= 3, w.isFinished());
-        assertTrue(told >= 3, "the seed asks three at least at once");
-        List<byte[]> all = w.takeAnswers();
-        assertEquals(told, all.size());
-        all.forEach(k -> assertArrayEquals(state(450, k[0]), k));
-        assertTrue(w.takeAnswers().isEmpty());
+        warmStart.onTick(START_US + 2_000, 1);
+        assertEquals(answers >= 3, warmStart.isFinished());
+        assertTrue(answers >= 3, "the seed must send requests to at least three peers");
+        List<byte[]> states = warmStart.takeAnswers();
+        assertEquals(answers, states.size());
+        states.forEach(k -> assertArrayEquals(state(450, k[0]), k));
+        assertTrue(warmStart.takeAnswers().isEmpty());
     }
 
     @Test
     void retriesUntilTheTimeLimit() {
-        WarmStart w = newWarmStart();
+        WarmStart warmStart = newWarmStart();
         for (long us = 0; us < WarmStart.MAX_WAIT_US; us += 100_000) {
-            w.onTick(START_US + us, 1);
-            assertFalse(w.isFinished());
+            warmStart.onTick(START_US + us, 1);
+            assertFalse(warmStart.isFinished());
         }
         assertEquals(36, peers.sent.size());
-        w.onTick(START_US + WarmStart.MAX_WAIT_US, 1);
-        assertTrue(w.isFinished() && w.takeAnswers().isEmpty());
+        warmStart.onTick(START_US + WarmStart.MAX_WAIT_US, 1);
+        assertTrue(warmStart.isFinished() && warmStart.takeAnswers().isEmpty());
         peers.otherPeers = 0;
         WarmStart alone = newWarmStart();
         alone.onTick(START_US, 1);
@@ -121,27 +123,30 @@
 
     @Test
     void recentlyStartedPeerDoesNotAnswer() {
-        WarmStart w = newWarmStart();
-        w.onTick(START_US, 1);
-        int place = peers.sent.get(0).peerIndex;
-        assertTrue(answersOf(5_000_000, state(10, 1), place).isEmpty());
-        assertEquals(1, answersOf(LONG_UPTIME_US, state(10, 1), place).size());
-        assertTrue(answersOf(LONG_UPTIME_US, state(5_000, 1), place).isEmpty(), "more than fits");
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
+        int peerIndex = peers.sent.get(0).peerIndex;
+        assertTrue(answersOf(5_000_000, state(10, 1), peerIndex).isEmpty());
+        assertEquals(1, answersOf(LONG_UPTIME_US, state(10, 1), peerIndex).size());
+        assertTrue(
+                answersOf(LONG_UPTIME_US, state(5_000, 1), peerIndex).isEmpty(),
+                "a state that is too large is not sent");
     }
 
     @Test
     void invalidChunksAreIgnored() {
-        WarmStart w = newWarmStart();
-        w.onTick(START_US, 1);
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
         for (byte[] section : new byte[][] {{0, 0, 1}, {3, 2, 1}, {-1, 2, 1}, {0, 99, 1}, {0}}) {
-            w.onMessage(
+            warmStart.onMessage(
                     START_US,
                     1,
                     Envelope.parse(Envelope.from(9, 1)
-                            .addSection(41, java.nio.ByteBuffer.allocate(8).put(section))
+                            .addSection(
+                                    STATE_CHUNK, java.nio.ByteBuffer.allocate(8).put(section))
                             .toBytes(-1)),
                     1);
         }
-        assertTrue(w.takeAnswers().isEmpty());
+        assertTrue(warmStart.takeAnswers().isEmpty());
     }
 }
