--- a/src/main/java/rushproxy/Policy.java
+++ b/src/main/java/rushproxy/Policy.java
@@ -1,517 +1,539 @@
 package rushproxy;
 
 import java.util.*;
-import rushproxy.State.*;
+import rushproxy.PolicyState.*;
 
 /**
- * All decisions of the balancer; its interface (events, actions, settings) is {@link Balancer} in
- * Balancer.java.
+ * Makes all load-balancing decisions of a sidecar. {@link Balancer} defines its events, actions and settings.
  *
- * <p>HALO Power-of-D, D = 2: Eq. (4) splits the fleet's rate over the server kinds, each request draws two
- * servers by p_i/k_i and goes to the one with fewer in flight. Servers that leave their kind are groups of
- * their own; full ones leave the draw and requests wait here; one gate each for sends, refusals and failures
- * keeps the rules.
+ * <p>Implements HALO Power-of-D with D = 2: Eq. (4) of the paper splits the fleet's request rate among the
+ * server kinds; each request draws two servers with probability p_i/k_i and goes to the less loaded one.
+ * Outliers form groups of their own. Full servers are not drawn; requests that find no server are queued.
+ * Sends, refusals and failures each pass one method that enforces the protocol rules.
  */
 public final class Policy implements Balancer {
     // ---- constants ------------------------------------------------------------------------------
-    /** Eq. (4) is solved again this often: well under the seconds in which speeds and rates change. */
-    private static final long RESOLVE_US = 100_000;
-    /** Time over which the own request rate is averaged: a burst shows within a second or two. */
-    private static final double RATE_US = 2_000_000;
-    /** Step of the speed estimates: about ten answers tell a server's speed. */
-    private static final double SPEED_GAIN = 0.1;
-    /** One answer counts as at most this many times slower than expected: costs have long tails. */
-    private static final double TAIL = 3;
-    /** A server so many times off its kind is a group of its own; beyond the estimates' noise. */
-    private static final double APART = 1.6;
-    /** Without answers for this long an estimate starts to return, so that a server is tried again. */
-    private static final long FORGET_US = 3_000_000;
-    /** First guess of cores where nothing tells; answers and reports correct it. */
-    static final double CORES_GUESS = 2;
-    /** Square-root staffing: a server holds at most cores + this times root of cores. */
-    private static final double CROWD = 1;
-    /** A waiting request starts no later than this many expected services before its aim. */
-    private static final double SLACK = 1.5;
-    /** Waiting requests are looked through this often, to give up in time those that find no room. */
-    private static final long SWEEP_US = 5_000;
-    /** Failures in a row after which a server is left alone for a while. */
-    private static final int EJECT_AFTER = 2;
-
-    private static final long EJECT_US = 500_000, EJECT_MOST_US = 8_000_000;
-    /** Each sidecar tells one other its rate this often. */
-    private static final long TELL_US = 500_000;
-    /** As many answers tell a kind's speed well; more count no more. */
-    private static final int EVIDENCE = 40;
-    /** Unserved requests remembered for their next try: some seconds of them in a crowd. */
-    private static final int UNSERVED_MOST = 2_000;
-    /** The means of rates lean to the own rate by this at each message sent. */
-    private static final double LEAN = 0.03;
-    /** Where no load is told, requests are shed above this, and at half as much again nearly all. */
-    private static final double CALM = 1.5, STEEP = 2;
-    /** The best is forgotten by this at each solution, so that a lucky start does not count for ever. */
-    private static final double CREEP = 1.0005;
-
-    private static final long HEARD_US = 5_000_000;
-    /** Own answers that are younger speak louder than peers. */
-    private static final long FRESH_US = 2_000_000;
-    /** An error so many times faster than an answer draws requests to its server. */
-    private static final double FAST = 4;
-    /** Seconds of a limit's share that may come at once. */
-    private static final double BURST = 0.25;
-    /** Points of the result that the probes of one pair may cost at most. */
-    private static final double TOLL = 0.005;
-
-    private static final long ASK_FIRST_US = 500_000;
-    /** A probe not answered for this long may be sent again. */
-    private static final long PROBE_US = 100_000;
-    /** Draws in want of room before all are looked through; pairs asked before a short queue will do. */
-    private static final int DRAWS = 4, PAIRS = 3;
-    /** Sidecars that share one server where connections cost: enough that their streams even out. */
-    private static final int SHARERS = 10;
-    /** Least number of servers in a sidecar's subset: two draws and one in reserve. */
-    private static final int FEWEST = 3;
-    /** A connection idle for less than this is not suspected of having been dropped meanwhile. */
-    private static final long IDLE_LEAST_US = 200_000;
-
-    private static final long IDLE_FORGET_US = 5_000_000;
-
-    private final Settings cfg;
-    private final Actions out;
-    private final SplittableRandom random;
+    /** How often Eq. (4) is solved again: speeds and rates change within seconds. */
+    private static final long SHARES_INTERVAL_US = 100_000;
+    /** Averaging time of this sidecar's request rate: a burst shows within two seconds. */
+    private static final double RATE_AVERAGING_US = 2_000_000;
+    /** Gain of the speed estimates: about ten answers determine a server's speed. */
+    private static final double GAIN = 0.1;
+    /** Upper bound of a latency relative to its expectation: request costs are heavy-tailed. */
+    private static final double LATENCY_CLAMP = 3;
+    /** A server this many times faster or slower than its kind is an outlier; above estimation noise. */
+    private static final double OUTLIER_RATIO = 1.6;
+    /** Estimates without answers for this long decay to the default, so that the server is tried again. */
+    private static final long ESTIMATE_TTL_US = 3_000_000;
+
+    private static final double DECAY = 0.02;
+    /** Initial estimate of a server's cores where load is not reported; answers correct it. */
+    static final double INITIAL_CORES = 2;
+    /** Square-root staffing: a server takes up to cores + HEADROOM * sqrt(cores) requests. */
+    private static final double HEADROOM = 1;
+    /** A queued request starts at least this many expected service times before its aim. */
+    private static final double SLACK_SERVICES = 1.5;
+    /** How often the queue is swept for requests that can no longer be answered in time. */
+    private static final long SWEEP_INTERVAL_US = 5_000;
+    /** Consecutive failures after which a server is ejected; repeated ejections double their duration. */
+    private static final int MAX_FAILURES = 2, MAX_DOUBLINGS = 10;
+
+    private static final long MIN_EJECTION_US = 500_000, MAX_EJECTION_US = 8_000_000, MAX_FULL_US = 500_000;
+    /** Interval of peer messages, and how long peer data and evidence about servers count as current. */
+    private static final long PEER_INTERVAL_US = 500_000, INFORMATION_TTL_US = 5_000_000;
+    /** Answers after which a kind's speed estimate counts as accurate; higher counts weigh no more. */
+    private static final int MAX_ANSWERS = 40;
+    /** Unserved requests remembered for their retries: a few seconds' worth under overload. */
+    private static final int MAX_UNSERVED = 2_000;
+    /** Weight of this sidecar's own rate in the averaged zone rates, applied with each message sent. */
+    private static final double OWN_RATE_GAIN = 0.03;
+    /** Requests are shed above this congestion where load is unknown; at 1.5 times that, nearly all. */
+    private static final double SHED_THRESHOLD = 1.5, SHED_SLOPE = 2, MAX_SHED = 0.95;
+    /** Growth of a kind's best slowness with each solution, so that one lucky estimate expires. */
+    private static final double BEST_GROWTH = 1.0005;
+    /** A success more recent than this outweighs the fleet's verdict on a server. */
+    private static final long OWN_EVIDENCE_LIFETIME_US = 2_000_000;
+    /** An error this many times faster than an answer would attract further requests to its server. */
+    private static final double FAST_FAILURE_RATIO = 4;
+    /** Burst of a rate limit, in seconds of its share. */
+    private static final double RATE_LIMIT_BURST_SECONDS = 0.25;
+    /** In points of the score: pairs are probed up to the one, requests keep to their zone from the other. */
+    private static final double MAX_PROBE_PAIR_PRICE = 0.005, MIN_CROSS_ZONE_PRICE = 0.02;
+
+    private static final long MIN_DISCOVERY_RETRY_US = 500_000, PROBE_TIMEOUT_US = 100_000;
+    /** Random draws before the whole table is scanned; pairs probed before a short queue is accepted. */
+    private static final int RANDOM_DRAWS = 4, PROBED_PAIRS = 3;
+    /** Sidecars that share a server where connections have a price: enough to even out their rates. */
+    private static final int SIDECARS_PER_SERVER = 10;
+    /** Minimum number of servers in a sidecar's subset: the two drawn and one spare. */
+    private static final int MIN_SUBSET_SIZE = 3;
+    /** Reciprocals of the golden and the plastic ratio: their multiples modulo 1 are spread evenly. */
+    private static final double GOLDEN = 0.6180339887498949, PLASTIC = 0.7548776662466927;
+    /** A connection idle for less than this is not suspected of having been dropped. */
+    private static final long MIN_IDLE_LIMIT_US = 200_000, IDLE_LIMIT_TTL_US = 5_000_000;
+
+    private static final String SWEEP = "hold", GOSSIP = "tell", DISCOVERY = "ask"; // timers
+
+    private final Settings config;
+    private final Actions actions;
+    private final SplittableRandom rng;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private double topWorth;
-    /** The two drawn servers are asked for their load by probes: the paper's sampled load itself. */
-    private final boolean sampling;
+    private double maxWorth;
+    /** Both drawn servers are probed for their load before a send, as in the paper. */
+    private final boolean probesLoad;
 
     private final SlowStart slowStart;
-    /** Connections and handshakes have a price: a sidecar keeps to a few servers of each kind. */
-    private final boolean subset;
-    /** No load is told, and more sidecars than share a server: own requests say little of it. */
-    private final boolean blind;
+    /** Connections and handshakes have a price: the sidecar uses only a few servers of each kind. */
+    private final boolean usesSubset;
+    /** Load is not probed, and with this many sidecars own requests say little about a server's load. */
+    private final boolean serverLoadUnknown;
 
-    private final double coresGuess;
-    private final int home;
+    private final double initialCores;
+    private final int homeZone;
 
     public Policy(Settings settings, long seed, long now, Actions actions) {
-        cfg = settings;
-        out = actions;
-        random = new SplittableRandom(seed);
-        for (RequestClass c : cfg.classes()) {
-            classWork.put(c.name(), c.aimUs() / 4.0);
-            meanWork += c.aimUs() / 4.0 / cfg.classes().size();
+        config = settings;
+        this.actions = actions;
+        rng = new SplittableRandom(seed);
+        for (RequestClass c : config.classes()) {
+            classWorkUs.put(c.name(), c.aimUs() / 4.0);
+            meanWorkUs += c.aimUs() / 4.0 / config.classes().size();
             classes.put(c.name(), c);
-            topWorth = Math.max(topWorth, c.worth());
-        }
-        zoneRate = new double[cfg.zones().size()];
-        Limits limits = cfg.limits();
-        sampling = limits.probing()
-                && cfg.reports() != Reports.NONE
-                && 2 * cfg.prices().probe() <= TOLL;
-        subset = cfg.prices().connection() > 0 && cfg.prices().handshake() > 0;
-        if (limits.peers() && cfg.balancers() > 1) out.timer("tell", TELL_US / 2 + random.nextLong(TELL_US));
-        slowStart = new SlowStart(cfg, sampling);
-        blind = !sampling && cfg.balancers() > SHARERS;
-        coresGuess = cfg.reports() == Reports.NONE ? CORES_GUESS : 1;
-        for (String k : cfg.kinds()) kinds.put(k, new Kind(coresGuess));
-        home = Math.max(0, cfg.zones().indexOf(cfg.zone()));
-        rateAt = startedAt = now;
-        solvedAt = now - RESOLVE_US;
-        if (cfg.discoveryOnRequest()) ask();
+            maxWorth = Math.max(maxWorth, c.worth());
+        }
+        zoneRate = new double[config.zones().size()];
+        Limits limits = config.limits();
+        probesLoad = limits.probing()
+                && config.loadReporting() != LoadReporting.NONE
+                && 2 * config.prices().probe() <= MAX_PROBE_PAIR_PRICE;
+        usesSubset = config.prices().connection() > 0 && config.prices().handshake() > 0;
+        if (limits.peers() && config.sidecarCount() > 1) {
+            this.actions.startTimer(GOSSIP, PEER_INTERVAL_US / 2 + rng.nextLong(PEER_INTERVAL_US));
+        }
+        slowStart = new SlowStart(config, probesLoad);
+        serverLoadUnknown = !probesLoad && config.sidecarCount() > SIDECARS_PER_SERVER;
+        initialCores = config.loadReporting() == LoadReporting.NONE ? INITIAL_CORES : 1;
+        for (String k : config.kinds()) kinds.put(k, new ServerKind(initialCores));
+        homeZone = Math.max(0, config.zones().indexOf(config.zone()));
+        rateUpdatedAt = startedAt = now;
+        sharesSolvedAt = now - SHARES_INTERVAL_US;
+        if (config.discoveryOnRequest()) subscribe();
     }
 
     // ---- membership -----------------------------------------------------------------------------
     final Map<String, Server> servers = new LinkedHashMap<>();
-    final Map<String, Kind> kinds = new LinkedHashMap<>();
-    /** Ready servers; with a subset in the order that all sidecars share. */
-    private final List<Server> ready = new ArrayList<>();
+    final Map<String, ServerKind> kinds = new LinkedHashMap<>();
+    /** Servers that are listed as ready and not cordoned; sorted by hash where a subset is used. */
+    private final List<Server> readyServers = new ArrayList<>();
 
-    private List<Server> members = List.of();
-    private long membersAt;
-    private double wantedMembers;
+    private List<Server> subset = List.of();
+    private long subsetChosenAt;
+    private double subsetTarget;
 
     @Override
-    public void onList(long now, ListKind listKind, List<Upstream> entries) {
-        listAnswered(now, listKind);
+    public void onUpstreamList(long now, ListKind listKind, List<Upstream> entries) {
+        updateSubscription(now, listKind);
         if (listKind == ListKind.FAILED) return;
-        Set<String> named = new HashSet<>();
-        for (Upstream u : entries) {
-            named.add(u.id());
-            Server s = servers.get(u.id());
-            if (s == null) {
-                Kind kind = kinds.computeIfAbsent(u.kind(), k -> new Kind(coresGuess));
-                s = new Server(u, kind, cfg.zones().indexOf(u.zone()), mix(u.id().hashCode(), 0));
-                servers.put(u.id(), s);
-            } else if (u.startedUs() != s.entry.startedUs()) {
-                restarted(s);
+        Set<String> listed = new HashSet<>();
+        for (Upstream entry : entries) {
+            listed.add(entry.id());
+            Server server = servers.get(entry.id());
+            if (server == null) {
+                ServerKind kind = kinds.computeIfAbsent(entry.kind(), k -> new ServerKind(initialCores));
+                server = new Server(
+                        entry,
+                        kind,
+                        config.zones().indexOf(entry.zone()),
+                        mixHash(entry.id().hashCode(), 0));
+                servers.put(entry.id(), server);
+            } else if (entry.startedUs() != server.listing.startedUs()) {
+                resetAfterRestart(server);
             }
-            s.entry = u;
-            place(s);
+            server.listing = entry;
+            updateReadiness(server);
         }
-        for (Server s : servers.values()) {
-            if (listKind == ListKind.DELTA || named.contains(s.id)) continue;
-            s.ready = false;
-            closeIfLeaving(s);
+        for (Server server : servers.values()) {
+            if (listKind == ListKind.DELTA || listed.contains(server.id)) continue;
+            server.ready = false;
+            closeIdleIfLeaving(server);
         }
-        changed(now);
+        onServersChanged(now);
     }
 
-    private void changed(long now) {
-        ready.clear();
-        servers.values().stream().filter(s -> s.ready).forEach(ready::add);
-        if (subset) ready.sort(Comparator.comparingInt((Server s) -> s.order).thenComparing(s -> s.id));
-        solvedAt = now - RESOLVE_US;
-        membersAt = now - TELL_US - 1;
-        dispatch(now, false);
+    private void onServersChanged(long now) {
+        readyServers.clear();
+        servers.values().stream().filter(server -> server.ready).forEach(readyServers::add);
+        if (usesSubset) {
+            readyServers.sort(Comparator.comparingInt((Server s) -> s.hash).thenComparing(s -> s.id));
+        }
+        sharesSolvedAt = now - SHARES_INTERVAL_US;
+        subsetChosenAt = now - PEER_INTERVAL_US - 1;
+        dispatchQueue(now, false);
     }
 
-    private static void restarted(Server s) {
-        s.apart = 1;
-        s.failures = s.ejections = s.refusals = 0;
-        s.ejectedUntil = s.fullUntil = s.usedAt = 0;
-        s.failedAt = Long.MIN_VALUE / 2;
-        s.idleBlamed = false;
+    private static void resetAfterRestart(Server server) {
+        server.relativeSlowness = 1;
+        server.failures = server.ejections = server.rejects = 0;
+        server.ejectedUntil = server.assumedFullUntil = server.lastUsedAt = 0;
+        server.failedAt = Long.MIN_VALUE / 2;
+        server.idleDropSuspected = false;
     }
 
-    /** What the operators leave out, and when they had the others back; ids need not be listed. */
+    /** Servers cordoned by the operators, and when others were uncordoned; neither need be listed. */
     private final Set<String> cordoned = new HashSet<>();
 
-    private final Map<String, Long> returned = new HashMap<>();
-    /** Back, and not yet heard of: a cold server may have no share for seconds, yet its users wait for it. */
-    private final Set<Server> owed = new LinkedHashSet<>();
+    private final Map<String, Long> uncordonedAt = new HashMap<>();
+    /** Uncordoned, no success since: operators expect traffic, though a cold server's share may be 0. */
+    private final Set<Server> awaitingFirstAnswer = new LinkedHashSet<>();
 
     @Override
-    public void onCordon(long now, String upstream, boolean leftOut, long atUs) {
-        Server s = servers.get(upstream);
-        if (leftOut) {
+    public void onCordon(long now, String upstream, boolean cordon, long atUs) {
+        Server server = servers.get(upstream);
+        if (cordon) {
             cordoned.add(upstream);
-            if (s != null) owed.remove(s);
+            if (server != null) awaitingFirstAnswer.remove(server);
         } else {
             cordoned.remove(upstream);
-            returned.put(upstream, Math.min(now, atUs));
-            if (s != null) {
-                restarted(s);
-                owed.add(s);
+            uncordonedAt.put(upstream, Math.min(now, atUs));
+            if (server != null) {
+                resetAfterRestart(server);
+                awaitingFirstAnswer.add(server);
             }
         }
-        if (s == null) return;
-        place(s);
-        changed(now);
+        if (server == null) return;
+        updateReadiness(server);
+        onServersChanged(now);
     }
 
-    /** Whether the list and the operators let it be used, and since when it runs. */
-    private void place(Server s) {
-        s.startedAt = Math.max(s.entry.startedUs(), returned.getOrDefault(s.id, 0L));
-        s.ready = s.entry.state() == UpstreamState.READY && !cordoned.contains(s.id);
-        closeIfLeaving(s);
+    private void updateReadiness(Server server) {
+        server.startedAt = Math.max(server.listing.startedUs(), uncordonedAt.getOrDefault(server.id, 0L));
+        server.ready = server.listing.state() == UpstreamState.READY && !cordoned.contains(server.id);
+        closeIdleIfLeaving(server);
     }
 
-    /** Fifth rule: idle connections to a server that leaves are closed at the notice and after each later
-     * outcome there. Also when it vanishes from the list, where a drain may have gone unseen. */
-    private void closeIfLeaving(Server s) {
-        if (cfg.rules().closeOnDrainUs() > 0 && !s.ready && s.usedAt > 0) out.close(s.id);
+    /** Rule 5: closes idle connections to a server that leaves, when that becomes known and after each later
+     * outcome there. Also when it vanishes from the list, since its drain may have gone unnoticed. */
+    private void closeIdleIfLeaving(Server server) {
+        if (config.rules().closeOnDrainWithinUs() > 0 && !server.ready && server.lastUsedAt > 0) {
+            actions.closeIdleConnections(server.id);
+        }
     }
 
-    private boolean priced() {
-        return cfg.prices().crossZone() >= 0.02;
+    private boolean hasCrossZonePrice() {
+        return config.prices().crossZone() >= MIN_CROSS_ZONE_PRICE;
     }
 
-    /** A hash that spreads neighbouring numbers; the same at every sidecar. */
-    static int mix(int a, int b) {
-        int x = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
-        x = (x ^ x >>> 15) * 0xc2b2ae35;
-        return x ^ x >>> 16;
+    /** Mixing hash that separates adjacent inputs; the same in every sidecar. */
+    static int mixHash(int a, int b) {
+        int hash = (a ^ b * 0x9e3779b9) * 0x85ebca6b;
+        hash = (hash ^ hash >>> 15) * 0xc2b2ae35;
+        return hash ^ hash >>> 16;
     }
 
-    /** Where connections cost, the servers to keep to: of each kind an arc of an order that all share,
-     * from a point of the own number's: even over servers, and a change of the list moves one place at most.
-     * Its length follows the own part of the fleet's rate: a server has as many streams at all sizes. */
-    private List<Server> members(long now) {
-        zonePart = zoneParts(now);
-        if (!subset) return ready;
-        double arc = SHARERS * ready.size() * ownRate / Math.max(1e-9, fleetRate(now));
-        wantedMembers = Math.max(Math.max(FEWEST, arc), 0.9 * wantedMembers);
-        // Where idle connections are dropped, no more than are used often enough.
-        double hot = idleLimit < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimit / 2e6) : wantedMembers;
-        Map<List<Object>, List<Server>> parts = new LinkedHashMap<>();
+    /** Deterministic subsetting where connections have a price: of each zone and kind an arc of one ring,
+     * placed by the sidecar's index. Servers are used evenly, and a change of the list moves one at most. The
+     * length follows the own part of the fleet's rate: a server has as many sidecars at all fleet sizes. */
+    private List<Server> chooseSubset(long now) {
+        zoneShare = zoneShares(now);
+        if (!usesSubset) return readyServers;
+        double arc = SIDECARS_PER_SERVER * readyServers.size() * ownRate / Math.max(1e-9, fleetRate(now));
+        subsetTarget = Math.max(Math.max(MIN_SUBSET_SIZE, arc), 0.9 * subsetTarget);
+        // Where idle connections are dropped, no more servers than are used often enough to avoid that.
+        double busy = idleLimitUs < Long.MAX_VALUE ? Math.max(1, ownRate * idleLimitUs / 2e6) : subsetTarget;
+        Map<List<Object>, List<Server>> groups = new LinkedHashMap<>();
         int[] size = new int[zoneRate.length];
-        for (Server s : ready) {
-            parts.computeIfAbsent(List.of(s.zone, s.entry.kind()), k -> new ArrayList<>())
-                    .add(s);
-            size[s.zone]++;
+        for (Server server : readyServers) {
+            groups.computeIfAbsent(List.of(server.zone, server.listing.kind()), k -> new ArrayList<>())
+                    .add(server);
+            size[server.zone]++;
         }
         List<Server> chosen = new ArrayList<>();
-        for (List<Server> of : parts.values()) {
-            Server one = of.get(0);
-            double n = zonePart[one.zone] * Math.min(hot, wantedMembers) * of.size() / size[one.zone];
-            // Parts of a server are rounded so that they come out right over many sidecars.
-            n = Math.max(one.zone == home ? 1 : 0, Math.floor(n + cfg.me() * 0.7548776662466927 % 1));
-            for (int i = 0; i < Math.min(n, of.size()); i++) {
-                chosen.add(of.get((i + ownPoint(of.size())) % of.size()));
+        for (List<Server> group : groups.values()) {
+            Server first = group.get(0);
+            double n = zoneShare[first.zone] * Math.min(busy, subsetTarget) * group.size() / size[first.zone];
+            // Fractions are rounded by sidecar, so that the average over many sidecars is right.
+            n = Math.max(first.zone == homeZone ? 1 : 0, Math.floor(n + config.sidecarIndex() * PLASTIC % 1));
+            for (int i = 0; i < Math.min(n, group.size()); i++) {
+                chosen.add(group.get((i + subsetStart(group.size())) % group.size()));
             }
         }
         return chosen;
     }
 
-    /** The parts of the own requests for each zone: in proportion, or, where crossing has a price, all for
-     * the own but for what it is asked beyond its part of the fleet. Without word of peers all stay. */
-    private double[] zoneParts(long now) {
-        double[] part = new double[zoneRate.length];
-        for (Server s : ready) part[s.zone] += 1.0 / ready.size();
-        if (!priced() || !blind) return part;
-        double total = now - heardAt < HEARD_US ? Arrays.stream(zoneRate).sum() : 0;
-        double stay = total <= 0 ? 1 : Math.min(1, part[home] * total / Math.max(1e-9, zoneRate[home]));
-        double gaps = 0;
-        for (int z = 0; z < part.length; z++) {
-            part[z] = z == home || total <= 0 ? 0 : Math.max(0, part[z] - zoneRate[z] / total);
-            gaps += part[z];
+    /** Fractions of this sidecar's requests by zone: in proportion to the servers, or, where crossing has a
+     * price, all to the own zone except its excess over its part of the fleet. Without peer data all stay. */
+    private double[] zoneShares(long now) {
+        double[] share = new double[zoneRate.length];
+        for (Server server : readyServers) share[server.zone] += 1.0 / readyServers.size();
+        if (!hasCrossZonePrice() || !serverLoadUnknown) return share;
+        double sum =
+                now - peerHeardAt < INFORMATION_TTL_US ? Arrays.stream(zoneRate).sum() : 0;
+        double stay = sum <= 0 ? 1 : Math.min(1, share[homeZone] * sum / Math.max(1e-9, zoneRate[homeZone]));
+        double deficits = 0;
+        for (int z = 0; z < share.length; z++) {
+            share[z] = z == homeZone || sum <= 0 ? 0 : Math.max(0, share[z] - zoneRate[z] / sum);
+            deficits += share[z];
         }
-        for (int z = 0; z < part.length; z++) part[z] *= (1 - stay) / Math.max(1e-9, gaps);
-        part[home] = stay;
-        return part;
+        for (int z = 0; z < share.length; z++) share[z] *= (1 - stay) / Math.max(1e-9, deficits);
+        share[homeZone] = stay;
+        return share;
     }
 
-    /** Points of successive numbers at the golden section's distance spread evenly over any circle. */
-    private int ownPoint(int places) {
-        return (int) (cfg.me() * 0.6180339887498949 % 1 * places);
+    private int subsetStart(int places) {
+        return (int) (config.sidecarIndex() * GOLDEN % 1 * places);
     }
 
     // ---- estimators -----------------------------------------------------------------------------
-    private final Map<String, Double> classWork = new HashMap<>();
-    private double meanWork;
-    private double ownRate;
+    private final Map<String, Double> classWorkUs = new HashMap<>();
+    private double meanWorkUs, ownRate;
     private int arrivals;
-    private long rateAt;
+    private long rateUpdatedAt;
     private final long startedAt;
 
-    private double warmth(Server s, long now) {
-        return slowStart.warmth(s, now);
+    private double capacityFraction(Server server, long now) {
+        return slowStart.capacityFraction(server, now);
     }
 
-    /** Requests a server holds, as far as known: own, or its own word where that is fresh and higher. */
-    private double load(Server s, long now) {
-        double done = (now - s.reportedAt) * s.kind.cores / (s.slow() * meanWork);
-        double known = Math.max(s.own, s.reported - done);
-        while (!s.attempts.isEmpty() && !s.attempts.peekFirst().running) s.attempts.pollFirst();
-        Attempt oldest = s.attempts.peekFirst();
+    /** Estimated requests at a server: own ones, or the reported load less the work done since, if higher. */
+    private double loadOf(Server server, long now) {
+        double done = (now - server.loadReportedAt) * server.kind.cores / (server.slowness() * meanWorkUs);
+        double load = Math.max(server.inFlight, server.reportedLoad - done);
+        while (!server.inFlightAttempts.isEmpty() && !server.inFlightAttempts.peekFirst().running) {
+            server.inFlightAttempts.pollFirst();
+        }
+        Attempt oldest = server.inFlightAttempts.peekFirst();
         if (oldest != null) {
-            // An answer that is overdue counts as more in flight: a stall shows in the own requests first.
-            // Costs have long tails, and half of the servers are a way off: several times over is no stall.
-            double overdue = (now - oldest.sentAt) / oldest.expected - 2 * TAIL;
-            if (overdue > 0) known += overdue;
+            // An overdue answer adds to the load, so that a stalled server loses draws before any time-out.
+            // Costs are heavy-tailed and estimates rough: a few times the expected latency is no stall.
+            double overdue = (now - oldest.sentAt) / oldest.expectedUs - 2 * LATENCY_CLAMP;
+            if (overdue > 0) load += overdue;
         }
-        return known;
+        return load;
     }
 
-    /** Time that work would take on a server that holds {@code held} others, served first come first. */
-    private double expected(Server s, double work, double held, long now) {
-        return s.slow() * (work + waiting(s, held)) / warmth(s, now);
+    /** Expected latency on a server that holds {@code held} other requests, first come first served. */
+    private double expectedUs(Server server, double work, double held, long now) {
+        return server.slowness() * (work + queueingDelayUs(server, held)) / capacityFraction(server, now);
     }
 
-    private double waiting(Server s, double held) {
-        double cores = Math.max(1, s.kind.cores);
-        return Math.max(0, held + 1 - cores) / cores * meanWork;
+    private double queueingDelayUs(Server server, double held) {
+        double cores = Math.max(1, server.kind.cores);
+        return Math.max(0, held + 1 - cores) / cores * meanWorkUs;
     }
 
-    private void learn(Server s, Attempt a, long latencyUs, boolean success, long now) {
-        double relative = latencyUs / Math.max(1, a.plain);
-        if (!success && relative < s.slow()) return;
-        double gain = SPEED_GAIN;
-        if (cfg.reports() == Reports.NONE && success && warmth(s, now) >= 1) {
-            // What waited for a core tells of cores, what did not of speed; each answer teaches by its part.
-            double part = waiting(s, a.held) / (waiting(s, a.held) + a.req.work);
-            double step = SPEED_GAIN / 4 * part * (Math.min(TAIL, relative / s.slow()) - 1);
-            s.kind.cores = Math.max(1, s.kind.cores * (1 - step));
-            gain *= 1 - part;
+    private void updateEstimates(Server server, Attempt attempt, long latencyUs, boolean success, long now) {
+        double ratio = latencyUs / Math.max(1, attempt.expectedStandardUs);
+        if (!success && ratio < server.slowness()) return;
+        double gain = GAIN;
+        if (config.loadReporting() == LoadReporting.NONE && success && capacityFraction(server, now) >= 1) {
+            // The queueing part of a latency shows the cores, the rest the speed: each takes its part.
+            double queueingPart = queueingDelayUs(server, attempt.loadAtSend)
+                    / (queueingDelayUs(server, attempt.loadAtSend) + attempt.owner.serviceUs);
+            double step = GAIN / 4 * queueingPart * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+            server.kind.cores = Math.max(1, server.kind.cores * (1 - step));
+            gain *= 1 - queueingPart;
         }
-        // Of a server that is out, one more time-out tells nothing of a crowd.
-        if (success || s.ejections == 0) {
-            crowding += SPEED_GAIN * (Math.min(2 * TAIL, relative / s.kind.least) - crowding);
+        // Further time-outs of an ejected server say nothing about congestion.
+        if (success || server.ejections == 0) {
+            congestion += GAIN * (Math.min(2 * LATENCY_CLAMP, ratio / server.kind.bestSlowness) - congestion);
         }
-        s.heardAt = now;
-        s.kind.heardAt = now;
-        if (success && !apart(s)) {
-            // Towards what was seen: steps that only add up drift. Few answers tell of the kind alone.
-            double first = gain * Math.max(0.25, 1 / SPEED_GAIN / (++s.kind.answers + 1));
-            s.kind.slow *= 1 + first * (Math.min(TAIL, relative / s.kind.slow) - 1);
-            s.kind.taughtAt = now;
+        server.answeredAt = now;
+        server.kind.answeredAt = now;
+        if (success && !isOutlier(server)) {
+            // A step towards the observed value: sums of steps drift. Early answers move the kind alone.
+            double weight = gain * Math.max(0.25, 1 / GAIN / (++server.kind.answers + 1));
+            server.kind.slowness *= 1 + weight * (Math.min(LATENCY_CLAMP, ratio / server.kind.slowness) - 1);
+            server.kind.tunedAt = now;
         }
-        s.apart *= 1 + gain * (Math.min(TAIL, relative / s.slow()) - 1);
-        if (success && a.req.request.costHintUs() <= 0) {
-            double step = SPEED_GAIN / 4 * (Math.min(TAIL, relative / s.slow()) - 1);
-            classWork.computeIfPresent(a.req.spec.name(), (c, work) -> work * (1 + step));
+        server.relativeSlowness *= 1 + gain * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+        if (success && attempt.owner.request.costHintUs() <= 0) {
+            double step = GAIN / 4 * (Math.min(LATENCY_CLAMP, ratio / server.slowness()) - 1);
+            classWorkUs.computeIfPresent(attempt.owner.requestClass.name(), (c, w) -> w * (1 + step));
         }
     }
 
-    private static boolean apart(Server s) {
-        return s.apart > APART || s.apart * APART < 1;
+    private static boolean isOutlier(Server server) {
+        return server.relativeSlowness > OUTLIER_RATIO || server.relativeSlowness * OUTLIER_RATIO < 1;
     }
 
-    private void report(String upstream, LoadReport r, long now) {
-        Server s = servers.get(upstream);
-        if (s == null || r == null || r.inFlight() < 0) return;
-        s.reported = r.inFlight();
-        s.reportedAt = now;
-        told = s;
-        double running = r.inFlight() - Math.max(0, r.queued());
-        if (r.queued() >= 0.5 && running >= 0.5 || running > s.kind.cores + 0.5) {
-            s.kind.cores += 0.3 * (Math.max(1, running) - s.kind.cores);
+    private void recordLoadReport(String upstream, LoadReport report, long now) {
+        Server server = servers.get(upstream);
+        if (server == null || report == null || report.inFlight() < 0) return;
+        server.reportedLoad = report.inFlight();
+        server.loadReportedAt = now;
+        lastReporter = server;
+        double running = report.inFlight() - Math.max(0, report.queued());
+        if (report.queued() >= 0.5 && running >= 0.5 || running > server.kind.cores + 0.5) {
+            server.kind.cores += 0.3 * (Math.max(1, running) - server.kind.cores);
         }
     }
 
-    private void measure(long now) {
-        double passed = Math.max(1, now - rateAt);
-        double keep = Math.exp(-passed / Math.max(passed, Math.min(RATE_US, now - startedAt)));
+    private void updateOwnRate(long now) {
+        double passed = Math.max(1, now - rateUpdatedAt);
+        double keep = Math.exp(-passed / Math.max(passed, Math.min(RATE_AVERAGING_US, now - startedAt)));
         ownRate = keep * ownRate + (1 - keep) * arrivals * 1e6 / passed;
         arrivals = 0;
-        rateAt = now;
+        rateUpdatedAt = now;
     }
 
-    /** The mean of the streams heard of, own one included, times their number. */
     private double fleetRate(long now) {
         double mean = Arrays.stream(zoneRate).sum();
-        return sidecars(now) * (mean > 0 ? mean : ownRate);
+        return effectiveSidecars(now) * (mean > 0 ? mean : ownRate);
     }
 
-    private Fleet fleet;
+    private FleetStatus fleet;
 
     @Override
-    public void onFleet(long now, Fleet told) {
-        fleet = told;
+    public void onFleetStatus(long now, FleetStatus status) {
+        fleet = status;
     }
 
-    /** Those whose streams add up: in a majority the ones here, else all. Whom a minority does not see may be
-     * cut off from it alone, and send on. A cold server's budget is not shared anew by this. */
-    int sidecars(long now) {
-        boolean told = fleet != null && now < fleet.untilUs() && fleet.standing() == Standing.MAJORITY;
-        return told ? Math.max(1, Math.min(cfg.balancers(), fleet.here())) : cfg.balancers();
+    /** Sidecars whose rates add up: the live ones in a majority, else all, as those that a minority can't see
+     * may be cut off from it alone and still send. A cold server's budget is not divided by this number. */
+    int effectiveSidecars(long now) {
+        boolean valid = fleet != null && now < fleet.validUntilUs() && fleet.quorum() == QuorumState.MAJORITY;
+        return valid ? Math.max(1, Math.min(config.sidecarCount(), fleet.live())) : config.sidecarCount();
     }
 
-    /** What only own answers and the list show, told on while it is fresh; not of a server that was ejected
-     * and has not answered since, of which the failure is the word. */
-    private void tellOf(long now, Server s) {
-        if (s.ejections > 0) return;
-        boolean slow = s.apart > APART && now - s.heardAt < TELL_US, cold = warmth(s, now) < 1;
-        if (!slow && !cold || now - s.toldAt < HEARD_US) return;
-        s.toldAt = now;
-        if (slow) out.evidence(s.id, Evidence.SLOW, s.apart);
-        else out.evidence(s.id, Evidence.COLD, (now - s.startedAt) / 1e6);
+    /** Reports a slow or cold server, by recent own answers and the list alone. Not one that was ejected and
+     * has had no success since: its failures are the evidence. */
+    private void reportSlowOrCold(long now, Server server) {
+        if (server.ejections > 0) return;
+        boolean slow = server.relativeSlowness > OUTLIER_RATIO && now - server.answeredAt < PEER_INTERVAL_US,
+                cold = capacityFraction(server, now) < 1;
+        if (!slow && !cold || now - server.evidenceSentAt < INFORMATION_TTL_US) return;
+        server.evidenceSentAt = now;
+        if (slow) actions.reportEvidence(server.id, Evidence.SLOW, server.relativeSlowness);
+        else actions.reportEvidence(server.id, Evidence.COLD, (now - server.startedAt) / 1e6);
     }
 
-    /** Out by words of which one is the own: tried when the ejection ends, so that the word stays true. */
-    private final List<Server> accused = new ArrayList<>();
+    /** Out by a verdict that this sidecar witnessed: tried when the ejection ends, to renew the evidence. */
+    private final List<Server> witnessedOutages = new ArrayList<>();
 
-    /** Own fresh evidence goes before any word, and is told where a word says otherwise. What is out by word
-     * is tried again, one request at a time, when the word ends; by its witnesses when their own ejection
-     * ends, since a word that nobody renews lapses. A word never makes a cold server warmer. */
+    /** Recent own evidence outweighs a verdict and is reported where it contradicts one. A server that is out
+     * by a verdict is tried again, one request at a time, when the verdict ends; by its witnesses when their
+     * own ejection ends, as a verdict lapses without new evidence. No verdict makes a cold server warmer. */
     @Override
     public void onVerdicts(long now, List<Verdict> verdicts) {
-        accused.clear();
-        for (Verdict v : verdicts) {
-            Server s = servers.get(v.upstream());
-            if (s == null || now >= v.untilUs()) continue;
-            boolean answers = now - s.answeredAt < FRESH_US && s.failures == 0 && s.ejections == 0;
-            if (answers && v.kind().out()) out.evidence(s.id, Evidence.GOOD, 1);
-            if (v.ownWord() && v.kind().out()) accused.add(s);
-            boolean own = answers || v.ownWord() || now - s.failedAt < HEARD_US;
-            if (!v.holds() || v.kind().out() && own) continue;
-            switch (v.kind()) {
+        witnessedOutages.clear();
+        for (Verdict verdict : verdicts) {
+            Server server = servers.get(verdict.upstream());
+            if (server == null || now >= verdict.validUntilUs()) continue;
+            boolean works = now - server.succeededAt < OWN_EVIDENCE_LIFETIME_US
+                    && server.failures == 0
+                    && server.ejections == 0;
+            if (works && verdict.evidence().isOutage()) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+            if (verdict.reportedHere() && verdict.evidence().isOutage()) witnessedOutages.add(server);
+            boolean hasOwn = works || verdict.reportedHere() || now - server.failedAt < INFORMATION_TTL_US;
+            if (!verdict.confirmed() || verdict.evidence().isOutage() && hasOwn) continue;
+            switch (verdict.evidence()) {
                 case SILENT, FAILING, FAILING_FAST -> {
-                    s.ejections = Math.max(1, s.ejections);
-                    s.ejectedUntil = Math.max(s.ejectedUntil, v.untilUs());
+                    server.ejections = Math.max(1, server.ejections);
+                    server.ejectedUntil = Math.max(server.ejectedUntil, verdict.validUntilUs());
                 }
                 case SLOW -> {
-                    if (now - s.heardAt <= FORGET_US) continue;
-                    s.apart = Math.max(s.apart, Math.min(2 * TAIL, v.factor()));
+                    if (now - server.answeredAt <= ESTIMATE_TTL_US) continue;
+                    server.relativeSlowness =
+                            Math.max(server.relativeSlowness, Math.min(2 * LATENCY_CLAMP, verdict.factor()));
                 }
-                case COLD -> s.startedAt = Math.max(s.startedAt, now - (long) (v.factor() * 1e6));
-                case DROPS_IDLE -> limitIdle(now, (long) (v.factor() * 1_000));
+                case COLD -> {
+                    server.startedAt = Math.max(server.startedAt, now - (long) (verdict.factor() * 1e6));
+                }
+                case DROPS_IDLE -> lowerIdleLimit(now, (long) (verdict.factor() * 1_000));
             }
         }
     }
 
-    private final Map<String, Quota> quotas = new LinkedHashMap<>();
+    private final Map<String, LimitUsage> limitUsages = new LinkedHashMap<>();
 
     @Override
-    public void onShares(long now, List<Share> shares) {
-        Map<String, Quota> before = new HashMap<>(quotas);
-        quotas.clear();
-        for (Share s : shares) {
-            Quota q = before.getOrDefault(s.name(), new Quota());
-            q.share = s;
-            quotas.put(s.name(), q);
+    public void onLimitShares(long now, List<LimitShare> shares) {
+        Map<String, LimitUsage> before = new HashMap<>(limitUsages);
+        limitUsages.clear();
+        for (LimitShare share : shares) {
+            LimitUsage usage = before.getOrDefault(share.name(), new LimitUsage());
+            usage.share = share;
+            limitUsages.put(share.name(), usage);
         }
     }
 
-    /** Since this was asked last: requests a second that each limit was asked for, or the most at once. */
     @Override
-    public Map<String, Double> demands(long passedUs) {
+    public Map<String, Double> collectLimitDemands(long elapsedUs) {
         Map<String, Double> demands = new LinkedHashMap<>();
-        for (Quota q : quotas.values()) {
-            demands.put(q.share.name(), q.share.inFlight() ? q.most : q.asked * 1e6 / Math.max(1, passedUs));
-            q.asked = 0;
-            q.most = q.inFlight;
+        for (LimitUsage usage : limitUsages.values()) {
+            demands.put(
+                    usage.share.name(),
+                    usage.share.inFlight() ? usage.peak : usage.arrivals * 1e6 / Math.max(1, elapsedUs));
+            usage.arrivals = 0;
+            usage.peak = usage.inFlight;
         }
         return demands;
     }
 
-    /** 0 where all limits that count it have room, which it takes; else the time until they do. */
-    private long overLimit(long now, Req r) {
-        List<Quota> counted = new ArrayList<>();
+    /** Takes a place in each applicable limit and returns 0, or takes none and returns the time to wait. */
+    private long acquireLimits(long now, ActiveRequest active) {
+        List<LimitUsage> applicable = new ArrayList<>();
         long wait = 0;
-        for (Quota q : quotas.values()) {
-            if (!q.share.counts(r.request)) continue;
-            counted.add(q);
-            double most = now < q.share.untilUs() ? q.share.share() : q.share.alone();
-            q.asked++;
-            q.most = Math.max(q.most, q.inFlight + 1);
-            if (q.share.inFlight() && q.inFlight + 1 > most) wait = Math.max(wait, r.spec.aimUs());
-            if (q.share.inFlight()) continue;
-            q.tokens = Math.min(Math.max(1, most * BURST), q.tokens + most * (now - q.at) / 1e6);
-            q.at = now;
-            if (q.tokens < 1) wait = Math.max(wait, (long) ((1 - q.tokens) / Math.max(1e-3, most) * 1e6));
+        for (LimitUsage usage : limitUsages.values()) {
+            if (!usage.share.appliesTo(active.request)) continue;
+            applicable.add(usage);
+            double cap = now < usage.share.validUntilUs() ? usage.share.share() : usage.share.fallbackShare();
+            usage.arrivals++;
+            usage.peak = Math.max(usage.peak, usage.inFlight + 1);
+            if (usage.share.inFlight() && usage.inFlight + 1 > cap) {
+                wait = Math.max(wait, active.requestClass.aimUs());
+            }
+            if (usage.share.inFlight()) continue;
+            usage.tokens = Math.min(
+                    Math.max(1, cap * RATE_LIMIT_BURST_SECONDS),
+                    usage.tokens + cap * (now - usage.tokensRefilledAt) / 1e6);
+            usage.tokensRefilledAt = now;
+            if (usage.tokens < 1) {
+                wait = Math.max(wait, (long) ((1 - usage.tokens) / Math.max(1e-3, cap) * 1e6));
+            }
         }
         if (wait > 0) return wait;
-        r.quotas = counted;
-        for (Quota q : counted) {
-            if (!q.share.inFlight()) q.tokens--;
-            q.inFlight++;
+        active.limits = applicable;
+        for (LimitUsage usage : applicable) {
+            if (!usage.share.inFlight()) usage.tokens--;
+            usage.inFlight++;
         }
         return 0;
     }
 
-    // ---- split ----------------------------------------------------------------------------------
-    private long solvedAt;
-    /** Of the ready servers, the fastest one's {@link Server#slow}. */
-    private double bestSlow = 1;
+    // ---- shares ---------------------------------------------------------------------------------
+    private long sharesSolvedAt;
+    /** Lowest slowness of the servers in use, at their current capacity. */
+    private double bestSlowness = 1;
 
-    /** How many times longer than at their best answers take, beyond what the own requests explain. */
-    private double crowding = 1;
+    /** Ratio of latencies to those of uncongested servers, beyond what own requests explain. */
+    private double congestion = 1;
 
-    /** Eq. (4) over groups of {@code k} servers of speed {@code mu}; those with a negative share are
-     * dropped and the rest solved again. The shares sum to 1, or all are 0. */
-    static double[] split(double[] k, double[] mu, double lambda) {
+    /** Solves Eq. (4) for groups of {@code k} servers of speed {@code mu} at rate {@code lambda}. Groups with
+     * a negative share are dropped and the rest solved again. The shares sum to 1, or all are 0. */
+    static double[] solveShares(double[] k, double[] mu, double lambda) {
         int n = k.length;
         double[] p = new double[n];
-        boolean[] in = new boolean[n];
+        boolean[] included = new boolean[n];
         double capacity = 0;
         for (int i = 0; i < n; i++) {
-            in[i] = k[i] > 0 && mu[i] > 0;
-            capacity += in[i] ? k[i] * mu[i] : 0;
+            included[i] = k[i] > 0 && mu[i] > 0;
+            capacity += included[i] ? k[i] * mu[i] : 0;
         }
-        // Rate 0 has the limit of low rates; past capacity the split stays proportional (Corollary 3).
+        // Rate 0 takes the limit of low rates; above capacity the split stays proportional (Corollary 3).
         double rate = Math.max(capacity * 1e-6, Math.min(lambda, capacity));
         for (int round = 0; round < n; round++) {
             double roots = 0, sum = 0;
             for (int i = 0; i < n; i++) {
-                roots += in[i] ? k[i] * Math.sqrt(mu[i]) : 0;
-                sum += in[i] ? k[i] * mu[i] : 0;
+                roots += included[i] ? k[i] * Math.sqrt(mu[i]) : 0;
+                sum += included[i] ? k[i] * mu[i] : 0;
             }
             boolean dropped = false;
             for (int i = 0; i < n; i++) {
                 double root = Math.sqrt(mu[i]);
-                p[i] = in[i] ? k[i] * (mu[i] * roots - root * sum + rate * root) / (rate * roots) : 0;
+                p[i] = included[i] ? k[i] * (mu[i] * roots - root * sum + rate * root) / (rate * roots) : 0;
                 if (p[i] < 0) {
-                    in[i] = false;
+                    included[i] = false;
                     dropped = true;
                 }
             }
@@ -521,708 +543,766 @@
         return p;
     }
 
-    /** Keeps the rate and the shares current; called with every request. */
-    private void refresh(long now) {
-        if (now - solvedAt < RESOLVE_US) return;
-        measure(now);
-        solvedAt = now;
-        bestSlow = ready.isEmpty() ? 1 : Double.MAX_VALUE;
-        if (now - membersAt > TELL_US) {
-            membersAt = now;
-            members = members(now);
+    private void refreshShares(long now) {
+        if (now - sharesSolvedAt < SHARES_INTERVAL_US) return;
+        updateOwnRate(now);
+        sharesSolvedAt = now;
+        bestSlowness = readyServers.isEmpty() ? 1 : Double.MAX_VALUE;
+        if (now - subsetChosenAt > PEER_INTERVAL_US) {
+            subsetChosenAt = now;
+            subset = chooseSubset(now);
         }
         Map<Object, List<Server>> byKind = new LinkedHashMap<>();
-        for (Table t : List.of(near, far, all)) t.clear();
-        cold.clear();
-        for (Kind k : kinds.values()) {
-            // A kind thought slow gets no requests that would tell otherwise: back towards its best.
-            if (now - k.heardAt > FORGET_US) k.slow += 0.02 * (k.least - k.slow);
-            k.least = k.answers < EVIDENCE ? k.slow : Math.min(k.slow, k.least * CREEP);
-        }
-        for (Server s : members) {
-            tellOf(now, s);
-            if (s.apart * APART < 1 && now - s.kind.taughtAt > FORGET_US) leanKindTo(s);
-            if (now - s.heardAt > FORGET_US) s.apart += 0.02 * (1 - s.apart);
-            Object group = apart(s) || warmth(s, now) < 1 ? s : s.kind;
-            byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(s);
+        for (WeightedTable t : List.of(homeTable, awayTable, allTable)) t.clear();
+        warmingServers.clear();
+        for (ServerKind kind : kinds.values()) {
+            // A kind estimated as slow gets no requests that could correct that: decay to its best.
+            if (now - kind.answeredAt > ESTIMATE_TTL_US) {
+                kind.slowness += DECAY * (kind.bestSlowness - kind.slowness);
+            }
+            kind.bestSlowness = kind.answers < MAX_ANSWERS
+                    ? kind.slowness
+                    : Math.min(kind.slowness, kind.bestSlowness * BEST_GROWTH);
+        }
+        for (Server server : subset) {
+            reportSlowOrCold(now, server);
+            if (server.relativeSlowness * OUTLIER_RATIO < 1 && now - server.kind.tunedAt > ESTIMATE_TTL_US) {
+                moveKindTowards(server);
+            }
+            if (now - server.answeredAt > ESTIMATE_TTL_US) {
+                server.relativeSlowness += DECAY * (1 - server.relativeSlowness);
+            }
+            Object group = isOutlier(server) || capacityFraction(server, now) < 1 ? server : server.kind;
+            byKind.computeIfAbsent(group, x -> new ArrayList<>()).add(server);
         }
         List<List<Server>> groups = new ArrayList<>(byKind.values());
         double[] k = new double[groups.size()], mu = new double[groups.size()];
         for (int i = 0; i < k.length; i++) {
             Server first = groups.get(i).get(0);
-            double slow = 0;
-            for (Server s : groups.get(i)) slow += s.slow();
+            double slowness = 0;
+            for (Server server : groups.get(i)) slowness += server.slowness();
             k[i] = groups.get(i).size();
-            mu[i] = 1e6 * first.kind.cores * warmth(first, now) / (slow / k[i] * meanWork);
+            mu[i] = 1e6 * first.kind.cores * capacityFraction(first, now) / (slowness / k[i] * meanWorkUs);
         }
-        double[] p = split(k, mu, fleetRate(now) * members.size() / Math.max(1, ready.size()));
+        double[] p = solveShares(k, mu, fleetRate(now) * subset.size() / Math.max(1, readyServers.size()));
         for (int i = 0; i < k.length; i++) {
-            for (Server s : groups.get(i)) {
-                // The floor only matters when all servers with a share are full.
-                s.share = weight(now, s) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
-                bestSlow = Math.min(bestSlow, s.slow() / warmth(s, now));
-                all.add(s);
-                if (priced()) (s.zone == home ? near : far).add(s);
-                boolean turn = weight(now, s) >= 1 || random.nextDouble() < weight(now, s);
-                if (p[i] > 0 && warmth(s, now) < 1 && turn) cold.add(s);
+            for (Server server : groups.get(i)) {
+                // The lower bound only matters when all servers with a share are full.
+                server.share = weightOf(now, server) * Math.max(p[i] / k[i], 1e-6 * mu[i]);
+                bestSlowness = Math.min(bestSlowness, server.slowness() / capacityFraction(server, now));
+                allTable.add(server);
+                if (hasCrossZonePrice()) (server.zone == homeZone ? homeTable : awayTable).add(server);
+                boolean eligible = weightOf(now, server) >= 1 || rng.nextDouble() < weightOf(now, server);
+                if (p[i] > 0 && capacityFraction(server, now) < 1 && eligible) warmingServers.add(server);
             }
         }
     }
 
-    /** A faster server has all requests of its kind, so nothing tells what the others can do by now: they are
-     * thought nearer to it until they are tried again. Its own estimate stays. */
-    private static void leanKindTo(Server fast) {
-        double slow = fast.slow();
-        fast.kind.slow += 0.02 * (slow - fast.kind.slow);
-        fast.apart = slow / fast.kind.slow;
+    /** A faster server attracts all requests of its kind, so the others' speed is unknown: their estimates
+     * move towards it until they are tried again. Its own estimate stays. */
+    private static void moveKindTowards(Server fast) {
+        double slowness = fast.slowness();
+        fast.kind.slowness += DECAY * (slowness - fast.kind.slowness);
+        fast.relativeSlowness = slowness / fast.kind.slowness;
     }
 
     // ---- pick -----------------------------------------------------------------------------------
-    /** The drawn-from servers with their cumulated shares; the own zone's where crossing has a price. */
-    private final Table all = new Table(), near = new Table(), far = new Table();
-    /** Warming servers with a share, for the turns of many sidecars. */
-    private final List<Server> cold = new ArrayList<>();
-
-    /** Two draws by p_i/k_i among the servers with room, the less busy one wins. Where crossing zones has
-     * a price, all with room in the own zone are drawn from first (or, for the part that a crowded zone gives
-     * away, the others); then any with a free core; then any below their bound. Null: wait here. */
-    private Server pick(long now, Req r) {
-        refresh(now);
-        Server turn = null;
-        for (Server s : owed) {
-            if (turn == null && s.own == 0 && hasRoom(now, r, s, true)) turn = s;
+    /** The subset by cumulative shares; split into own zone and others where crossing has a price. */
+    private final WeightedTable allTable = new WeightedTable(),
+            homeTable = new WeightedTable(),
+            awayTable = new WeightedTable();
+    /** Warming servers with a share; each is preferred when it is this sidecar's turn to send there. */
+    private final List<Server> warmingServers = new ArrayList<>();
+
+    /** The less loaded of two servers with room, drawn by p_i/k_i. Where crossing zones has a price, servers
+     * of the own zone come first (or the others, for the part that an overloaded zone gives away); then any
+     * with a free core; then any below its bound. Servers due for a request precede. Null: it has to wait. */
+    private Server pickServer(long now, ActiveRequest active) {
+        refreshShares(now);
+        Server due = null;
+        for (Server s : awaitingFirstAnswer) {
+            if (due == null && s.inFlight == 0 && hasRoom(now, active, s, true)) due = s;
         }
-        for (Server s : mayTry(r) ? accused : List.<Server>of()) {
-            if (turn == null && s.ejections > 0 && s.own == 0 && hasRoom(now, r, s, true)) turn = s;
+        for (Server s : canTryEjected(active) ? witnessedOutages : List.<Server>of()) {
+            if (due == null && s.ejections > 0 && s.inFlight == 0 && hasRoom(now, active, s, true)) due = s;
         }
-        for (int i = 0; i < cold.size() && turn == null; i++) {
-            turn = hasRoom(now, r, cold.get(i), true) ? cold.get(i) : null;
+        for (int i = 0; i < warmingServers.size() && due == null; i++) {
+            due = hasRoom(now, active, warmingServers.get(i), true) ? warmingServers.get(i) : null;
         }
-        if (sampling || turn != null) return sampling ? sampled(now, r, turn) : turn;
-        boolean stay = !blind || far.size() == 0 || random.nextDouble() < zonePart[home];
-        Server s = pair(now, r, stay ? near : far, false);
-        s = s != null ? s : pair(now, r, all, true);
-        return s != null ? s : pair(now, r, all, false);
+        if (probesLoad || due != null) return probesLoad ? pickByProbes(now, active, due) : due;
+        boolean home = !serverLoadUnknown || awayTable.size() == 0 || rng.nextDouble() < zoneShare[homeZone];
+        Server s = pickOfTwo(now, active, home ? homeTable : awayTable, false);
+        s = s != null ? s : pickOfTwo(now, active, allTable, true);
+        return s != null ? s : pickOfTwo(now, active, allTable, false);
     }
 
-    /** What tries a server that is out may well be lost: no request twice, and none of an unsafe class. */
-    private static boolean mayTry(Req r) {
-        return r.attempts.isEmpty() && r.spec.semantics() != Semantics.UNSAFE;
+    /** A send to an ejected server may lose the request: none makes two such sends, an unsafe one none. */
+    private static boolean canTryEjected(ActiveRequest active) {
+        return active.attempts.isEmpty() && active.requestClass.semantics() != Semantics.UNSAFE;
     }
 
-    private Server pair(long now, Req r, Table table, boolean freeCore) {
-        Server first = draw(now, r, table, freeCore, null);
-        Server second = first == null ? null : draw(now, r, table, freeCore, first);
+    private Server pickOfTwo(long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore) {
+        Server first = drawServer(now, active, table, needsFreeCore, null);
+        Server second = first == null ? null : drawServer(now, active, table, needsFreeCore, first);
         return second == null ? first : lessBusy(now, first, second);
     }
 
-    private Server told;
+    /** The server whose load report is being handled. */
+    private Server lastReporter;
 
-    /** Many sidecars see too little of the fleet themselves: both of a pair are asked for their load. A free
-     * core takes the request; after some pairs without, the less busy with room. One without an answer by the
-     * next sweep loses. One that {@code told} of a free core just now takes what found none. */
-    private Server sampled(long now, Req r, Server turn) {
-        if (told != null && r.pairs > 0 && hasRoom(now, r, told, true)) {
-            r.first = null;
-            return told;
+    /** A sidecar of many sees too little of the servers' load, so both drawn servers are probed. A free core
+     * takes the request; after some pairs without, the less loaded with room. A server with no answer by the
+     * next sweep is passed over. A request whose pairs had no free core takes the next one reported. */
+    private Server pickByProbes(long now, ActiveRequest active, Server due) {
+        if (lastReporter != null && active.probedPairs > 0 && hasRoom(now, active, lastReporter, true)) {
+            active.firstCandidate = null;
+            return lastReporter;
         }
-        if (r.first == null) {
-            r.first = now < r.askNext ? null : turn != null ? turn : draw(now, r, all, false, null);
-            if (r.first == null) return null;
-            r.second = draw(now, r, all, false, r.first);
-            r.askedAt = now;
-            ask(now, r.first);
-            ask(now, r.second);
+        if (active.firstCandidate == null) {
+            active.firstCandidate = now < active.nextProbeAt
+                    ? null
+                    : due != null ? due : drawServer(now, active, allTable, false, null);
+            if (active.firstCandidate == null) return null;
+            active.secondCandidate = drawServer(now, active, allTable, false, active.firstCandidate);
+            active.probedAt = now;
+            probeLoad(now, active.firstCandidate);
+            probeLoad(now, active.secondCandidate);
             return null;
         }
-        boolean secondAnswered = r.second == null || r.second.reportedAt >= r.askedAt;
-        boolean answered = r.first.reportedAt >= r.askedAt && secondAnswered;
-        if (!answered && now - r.askedAt < SWEEP_US) return null;
+        boolean secondAnswered =
+                active.secondCandidate == null || active.secondCandidate.loadReportedAt >= active.probedAt;
+        boolean answered = active.firstCandidate.loadReportedAt >= active.probedAt && secondAnswered;
+        if (!answered && now - active.probedAt < SWEEP_INTERVAL_US) return null;
         Server best = null;
-        for (Server s : new Server[] {r.first, r.second}) {
-            if (s != null && s.reportedAt >= r.askedAt && hasRoom(now, r, s, false)) {
+        for (Server s : new Server[] {active.firstCandidate, active.secondCandidate}) {
+            if (s != null && s.loadReportedAt >= active.probedAt && hasRoom(now, active, s, false)) {
                 best = best == null ? s : lessBusy(now, best, s);
             }
         }
-        r.first = null;
-        r.pairs++;
-        if (best != null && (r.pairs >= PAIRS || hasRoom(now, r, best, true))) return best;
-        if (r.pairs < PAIRS) return sampled(now, r, turn);
-        // Ever rarer, so that a wait costs a bounded number of probes.
-        r.askNext = now + (SWEEP_US << Math.min(r.pairs - PAIRS, 2));
+        active.firstCandidate = null;
+        active.probedPairs++;
+        if (best != null && (active.probedPairs >= PROBED_PAIRS || hasRoom(now, active, best, true))) {
+            return best;
+        }
+        if (active.probedPairs < PROBED_PAIRS) return pickByProbes(now, active, due);
+        // Probes less and less often, to bound what a long wait costs.
+        active.nextProbeAt = now + (SWEEP_INTERVAL_US << Math.min(active.probedPairs - PROBED_PAIRS, 2));
         return null;
     }
 
-    private void ask(long now, Server s) {
-        if (s != null && now - s.askedAt > PROBE_US) {
-            s.askedAt = now;
-            out.probe(s.id);
+    private void probeLoad(long now, Server server) {
+        if (server != null && now - server.probeSentAt > PROBE_TIMEOUT_US) {
+            server.probeSentAt = now;
+            actions.probe(server.id);
         }
     }
 
     private Server lessBusy(long now, Server first, Server second) {
-        double less = load(first, now) / first.kind.cores - load(second, now) / second.kind.cores;
-        if (Math.abs(less) > (sampling ? 0.5 : 1e-9)) return less < 0 ? first : second;
-        return random.nextDouble() * (first.share + second.share) < first.share ? first : second;
-    }
-
-    /** A server by its share among those with room: for a key always the same one, which met it before, and
-     * over all keys each by its share (weighted rendezvous: Schindelhauer, Schomaker 2005); else at random,
-     * by a few draws from the table and then a look at all of it. */
-    private Server draw(long now, Req r, Table table, boolean freeCore, Server not) {
-        long key = r.request.key();
-        for (int i = 0; i < DRAWS && key < 0 && table.size() > 0; i++) {
-            Server s = table.draw(random.nextDouble());
-            if (s != not && hasRoom(now, r, s, freeCore)) return s;
-        }
-        int hash = key < 0 ? random.nextInt() : Long.hashCode(key);
-        double least = Double.MAX_VALUE;
+        double difference = loadOf(first, now) / first.kind.cores - loadOf(second, now) / second.kind.cores;
+        if (Math.abs(difference) > (probesLoad ? 0.5 : 1e-9)) return difference < 0 ? first : second;
+        return rng.nextDouble() * (first.share + second.share) < first.share ? first : second;
+    }
+
+    /** Draws a server with room by its share: for a key always the same one, which has seen it before, and
+     * over all keys each by its share (weighted rendezvous hashing: Schindelhauer, Schomaker 2005); else at
+     * random, by a few draws from the table and then a scan of all of it. */
+    private Server drawServer(
+            long now, ActiveRequest active, WeightedTable table, boolean needsFreeCore, Server excluded) {
+        long key = active.request.key();
+        for (int i = 0; i < RANDOM_DRAWS && key < 0 && table.size() > 0; i++) {
+            Server server = table.draw(rng.nextDouble());
+            if (server != excluded && hasRoom(now, active, server, needsFreeCore)) return server;
+        }
+        int hash = key < 0 ? rng.nextInt() : Long.hashCode(key);
+        double min = Double.MAX_VALUE;
         Server chosen = null;
         for (int i = 0; i < table.size(); i++) {
-            Server s = table.get(i);
-            double score = -Math.log(((mix(s.order, hash) >>> 1) + 1.0) / (1L << 31)) / s.share;
-            if (s == not || score >= least || !hasRoom(now, r, s, freeCore)) continue;
-            least = score;
-            chosen = s;
+            Server server = table.get(i);
+            double score = -Math.log(((mixHash(server.hash, hash) >>> 1) + 1.0) / (1L << 31)) / server.share;
+            if (server == excluded || score >= min || !hasRoom(now, active, server, needsFreeCore)) continue;
+            min = score;
+            chosen = server;
         }
         return chosen;
     }
 
-    private Weights weights;
+    private ServerWeights weights;
 
-    /** A standing order on the draw; none makes a server ready, warm or trusted that is not. */
+    /** Weights only scale the shares: none makes a server ready, warm or trusted. */
     @Override
-    public void onWeights(long now, Weights told) {
-        weights = told;
-        solvedAt = now - RESOLVE_US;
+    public void onServerWeights(long now, ServerWeights newWeights) {
+        weights = newWeights;
+        sharesSolvedAt = now - SHARES_INTERVAL_US;
     }
 
-    private double weight(long now, Server s) {
-        return weights == null || now >= weights.untilUs() ? 1 : weights.of(s.id);
+    private double weightOf(long now, Server server) {
+        return weights == null || now >= weights.validUntilUs() ? 1 : weights.weightOf(server.id);
     }
 
-    private boolean hasRoom(long now, Req r, Server s, boolean freeCore) {
-        if (now < Math.max(s.ejectedUntil, s.fullUntil) || s.ejections > 0 && s.own > 0) return false;
-        if (weight(now, s) <= 0 || !maySend(now, r, s)) return false;
-        double cores = Math.max(1, s.kind.cores) * warmth(s, now);
-        double load = load(s, now);
-        if (freeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
-        return load + 1 <= Math.max(1, cores + CROWD * Math.sqrt(cores)) + (sampling ? 0.5 : 0.01)
-                && (!blind && load < 0.5 && warmth(s, now) >= 1
-                        || now + expected(s, r.work, load, now) <= r.usefulUntil);
+    private boolean hasRoom(long now, ActiveRequest active, Server server, boolean needsFreeCore) {
+        if (now < Math.max(server.ejectedUntil, server.assumedFullUntil)
+                || server.ejections > 0 && server.inFlight > 0) {
+            return false;
+        }
+        if (weightOf(now, server) <= 0 || !canSend(now, active, server)) return false;
+        double cores = Math.max(1, server.kind.cores) * capacityFraction(server, now);
+        double load = loadOf(server, now);
+        if (needsFreeCore) return load < Math.max(1, Math.round(cores)) - 0.5;
+        return load + 1 <= Math.max(1, cores + HEADROOM * Math.sqrt(cores)) + (probesLoad ? 0.5 : 0.01)
+                && (!serverLoadUnknown && load < 0.5 && capacityFraction(server, now) >= 1
+                        || now + expectedUs(server, active.serviceUs, load, now) <= active.usefulUntil);
     }
 
     // ---- admission ------------------------------------------------------------------------------
-    final Map<String, Req> open = new HashMap<>();
-    private final List<Req> waiting = new ArrayList<>();
-    private boolean holdTimer;
+    final Map<String, ActiveRequest> activeRequests = new HashMap<>();
+    private final List<ActiveRequest> queue = new ArrayList<>();
+    private boolean sweepScheduled;
 
     @Override
     public void onRequest(long now, Request request) {
         arrivals++;
-        Req r = new Req();
-        r.request = request;
-        r.spec = classes.get(request.requestClass());
-        if (r.spec == null) throw new IllegalArgumentException("no class '" + request.requestClass() + "'");
-        r.work = request.costHintUs() > 0 ? request.costHintUs() : classWork.get(r.spec.name());
-        meanWork += 0.01 * (Math.min(r.work, TAIL * meanWork) - meanWork);
-        r.deadline = now + request.remainingUs();
-        long aim = (long) (r.spec.aimUs() + r.spec.aimStretch() * r.work);
-        r.firstAsked = firstAsked(now, r);
-        r.usefulUntil = Math.min(r.deadline, r.spec.lateWorth() > 0 ? r.deadline : r.firstAsked + aim);
-        r.order = now + (long) (aim * topWorth / density(r.spec));
-        open.put(request.id(), r);
-        long wait = quotas.isEmpty() ? 0 : overLimit(now, r);
-        if (wait > 0) {
-            refuse(r, Math.max(wait, r.spec.aimUs() / 2));
+        ActiveRequest active = new ActiveRequest();
+        active.request = request;
+        active.requestClass = classes.get(request.requestClass());
+        if (active.requestClass == null) {
+            throw new IllegalArgumentException("unknown request class '" + request.requestClass() + "'");
+        }
+        active.serviceUs =
+                request.costHintUs() > 0 ? request.costHintUs() : classWorkUs.get(active.requestClass.name());
+        meanWorkUs += 0.01 * (Math.min(active.serviceUs, LATENCY_CLAMP * meanWorkUs) - meanWorkUs);
+        active.deadlineAt = now + request.remainingUs();
+        long aim = (long) (active.requestClass.aimUs() + active.requestClass.aimStretch() * active.serviceUs);
+        active.firstRequestedAt = firstRequestedAt(now, active);
+        active.usefulUntil = Math.min(
+                active.deadlineAt,
+                active.requestClass.lateWorth() > 0 ? active.deadlineAt : active.firstRequestedAt + aim);
+        active.queueOrder = now + (long) (aim * maxWorth / worthPerWork(active.requestClass));
+        activeRequests.put(request.id(), active);
+        long waitUs = limitUsages.isEmpty() ? 0 : acquireLimits(now, active);
+        if (waitUs > 0) {
+            refuse(active, Math.max(waitUs, active.requestClass.aimUs() / 2));
             return;
         }
-        if (blind && random.nextDouble() < Math.min(0.95, STEEP * (crowding / CALM - 1))) {
-            giveUp(now, r);
+        if (serverLoadUnknown
+                && rng.nextDouble() < Math.min(MAX_SHED, SHED_SLOPE * (congestion / SHED_THRESHOLD - 1))) {
+            refuseOrFail(now, active);
             return;
         }
-        Server s = waiting.isEmpty() || sampling ? pick(now, r) : null;
-        if (s == null) hold(now, r);
-        else send(now, r, s);
+        Server server = queue.isEmpty() || probesLoad ? pickServer(now, active) : null;
+        if (server == null) enqueue(now, active);
+        else send(now, active, server);
     }
 
-    /** The worth of a unit of work: where little can be done, that of most worth is done first. */
-    private double density(RequestClass c) {
-        return cfg.worthByWork() ? c.worth() : c.worth() * meanWork / classWork.get(c.name());
+    /** Worth per unit of work: with too little capacity, the most valuable work goes first. */
+    private double worthPerWork(RequestClass spec) {
+        return config.worthByWork() ? spec.worth() : spec.worth() * meanWorkUs / classWorkUs.get(spec.name());
     }
 
-    /** What a client asked for and did not get, and when it first asked: its next try is the same request. */
+    /** First tries of unserved requests by class and key: a client's retry continues its request. */
     private final Map<List<Object>, Long> unserved = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<List<Object>, Long> eldest) {
-            return size() > UNSERVED_MOST;
+            return size() > MAX_UNSERVED;
         }
     };
 
-    private long firstAsked(long now, Req r) {
-        if (!r.request.repeat() || r.request.key() < 0) return now;
-        Long first = unserved.remove(List.of(r.spec.name(), r.request.key()));
-        return first != null && now - first < r.spec.deadlineUs() ? first : now;
+    private long firstRequestedAt(long now, ActiveRequest active) {
+        if (!active.request.clientRetry() || active.request.key() < 0) return now;
+        Long first = unserved.remove(List.of(active.requestClass.name(), active.request.key()));
+        return first != null && now - first < active.requestClass.deadlineUs() ? first : now;
     }
 
-    private void endUnserved(Req r) {
-        if (r.request.key() >= 0) unserved.put(List.of(r.spec.name(), r.request.key()), r.firstAsked);
+    private void rememberUnserved(ActiveRequest active) {
+        if (active.request.key() >= 0) {
+            unserved.put(List.of(active.requestClass.name(), active.request.key()), active.firstRequestedAt);
+        }
     }
 
-    private void hold(long now, Req r) {
-        if (now >= lastStart(r)) {
-            // Little time left, as on a client's last try: the sweep would come after its deadline.
-            giveUp(now, r);
+    private void enqueue(long now, ActiveRequest active) {
+        if (now >= latestStart(active)) {
+            // Too little time, as on a client's last try: the next sweep would come after the deadline.
+            refuseOrFail(now, active);
             return;
         }
-        r.waiting = true;
-        int at = waiting.size();
-        while (at > 0 && waiting.get(at - 1).order > r.order) at--;
-        waiting.add(at, r);
-        sweepLater();
-    }
-
-    private void sweepLater() {
-        if (holdTimer || waiting.isEmpty()) return;
-        holdTimer = true;
-        out.timer("hold", SWEEP_US);
-    }
-
-    /** Sends what waits, in order, while there is room; with {@code sweep} gives up what is too late. */
-    private void dispatch(long now, boolean sweep) {
-        boolean room = true;
-        for (int i = 0; i < waiting.size() && (room || sweep); i++) {
-            Req r = waiting.get(i);
-            Server s = room || !r.attempts.isEmpty() ? pick(now, r) : null;
-            if (s != null || now >= lastStart(r)) {
-                waiting.remove(i--);
-                r.waiting = false;
-                if (s != null) send(now, r, s);
-                else giveUp(now, r);
+        active.queued = true;
+        int at = queue.size();
+        while (at > 0 && queue.get(at - 1).queueOrder > active.queueOrder) at--;
+        queue.add(at, active);
+        scheduleSweep();
+    }
+
+    private void scheduleSweep() {
+        if (sweepScheduled || queue.isEmpty()) return;
+        sweepScheduled = true;
+        actions.startTimer(SWEEP, SWEEP_INTERVAL_US);
+    }
+
+    /** Sends queued requests in order while there is room; {@code sweep} also ends those too late. */
+    private void dispatchQueue(long now, boolean sweep) {
+        boolean hasRoom = true;
+        for (int i = 0; i < queue.size() && (hasRoom || sweep); i++) {
+            ActiveRequest active = queue.get(i);
+            Server server = hasRoom || !active.attempts.isEmpty() ? pickServer(now, active) : null;
+            if (server != null || now >= latestStart(active)) {
+                queue.remove(i--);
+                active.queued = false;
+                if (server != null) send(now, active, server);
+                else refuseOrFail(now, active);
             } else {
-                // What is free to go anywhere finds no room: the rest waits too, in its order.
-                room &= sampling || !r.attempts.isEmpty();
+                // A first attempt may go anywhere and found no room: those behind it wait too, in order.
+                hasRoom &= probesLoad || !active.attempts.isEmpty();
             }
         }
     }
 
-    /** The latest start from which an answer in time can be hoped for. */
-    private long lastStart(Req r) {
-        // While a pair is asked for its load the request does not wait yet, and no slack is taken off.
-        long forAim = (long) (r.usefulUntil - (r.first != null ? 0 : SLACK * bestSlow * r.work));
-        return Math.min(r.deadline - SWEEP_US - 2 * cfg.tickUs(), forAim);
+    /** The latest start at which an answer in time can be expected. */
+    private long latestStart(ActiveRequest active) {
+        // A request whose servers are being probed is not waiting yet: no slack is subtracted.
+        long forAim = (long) (active.usefulUntil
+                - (active.firstCandidate != null ? 0 : SLACK_SERVICES * bestSlowness * active.serviceUs));
+        return Math.min(active.deadlineAt - SWEEP_INTERVAL_US - 2 * config.tickUs(), forAim);
     }
 
-    private void giveUp(long now, Req r) {
-        if (mayRefuse(r)) refuse(r, cfg.limits().retryAfter() ? r.spec.aimUs() / 2 : 0);
-        else fail(r);
+    private void refuseOrFail(long now, ActiveRequest active) {
+        if (canRefuse(active)) {
+            refuse(active, config.limits().retryAfter() ? active.requestClass.aimUs() / 2 : 0);
+        } else {
+            fail(active);
+        }
     }
 
     // ---- attempts -------------------------------------------------------------------------------
-    /** Whether the rules allow this send; every send passes here, whatever the rest of this file decides. */
-    boolean maySend(long now, Req r, Server s) {
-        boolean spent = r.attempts.size() >= cfg.limits().maxAttempts();
-        if (r.over || r.streaming || !s.ready || now >= r.deadline || spent) return false;
-        for (Attempt a : r.attempts) {
-            if (!a.ended && !cfg.limits().secondCopies()) return false;
-            if (a.mayHaveRun && !repeatable(r.spec, a, s, now)) return false;
+    /** Whether the protocol rules allow this attempt; checked at every send, whatever chose the server. */
+    boolean canSend(long now, ActiveRequest active, Server server) {
+        boolean exhausted = active.attempts.size() >= config.limits().maxAttempts();
+        if (active.finished || active.streaming || !server.ready || now >= active.deadlineAt || exhausted) {
+            return false;
+        }
+        for (Attempt attempt : active.attempts) {
+            if (!attempt.ended && !config.limits().secondCopies()) return false;
+            if (attempt.mayHaveRun && !canRepeat(active.requestClass, attempt, server, now)) return false;
         }
-        return slowStart.hasRoom(now, s, r.work, meanWork);
+        return slowStart.canSend(now, server, active.serviceUs, meanWorkUs);
     }
 
-    /** While a connection came up the window of what ran before may have closed, or a cold server's. */
+    /** During connection setup the deduplication window or the cold server's slot may have ended. */
     @Override
-    public boolean mayBegin(long now, String id, int number) {
-        Req r = open.get(id);
-        if (r == null || r.over || number >= r.attempts.size()) return false;
-        Attempt begins = r.attempts.get(number);
-        Server s = begins.server;
-        for (Attempt a : r.attempts.subList(0, number)) {
-            if (a.mayHaveRun && !repeatable(r.spec, a, s, now)) return false;
+    public boolean canStartAttempt(long now, String requestId, int number) {
+        ActiveRequest active = activeRequests.get(requestId);
+        if (active == null || active.finished || number >= active.attempts.size()) return false;
+        Attempt attempt = active.attempts.get(number);
+        Server server = attempt.server;
+        for (Attempt prior : active.attempts.subList(0, number)) {
+            if (prior.mayHaveRun && !canRepeat(active.requestClass, prior, server, now)) return false;
         }
-        return s.ready && slowStart.mayBegin(now, s, begins.sentAt, r.work, meanWork);
+        return server.ready && slowStart.canStart(now, server, attempt.sentAt, active.serviceUs, meanWorkUs);
     }
 
-    private static boolean repeatable(RequestClass c, Attempt earlier, Server s, long now) {
-        if (c.semantics() == Semantics.SAFE) return true;
-        if (c.semantics() == Semantics.UNSAFE || now - earlier.sentAt >= c.windowUs()) return false;
-        return switch (c.group()) {
+    private static boolean canRepeat(RequestClass spec, Attempt prior, Server server, long now) {
+        if (spec.semantics() == Semantics.SAFE) return true;
+        if (spec.semantics() == Semantics.UNSAFE || now - prior.sentAt >= spec.dedupWindowUs()) return false;
+        return switch (spec.dedupScope()) {
             case ALL -> true;
-            case ZONE -> s.entry.zone().equals(earlier.entry.zone());
-            case CELL -> s.entry.cell() == earlier.entry.cell();
+            case ZONE -> server.listing.zone().equals(prior.listing.zone());
+            case CELL -> server.listing.cell() == prior.listing.cell();
         };
     }
 
-    /** A refusal says that nothing has run, whatever the class: what may have is failed. */
-    private boolean mayRefuse(Req r) {
-        return !r.over && !r.streaming && r.attempts.stream().noneMatch(a -> a.mayHaveRun);
-    }
-
-    private void send(long now, Req r, Server s) {
-        if (!maySend(now, r, s)) throw new IllegalStateException("a send against the rules");
-        Attempt a = new Attempt();
-        a.req = r;
-        a.server = s;
-        a.entry = s.entry;
-        a.sentAt = now;
-        a.held = s.reported > s.own ? load(s, now) : s.own;
-        a.expected = expected(s, r.work, a.held, now);
-        a.plain = a.expected / s.slow();
-        r.attempts.add(a);
-        // The body of a partial one may take long: its server begins when it has all.
-        if (!r.request.partial()) run(now, a);
-        slowStart.sent(now, s, r.work);
-        boolean others = s.own > (a.running ? 1 : 0);
-        a.idle = others || now - s.usedAt > cfg.limits().connIdleUs() ? 0 : now - s.usedAt;
-        // What is tried after an ejection goes by a new connection: its end speaks of the server alone.
-        if (a.idle >= idleLimit || subset && s.ejections > 0 && a.idle >= IDLE_LEAST_US) {
-            out.close(s.id);
-            a.idle = 0;
+    /** A refusal states that nothing has run, in any class: requests that may have run are failed. */
+    private boolean canRefuse(ActiveRequest active) {
+        return !active.finished && !active.streaming && active.attempts.stream().noneMatch(a -> a.mayHaveRun);
+    }
+
+    private void send(long now, ActiveRequest active, Server server) {
+        if (!canSend(now, active, server)) throw new IllegalStateException("attempt violates protocol rules");
+        Attempt attempt = new Attempt();
+        attempt.owner = active;
+        attempt.server = server;
+        attempt.listing = server.listing;
+        attempt.sentAt = now;
+        attempt.loadAtSend = server.reportedLoad > server.inFlight ? loadOf(server, now) : server.inFlight;
+        attempt.expectedUs = expectedUs(server, active.serviceUs, attempt.loadAtSend, now);
+        attempt.expectedStandardUs = attempt.expectedUs / server.slowness();
+        active.attempts.add(attempt);
+        // The rest of a body may take long to arrive: the server starts when it has all of it.
+        if (!active.request.bodyIncomplete()) occupyServer(now, attempt);
+        slowStart.recordSend(now, server, active.serviceUs);
+        boolean serverBusy = server.inFlight > (attempt.running ? 1 : 0);
+        attempt.idleUs = serverBusy || now - server.lastUsedAt > config.limits().connectionIdleUs()
+                ? 0
+                : now - server.lastUsedAt;
+        // A trial after an ejection uses a new connection, so that only the server can be at fault.
+        if (attempt.idleUs >= idleLimitUs
+                || usesSubset && server.ejections > 0 && attempt.idleUs >= MIN_IDLE_LIMIT_US) {
+            actions.closeIdleConnections(server.id);
+            attempt.idleUs = 0;
         }
-        s.usedAt = now;
-        out.send(r.request.id(), s.id, r.deadline);
+        server.lastUsedAt = now;
+        actions.send(active.request.id(), server.id, active.deadlineAt);
     }
 
-    private void run(long now, Attempt a) {
-        a.running = true;
-        a.sentAt = now;
-        a.server.attempts.addLast(a);
-        a.server.own++;
+    private void occupyServer(long now, Attempt attempt) {
+        attempt.running = true;
+        attempt.sentAt = now;
+        attempt.server.inFlightAttempts.addLast(attempt);
+        attempt.server.inFlight++;
     }
 
-    private void rest(long now, Attempt a) {
-        if (a.running) a.server.own--;
-        a.running = false;
-        a.server.usedAt = now;
+    private void releaseServer(long now, Attempt attempt) {
+        if (attempt.running) attempt.server.inFlight--;
+        attempt.running = false;
+        attempt.server.lastUsedAt = now;
     }
 
     @Override
-    public void onSent(long now, String id, int number) {
-        Req r = open.get(id);
-        if (r == null || number >= r.attempts.size()) return;
-        Attempt a = r.attempts.get(number);
-        if (!a.ended && !a.running) run(now, a);
+    public void onRequestSent(long now, String requestId, int number) {
+        ActiveRequest active = activeRequests.get(requestId);
+        if (active == null || number >= active.attempts.size()) return;
+        Attempt attempt = active.attempts.get(number);
+        if (!attempt.ended && !attempt.running) occupyServer(now, attempt);
     }
 
-    private void refuse(Req r, long retryAfterUs) {
-        if (!mayRefuse(r)) throw new IllegalStateException("a refusal against the rules");
-        over(r);
-        endUnserved(r);
-        out.refuse(r.request.id(), Math.min(retryAfterUs, cfg.limits().maxRetryAfterUs()));
+    private void refuse(ActiveRequest active, long retryAfterUs) {
+        if (!canRefuse(active)) throw new IllegalStateException("refusal of a request that may have run");
+        finish(active);
+        rememberUnserved(active);
+        actions.refuse(
+                active.request.id(), Math.min(retryAfterUs, config.limits().maxRetryAfterUs()));
     }
 
-    private void fail(Req r) {
-        if (r.over) return;
-        over(r);
-        endUnserved(r);
-        out.fail(r.request.id());
+    private void fail(ActiveRequest active) {
+        if (active.finished) return;
+        finish(active);
+        rememberUnserved(active);
+        actions.fail(active.request.id());
     }
 
-    private void over(Req r) {
-        r.over = true;
-        for (Quota q : r.quotas) q.inFlight--;
-        r.quotas = List.of();
-        if (r.waiting) waiting.remove(r);
-        r.waiting = false;
-        if (r.attempts.stream().allMatch(a -> a.ended)) open.remove(r.request.id());
+    private void finish(ActiveRequest active) {
+        active.finished = true;
+        for (LimitUsage usage : active.limits) usage.inFlight--;
+        active.limits = List.of();
+        if (active.queued) queue.remove(active);
+        active.queued = false;
+        if (active.attempts.stream().allMatch(a -> a.ended)) activeRequests.remove(active.request.id());
     }
 
     @Override
     public void onOutcome(
             long now,
-            String id,
-            int number,
+            String requestId,
+            int attemptIndex,
             String upstream,
             Outcome outcome,
             long latencyUs,
             boolean done,
             LoadReport report) {
-        Req r = open.get(id);
-        report(upstream, report, now);
-        told = r == null ? null : told;
-        if (r == null || number < 0 || number >= r.attempts.size() || r.attempts.get(number).ended) return;
-        Attempt a = r.attempts.get(number);
-        Server s = a.server;
-        a.ended = true;
-        a.mayHaveRun = outcome.mayHaveRun;
-        rest(now, a);
-        closeIfLeaving(s);
-        // Of an answer that came in pieces the server's part was learnt when it began.
-        if (!r.streaming || r.spec.stream() || outcome != Outcome.OK) health(now, s, a, outcome, latencyUs);
-        if (done || r.over) over(r);
-        else if (!r.streaming) next(now, r);
-        dispatch(now, false);
-        told = null;
-    }
-
-    /** After an attempt without success: another where a rule and the time allow, else the final answer. */
-    private void next(long now, Req r) {
-        if (r.attempts.stream().anyMatch(a -> !a.ended)) return;
-        Server s = now < lastStart(r) ? pick(now, r) : null;
-        if (s != null) send(now, r, s);
-        else if (ready.stream().anyMatch(other -> maySend(now, r, other))) hold(now, r);
-        else giveUp(now, r);
-    }
-
-    /** Idle connections are dropped unseen after about this long, as far as known. */
-    private long idleLimit = Long.MAX_VALUE;
-
-    private long idleSeenAt, idleKept, idleKeptAt;
-    /** Seen by own failures, which alone are told on: word of word would never end. */
-    private long idleOwnAt = Long.MIN_VALUE / 2;
-
-    /** An attempt that fails on a connection long idle speaks of the connection, not of the server: others
-     * idle as long are closed before use, from then on until no such failure was seen for a while. */
-    private boolean idleDropped(long now, Attempt a, Outcome outcome) {
-        if (idleLimit < Long.MAX_VALUE && now - idleSeenAt > IDLE_FORGET_US) {
-            idleSeenAt = now;
-            idleLimit = idleLimit > cfg.limits().connIdleUs() ? Long.MAX_VALUE : idleLimit * 2;
-        }
-        if (outcome == Outcome.OK && (a.idle >= idleKept || now - idleKeptAt > FORGET_US)) {
-            idleKept = a.idle;
-            idleKeptAt = now;
-        }
-        // A time-out alone may be a crowd; not so where none as long idle has answered of late.
-        boolean kept = now - idleKeptAt < FORGET_US && a.idle * 3 / 4 <= idleKept;
-        // Nor where one was laid to the connection already, and no answer has come since.
-        boolean laid = a.server.idleBlamed;
-        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !kept && !laid;
-        if (!subset || !suspect || a.idle < IDLE_LEAST_US) return false;
-        a.server.idleBlamed = true;
-        idleOwnAt = now;
-        out.evidence(a.server.id, Evidence.DROPS_IDLE, a.idle * 3 / 4e3);
-        limitIdle(now, a.idle * 3 / 4);
+        ActiveRequest active = activeRequests.get(requestId);
+        recordLoadReport(upstream, report, now);
+        lastReporter = active == null ? null : lastReporter;
+        if (active == null
+                || attemptIndex < 0
+                || attemptIndex >= active.attempts.size()
+                || active.attempts.get(attemptIndex).ended) {
+            return;
+        }
+        Attempt attempt = active.attempts.get(attemptIndex);
+        Server server = attempt.server;
+        attempt.ended = true;
+        attempt.mayHaveRun = outcome.mayHaveRun;
+        releaseServer(now, attempt);
+        closeIdleIfLeaving(server);
+        // The server's part of a streamed answer was recorded when the stream started.
+        if (!active.streaming || active.requestClass.stream() || outcome != Outcome.OK) {
+            evaluate(now, server, attempt, outcome, latencyUs);
+        }
+        if (done || active.finished) finish(active);
+        else if (!active.streaming) retryOrFinish(now, active);
+        dispatchQueue(now, false);
+        lastReporter = null;
+    }
+
+    /** After a failed attempt: retries where the rules and the time allow, else ends the request. */
+    private void retryOrFinish(long now, ActiveRequest active) {
+        if (active.attempts.stream().anyMatch(attempt -> !attempt.ended)) return;
+        Server server = now < latestStart(active) ? pickServer(now, active) : null;
+        if (server != null) send(now, active, server);
+        else if (readyServers.stream().anyMatch(other -> canSend(now, active, other))) enqueue(now, active);
+        else refuseOrFail(now, active);
+    }
+
+    /** Idle time after which connections are taken to be dropped silently; MAX_VALUE if none are. */
+    private long idleLimitUs = Long.MAX_VALUE;
+
+    /** When that was set; the longest recent idle time of a connection that worked, and when that was. */
+    private long idleLimitSetAt, idleOkUs, idleOkAt;
+    /** Last drop seen here: only own observations go to peers, or they would circulate for ever. */
+    private long ownIdleDropAt = Long.MIN_VALUE / 2;
+
+    /** Whether a failure is attributed to a connection that was idle for long, not to its server. Connections
+     * idle about as long are then closed before use, until no such failure has been seen for a while. */
+    private boolean detectIdleDrop(long now, Attempt attempt, Outcome outcome) {
+        if (idleLimitUs < Long.MAX_VALUE && now - idleLimitSetAt > IDLE_LIMIT_TTL_US) {
+            idleLimitSetAt = now;
+            idleLimitUs = idleLimitUs > config.limits().connectionIdleUs() ? Long.MAX_VALUE : idleLimitUs * 2;
+        }
+        if (outcome == Outcome.OK && (attempt.idleUs >= idleOkUs || now - idleOkAt > ESTIMATE_TTL_US)) {
+            idleOkUs = attempt.idleUs;
+            idleOkAt = now;
+        }
+        // A time-out may mean overload if a connection idle about as long has worked recently,
+        boolean worked = now - idleOkAt < ESTIMATE_TTL_US && attempt.idleUs * 3 / 4 <= idleOkUs;
+        // or an outage if one was attributed to the connection before and no success came since.
+        boolean attributed = attempt.server.idleDropSuspected;
+        boolean suspect = outcome == Outcome.RESET || outcome == Outcome.TIMEOUT && !worked && !attributed;
+        if (!usesSubset || !suspect || attempt.idleUs < MIN_IDLE_LIMIT_US) return false;
+        attempt.server.idleDropSuspected = true;
+        ownIdleDropAt = now;
+        actions.reportEvidence(attempt.server.id, Evidence.DROPS_IDLE, attempt.idleUs * 3 / 4e3);
+        lowerIdleLimit(now, attempt.idleUs * 3 / 4);
         return true;
     }
 
-    private void limitIdle(long now, long us) {
-        idleLimit = Math.min(idleLimit, Math.max(IDLE_LEAST_US, us));
-        idleSeenAt = now;
+    private void lowerIdleLimit(long now, long limitUs) {
+        idleLimitUs = Math.min(idleLimitUs, Math.max(MIN_IDLE_LIMIT_US, limitUs));
+        idleLimitSetAt = now;
     }
 
-    private void health(long now, Server s, Attempt a, Outcome outcome, long latencyUs) {
-        if (idleDropped(now, a, outcome)) return;
+    private void evaluate(long now, Server server, Attempt attempt, Outcome outcome, long latencyUs) {
+        if (detectIdleDrop(now, attempt, outcome)) return;
         switch (outcome) {
             case OK -> {
-                if (s.ejections > 0) out.evidence(s.id, Evidence.GOOD, 1);
-                s.failures = s.ejections = s.refusals = 0;
-                s.failedAt = Long.MIN_VALUE / 2;
-                s.idleBlamed = false;
-                s.answeredAt = now;
-                owed.remove(s);
-                learn(s, a, latencyUs, true, now);
+                if (server.ejections > 0) actions.reportEvidence(server.id, Evidence.GOOD, 1);
+                server.failures = server.ejections = server.rejects = 0;
+                server.failedAt = Long.MIN_VALUE / 2;
+                server.idleDropSuspected = false;
+                server.succeededAt = now;
+                awaitingFirstAnswer.remove(server);
+                updateEstimates(server, attempt, latencyUs, true, now);
             }
             case TIMEOUT, CANCELLED -> {
-                // A server that has answered others meanwhile is slow; only silence is a fault.
-                boolean silent = outcome == Outcome.TIMEOUT && s.answeredAt < a.sentAt;
-                learn(s, a, latencyUs, false, now);
-                // One that is tried for its verdict's sake needs no second request lost to it.
-                int weight = s.ejections > 0 && accused.contains(s) ? EJECT_AFTER : 1;
-                failed(now, s, silent ? weight : 0, Evidence.SILENT);
+                // A server that has answered others since the send is slow, not silent.
+                boolean silent = outcome == Outcome.TIMEOUT && server.succeededAt < attempt.sentAt;
+                updateEstimates(server, attempt, latencyUs, false, now);
+                // A trial of a verdict ejects at its first time-out: no second request is lost.
+                int weight = server.ejections > 0 && witnessedOutages.contains(server) ? MAX_FAILURES : 1;
+                recordFailure(now, server, silent ? weight : 0, Evidence.SILENT);
             }
             case ERROR -> {
-                boolean fast = latencyUs < a.expected / FAST;
-                failed(now, s, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
+                boolean fast = latencyUs < attempt.expectedUs / FAST_FAILURE_RATIO;
+                recordFailure(now, server, 1, fast ? Evidence.FAILING_FAST : Evidence.FAILING);
             }
-            case RESET -> failed(now, s, 1, Evidence.FAILING);
-            case CONNECT_FAILED -> failed(now, s, EJECT_AFTER, Evidence.SILENT);
+            case RESET -> recordFailure(now, server, 1, Evidence.FAILING);
+            case CONNECT_FAILED -> recordFailure(now, server, MAX_FAILURES, Evidence.SILENT);
             case REJECTED -> {
-                if (cfg.reports() == Reports.NONE) {
-                    backOff(s, now);
+                if (config.loadReporting() == LoadReporting.NONE) {
+                    backOff(server, now);
                 } else {
-                    // Refused while it holds little: not full but on its way out, or its room is broken.
-                    if (s.own < s.kind.cores) {
-                        s.ejections = Math.max(2, s.ejections);
-                        failed(now, s, EJECT_AFTER, Evidence.FAILING);
+                    // Rejects while nearly idle: it is shutting down, or its admission is broken.
+                    if (server.inFlight < server.kind.cores) {
+                        server.ejections = Math.max(2, server.ejections);
+                        recordFailure(now, server, MAX_FAILURES, Evidence.FAILING);
                     }
-                    countAsFull(s, now);
+                    markFull(server, now);
                 }
             }
         }
     }
 
-    /** Where no load is told, a server that turns away is full of others' requests, however few own ones it
-     * holds: no failure, and it has room again once it has ended one. Each refusal in a row doubles the wait,
-     * since one on its way out never has. */
-    private void backOff(Server s, long now) {
-        double place = s.slow() * meanWork / Math.max(1, s.kind.cores);
-        s.fullUntil = now + (long) Math.min(EJECT_US, place * (1 << Math.min(s.refusals++, 10)));
+    /** Without load reports a rejecting server is full of others' requests, however few own ones it holds: no
+     * failure, and it has room once it completes one. Each consecutive rejection doubles the wait, since a
+     * server that is shutting down never has room again. */
+    private void backOff(Server server, long now) {
+        double waitUs = server.slowness() * meanWorkUs / Math.max(1, server.kind.cores);
+        server.assumedFullUntil =
+                now + (long) Math.min(MAX_FULL_US, waitUs * (1 << Math.min(server.rejects++, MAX_DOUBLINGS)));
     }
 
-    private void countAsFull(Server s, long now) {
-        s.reported = Math.max(load(s, now), s.kind.cores + CROWD * Math.sqrt(s.kind.cores));
-        s.reportedAt = now;
+    private void markFull(Server server, long now) {
+        server.reportedLoad =
+                Math.max(loadOf(server, now), server.kind.cores + HEADROOM * Math.sqrt(server.kind.cores));
+        server.loadReportedAt = now;
     }
 
-    private void failed(long now, Server s, int weight, Evidence kind) {
-        s.failures += weight;
-        if (now < s.ejectedUntil) return;
-        boolean ejected = s.failures >= EJECT_AFTER;
-        // Once it is known to fail, each further failure tells that it still does.
-        if (ejected || weight > 0 && s.failedAt >= 0) {
-            s.failedAt = now;
-            out.evidence(s.id, kind, s.failures);
+    private void recordFailure(long now, Server server, int weight, Evidence evidence) {
+        server.failures += weight;
+        if (now < server.ejectedUntil) return;
+        boolean ejected = server.failures >= MAX_FAILURES;
+        // Once a server is known to fail, each further failure renews the evidence.
+        if (ejected || weight > 0 && server.failedAt >= 0) {
+            server.failedAt = now;
+            actions.reportEvidence(server.id, evidence, server.failures);
         }
         if (!ejected) return;
-        s.failures = 0;
-        s.ejectedUntil = now + Math.min(EJECT_MOST_US, EJECT_US << Math.min(s.ejections, 10));
-        s.ejections++;
+        server.failures = 0;
+        server.ejectedUntil =
+                now + Math.min(MAX_EJECTION_US, MIN_EJECTION_US << Math.min(server.ejections, MAX_DOUBLINGS));
+        server.ejections++;
     }
 
     @Override
-    public void onStreamStart(long now, String id, int number, String upstream, long latencyUs) {
-        Req r = open.get(id);
-        if (r == null || number >= r.attempts.size() || r.attempts.get(number).ended) return;
-        r.streaming = true;
-        if (r.waiting) waiting.remove(r);
-        r.waiting = false;
-        // A server works on a stream to its end; a long answer was ready when it began.
-        if (r.spec.stream()) return;
-        rest(now, r.attempts.get(number));
-        health(now, r.attempts.get(number).server, r.attempts.get(number), Outcome.OK, latencyUs);
-        dispatch(now, false);
+    public void onStreamStart(long now, String requestId, int number, String upstream, long latencyUs) {
+        ActiveRequest active = activeRequests.get(requestId);
+        if (active == null || number >= active.attempts.size() || active.attempts.get(number).ended) return;
+        active.streaming = true;
+        if (active.queued) queue.remove(active);
+        active.queued = false;
+        // A stream occupies its server to the end; a long answer was complete when it started.
+        if (active.requestClass.stream()) return;
+        releaseServer(now, active.attempts.get(number));
+        evaluate(now, active.attempts.get(number).server, active.attempts.get(number), Outcome.OK, latencyUs);
+        dispatchQueue(now, false);
     }
 
     @Override
-    public void onExpired(long now, String id) {
-        Req r = open.get(id);
-        if (r == null) return;
-        if (!r.over) endUnserved(r);
-        over(r);
+    public void onRequestExpired(long now, String requestId) {
+        ActiveRequest active = activeRequests.get(requestId);
+        if (active == null) return;
+        if (!active.finished) rememberUnserved(active);
+        finish(active);
     }
 
     @Override
-    public void onProbe(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
-        Server s = servers.get(upstream);
-        if (s == null) return;
-        s.askedAt = 0;
-        // A probe that was not sent, or not heard out, is this instance's own doing.
-        boolean asked = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
-        if (asked && outcome != Outcome.OK) {
-            failed(now, s, outcome == Outcome.CONNECT_FAILED ? EJECT_AFTER : 1, Evidence.SILENT);
-        } else if (asked && report == null) {
-            // It answers but tells no load, as it did before: rather busy than idle.
-            countAsFull(s, now);
-        }
-        report(upstream, report, now);
-        dispatch(now, false);
-        told = null;
+    public void onProbeResult(long now, String upstream, Outcome outcome, long latencyUs, LoadReport report) {
+        Server server = servers.get(upstream);
+        if (server == null) return;
+        server.probeSentAt = 0;
+        // A probe that was not sent or was cancelled says nothing about the server.
+        boolean answerExpected = outcome != Outcome.NOT_SENT && outcome != Outcome.CANCELLED;
+        if (answerExpected && outcome != Outcome.OK) {
+            recordFailure(now, server, outcome == Outcome.CONNECT_FAILED ? MAX_FAILURES : 1, Evidence.SILENT);
+        } else if (answerExpected && report == null) {
+            // It answers without its load: assumed busy rather than idle.
+            markFull(server, now);
+        }
+        recordLoadReport(upstream, report, now);
+        dispatchQueue(now, false);
+        lastReporter = null;
     }
 
     @Override
     public void onTimer(long now, String mark) {
         switch (mark) {
-            case "hold" -> {
-                holdTimer = false;
-                dispatch(now, true);
-                sweepLater();
+            case SWEEP -> {
+                sweepScheduled = false;
+                dispatchQueue(now, true);
+                scheduleSweep();
             }
-            case "tell" -> tell(now);
-            case "ask" -> ask();
+            case GOSSIP -> sendPeerMessage(now);
+            case DISCOVERY -> subscribe();
         }
     }
 
     // ---- discovery ------------------------------------------------------------------------------
-    private boolean subscribed, asking;
-    private long askDelay = ASK_FIRST_US;
+    private boolean subscribed, listRequested;
+    private long discoveryRetryUs = MIN_DISCOVERY_RETRY_US;
 
-    private void ask() {
-        if (asking || subscribed) return;
-        asking = true;
-        out.subscribe();
+    private void subscribe() {
+        if (listRequested || subscribed) return;
+        listRequested = true;
+        actions.subscribe();
     }
 
-    private void listAnswered(long now, ListKind kind) {
-        if (!cfg.discoveryOnRequest() || kind == ListKind.CACHED) return;
-        asking = false;
+    private void updateSubscription(long now, ListKind kind) {
+        if (!config.discoveryOnRequest() || kind == ListKind.CACHED) return;
+        listRequested = false;
         subscribed = kind != ListKind.FAILED;
-        // Jittered, so that instances that failed together do not ask together again.
-        if (!subscribed) out.timer("ask", askDelay / 2 + random.nextLong(askDelay));
-        askDelay =
-                subscribed ? ASK_FIRST_US : Math.min(askDelay * 2, cfg.rules().askEveryUs() / 2 + 1);
+        // Jittered, so that sidecars that failed together do not retry together.
+        if (!subscribed) actions.startTimer(DISCOVERY, discoveryRetryUs / 2 + rng.nextLong(discoveryRetryUs));
+        discoveryRetryUs = subscribed
+                ? MIN_DISCOVERY_RETRY_US
+                : Math.min(discoveryRetryUs * 2, config.rules().discoveryRetryUs() / 2 + 1);
     }
 
     // ---- peers ----------------------------------------------------------------------------------
-    /** Mean rate of the fleet's sidecars, apart by their zone. */
+    /** Average request rate per sidecar, split by the sidecar's zone: the sum is the fleet's average. */
     private final double[] zoneRate;
 
-    private double[] zonePart;
-    private long heardAt = Long.MIN_VALUE / 2;
-    private int tells;
+    private double[] zoneShare;
+    private long peerHeardAt = Long.MIN_VALUE / 2;
+    private int peerMessagesSent;
 
-    /** To one peer at a time, so that the cost does not grow with the fleet. Each mixes the rates it hears in
-     * halves and leans to its own, so that all come near the mean of all streams. */
-    private void tell(long now) {
-        measure(now);
-        tells++;
+    /** Gossip averaging with one peer at a time, so that the cost does not grow with the fleet. Each sidecar
+     * averages received rates with its own and moves towards its own rate: all come near the fleet's mean. */
+    private void sendPeerMessage(long now) {
+        updateOwnRate(now);
+        peerMessagesSent++;
         for (int z = 0; z < zoneRate.length; z++) {
-            double own = z == home ? ownRate : 0;
-            zoneRate[z] += (own - zoneRate[z]) * Math.max(LEAN, 1.0 / tells);
+            double own = z == homeZone ? ownRate : 0;
+            zoneRate[z] += (own - zoneRate[z]) * Math.max(OWN_RATE_GAIN, 1.0 / peerMessagesSent);
         }
-        PeerWord word = new PeerWord(zoneRate.length, cfg.kinds().size());
-        System.arraycopy(zoneRate, 0, word.rates, 0, zoneRate.length);
-        for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
-            word.slow[i] = k.slow;
-            word.answers[i] = Math.min(EVIDENCE, k.answers);
+        PeerMessage message = new PeerMessage(zoneRate.length, config.kinds().size());
+        System.arraycopy(zoneRate, 0, message.zoneRates, 0, zoneRate.length);
+        for (int i = 0; i < message.slowness.length; i++) {
+            ServerKind kind = kinds.get(config.kinds().get(i));
+            message.slowness[i] = kind.slowness;
+            message.answers[i] = Math.min(MAX_ANSWERS, kind.answers);
         }
-        word.crowding = crowding;
-        word.idleLimitUs = now - idleOwnAt < IDLE_FORGET_US ? idleLimit : 0;
-        out.tell((cfg.me() + 1 + random.nextInt(cfg.balancers() - 1)) % cfg.balancers(), word.bytes());
-        out.timer("tell", TELL_US);
+        message.congestion = congestion;
+        message.idleLimitUs = now - ownIdleDropAt < IDLE_LIMIT_TTL_US ? idleLimitUs : 0;
+        actions.sendToPeer(
+                (config.sidecarIndex() + 1 + rng.nextInt(config.sidecarCount() - 1)) % config.sidecarCount(),
+                message.encode());
+        actions.startTimer(GOSSIP, PEER_INTERVAL_US);
     }
 
-    /** Speeds weigh by the answers behind them. One false message moves little, and the next take it back. */
+    /** Speeds weigh by their numbers of answers. A false message has little effect; later ones undo it. */
     @Override
-    public void onPeer(long now, int peer, byte[] message) {
-        boolean known = peer >= 0 && peer < cfg.balancers() && peer != cfg.me();
-        PeerWord word = new PeerWord(zoneRate.length, cfg.kinds().size());
-        if (!known || !word.read(message)) return;
-        heardAt = now;
-        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (word.rates[z] - zoneRate[z]) / 2;
-        for (int i = 0; i < word.slow.length; i++) {
-            Kind k = kinds.get(cfg.kinds().get(i));
-            int answers = Math.min(EVIDENCE, word.answers[i]);
-            if (word.slow[i] <= 0 || answers == 0) continue;
-            k.slow += (word.slow[i] - k.slow) / 2 * answers / (answers + Math.min(EVIDENCE, k.answers));
-            k.answers = Math.max(k.answers, answers / 2);
-        }
-        crowding += (Math.min(2 * TAIL, word.crowding) - crowding) / 2;
-        if (word.idleLimitUs > 0) limitIdle(now, word.idleLimitUs);
+    public void onPeerMessage(long now, int peer, byte[] bytes) {
+        boolean known = peer >= 0 && peer < config.sidecarCount() && peer != config.sidecarIndex();
+        PeerMessage message = new PeerMessage(zoneRate.length, config.kinds().size());
+        if (!known || !message.decode(bytes)) return;
+        peerHeardAt = now;
+        for (int z = 0; z < zoneRate.length; z++) zoneRate[z] += (message.zoneRates[z] - zoneRate[z]) / 2;
+        for (int i = 0; i < message.slowness.length; i++) {
+            ServerKind kind = kinds.get(config.kinds().get(i));
+            int answers = Math.min(MAX_ANSWERS, message.answers[i]);
+            if (message.slowness[i] <= 0 || answers == 0) continue;
+            kind.slowness += (message.slowness[i] - kind.slowness)
+                    / 2
+                    * answers
+                    / (answers + Math.min(MAX_ANSWERS, kind.answers));
+            kind.answers = Math.max(kind.answers, answers / 2);
+        }
+        congestion += (Math.min(2 * LATENCY_CLAMP, message.congestion) - congestion) / 2;
+        if (message.idleLimitUs > 0) lowerIdleLimit(now, message.idleLimitUs);
     }
 
     @Override
-    public byte[] know() {
-        Knowledge k = new Knowledge(cfg);
-        for (int i = 0; i < k.slow.length; i++) {
-            k.of(i, kinds.get(cfg.kinds().get(i)), EVIDENCE);
+    public byte[] exportEstimates() {
+        Estimates estimates = new Estimates(config);
+        for (int i = 0; i < estimates.slowness.length; i++) {
+            estimates.copyFrom(i, kinds.get(config.kinds().get(i)), MAX_ANSWERS);
         }
-        Arrays.setAll(k.work, i -> classWork.get(cfg.classes().get(i).name()));
-        System.arraycopy(zoneRate, 0, k.rates, 0, zoneRate.length);
-        k.meanWork = meanWork;
-        k.crowding = crowding;
-        return k.bytes();
+        Arrays.setAll(
+                estimates.classWorkUs,
+                i -> classWorkUs.get(config.classes().get(i).name()));
+        System.arraycopy(zoneRate, 0, estimates.zoneRates, 0, zoneRate.length);
+        estimates.meanWorkUs = meanWorkUs;
+        estimates.congestion = congestion;
+        return estimates.encode();
     }
 
     @Override
-    public int onKnow(long now, List<byte[]> told) {
-        int read = (int) told.stream().filter(new Knowledge(cfg)::read).count();
-        Knowledge k = Knowledge.middle(cfg, told);
-        if (k == null || kinds.values().stream().anyMatch(kind -> kind.answers >= EVIDENCE)) return read;
-        for (int i = 0; i < k.slow.length; i++) {
-            Kind kind = kinds.get(cfg.kinds().get(i));
-            if (k.answers[i] >= EVIDENCE / 2 && kind.answers <= k.answers[i]) k.into(i, kind);
-        }
-        for (int i = 0; i < k.work.length; i++) {
-            classWork.put(cfg.classes().get(i).name(), Math.max(1, k.work[i]));
-        }
-        System.arraycopy(k.rates, 0, zoneRate, 0, zoneRate.length);
-        meanWork = k.meanWork;
-        crowding = k.crowding;
-        heardAt = now;
-        tells = Math.max(tells, EVIDENCE);
+    public int importEstimates(long now, List<byte[]> exports) {
+        int read = (int) exports.stream().filter(new Estimates(config)::decode).count();
+        Estimates estimates = Estimates.median(config, exports);
+        if (estimates == null || kinds.values().stream().anyMatch(k -> k.answers >= MAX_ANSWERS)) return read;
+        for (int i = 0; i < estimates.slowness.length; i++) {
+            ServerKind kind = kinds.get(config.kinds().get(i));
+            if (estimates.answers[i] >= MAX_ANSWERS / 2 && kind.answers <= estimates.answers[i]) {
+                estimates.copyTo(i, kind);
+            }
+        }
+        for (int i = 0; i < estimates.classWorkUs.length; i++) {
+            classWorkUs.put(config.classes().get(i).name(), Math.max(1, estimates.classWorkUs[i]));
+        }
+        System.arraycopy(estimates.zoneRates, 0, zoneRate, 0, zoneRate.length);
+        meanWorkUs = estimates.meanWorkUs;
+        congestion = estimates.congestion;
+        peerHeardAt = now;
+        peerMessagesSent = Math.max(peerMessagesSent, MAX_ANSWERS);
         return read;
     }
 }
--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -16,233 +16,244 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 import rushproxy.fleet.member.Member.State;
 
 /**
- * Who is here, who has left: a failure detector and membership view of the SWIM family (Das, Gupta, Motivala 2002; probes,
- * suspicion, refutation by incarnation, gossip that rides on probes) with Lifeguard's self-doubt (Dadgar, Phillips,
- * Currey 2017: a member that was held up or hears nobody accuses nobody). Without I/O: it is told datagrams and the time,
- * in microseconds, and acts through its {@link Host}. Equal calls give equal results. One thread.
+ * Failure detector and membership view of the SWIM family (Das, Gupta, Motivala 2002): probes, suspicion, refutation by
+ * incarnation, and gossip piggybacked on probes, with Lifeguard's self-awareness (Dadgar, Phillips, Currey 2017): a member that
+ * was paused or receives nothing suspects nobody. Performs no I/O: datagrams and the time in microseconds are passed in, and it
+ * acts through its {@link Environment}. Deterministic: equal calls give equal results. Not thread-safe.
  *
- * <p>It differs from SWIM in two things. Most probes go to fixed targets, the next members of a ring that all order
- * alike, so that each member is looked at in every period, not only on average. And a suspicion stays with those who have
- * evidence of their own: they ask the accused again and again and others to look for themselves, and declare it dead
- * when their time is up. Not taken: to gossip suspicions, as SWIM does. At 10% loss each member misses an answer every
- * second; told to all, with the refutations, that costs more the larger the fleet is, and the accused would have to be
- * heard by the whole fleet, not by its accusers alone, before the time is up.
+ * <p>It differs from SWIM in two ways. Most probes go to fixed targets, the successors in a ring that all members order alike,
+ * so that each member is probed in every period and not only on average. And a suspicion stays with the members that have
+ * direct evidence: they keep pinging the suspect, ask others to probe it too, and declare it dead when the suspicion times out.
+ * Suspicions are not gossiped as in SWIM: at 10% loss each member misses an answer every second, so the traffic for suspicions
+ * and refutations would grow with the fleet, and a suspect would have to reach the whole fleet in time instead of only its
+ * suspecters.
  */
-public final class Membership implements Group {
-    /** Call {@link #onTick} this often. */
-    public static final long TICK_US = 100_000;
-    /** Each member sends {@link #TARGETS} and one more probes in this time: 12 datagrams a second with their answers. */
-    static final long PERIOD_US = 500_000;
-    /** Two accusers are wanted for a quick death, so two watch each member. */
-    static final int TARGETS = 2;
-    /** An answer across regions comes within 0.1 s; a busy core takes as long again. */
-    static final long ANSWER_US = 300_000;
-    /** Suspects are asked so often, so that one who goes on is heard at once. */
-    static final long AGAIN_US = 200_000;
-    /** With evidence of two: a process that stalls for 1.5 s is not dead, and needs {@link #ANSWER_US} to say so. */
-    static final long QUICK_US = 1_800_000;
-    /** With evidence of one alone, whose own link may be at fault. */
-    static final long SLOW_US = 4_000_000;
-    /** Members asked to look for themselves when one does not answer. */
-    private static final int WITNESSES = 3;
-    /** Unanswered probes make its own answer time longer, up to so many times. */
-    private static final int MOST_DOUBT = 4;
-    /** Who has heard nobody for so long doubts itself before others. */
-    private static final long DEAF_US = 1_000_000;
-    /** And for so long, is alone as far as it can tell. */
-    private static final long ALONE_US = 5_000_000;
-    /** A tick that comes later than this after its time was held up, and all that ran then ran without us. */
-    private static final long HELD_UP_US = 100_000;
-
-    private static final int EAGER = 3;
-    /** One in so many random probes goes to those held dead, so that halves of a fleet find each other again. */
-    private static final int DEAD_ONE_IN = 4;
-    /** One page of the state is compared with somebody's in this time, and many more after a start. */
-    private static final long COMPARE_US = 1_000_000;
-
-    private static final long JOIN_US = 3_000_000;
-    private static final int JOIN_PAGES = 4;
-    /** The dead are forgotten after this: a member that comes back tells of itself. */
-    private static final long FORGET_US = 600_000_000;
-
-    private static final long FORGET_LOOK_US = 10_000_000;
-    /** Word of the program before counts as life for so long. */
-    private static final long OLD_WORD_US = 10_000_000;
-    /** An incarnation further ahead of our clock is a lie or a fault. */
-    private static final long AHEAD_MS = 86_400_000;
-    /** Refutations of another's claim to be us, in a minute, before we let it. */
-    private static final int MOST_CLAIMS = 3;
-
-    private static final long CLAIMS_US = 60_000_000;
-    /** A place that has heard from one member within this is no other's, nor is the member at another place. */
-    private static final long MOVE_US = 2_000_000;
-
-    private static final long NAME_EVERY = 8;
-    private static final int MOST_NAME = 48;
-    /** Draws for somebody who is here, in a list that names many who are not. */
-    private static final int TRIES = 16;
-    /** Bytes before the name. */
-    private static final int FACTS = 5;
-    /** A datagram with one change and nothing else, and one that compares a page. */
-    private static final int LEAST_NEWS = 40;
-
-    private static final int COMPARISON = 30;
-    /** A question to one under suspicion; what is told and compared leaves room for some of them. */
-    private static final int QUESTION = 22;
-
-    private static final int RESERVE = 200;
+public final class Membership implements PeerDirectory {
+    /** Interval at which {@link #onTick} is to be called. */
+    public static final long TICK_INTERVAL_US = 100_000;
+    /** Each member sends {@link #RING_TARGETS} + 1 probes in this time: with the answers 12 datagrams per second. */
+    static final long PROBE_PERIOD_US = 500_000;
+    /** Ring successors that each member probes. Two, because a suspicion confirmed by a second member times out sooner. */
+    static final int RING_TARGETS = 2;
+    /** An answer across regions takes up to 0.1 s, and a busy core as long again. */
+    static final long ACK_TIMEOUT_US = 300_000;
+    /** Short, so that a suspect that resumes is heard at once. */
+    static final long SUSPECT_PING_INTERVAL_US = 200_000;
+    /** Timeout when two members suspect: a process that stalls for 1.5 s must survive, and needs {@link #ACK_TIMEOUT_US} to answer. */
+    static final long CONFIRMED_SUSPICION_TIMEOUT_US = 1_800_000;
+    /** Timeout when only one member suspects: its own link may be at fault. */
+    static final long LONE_SUSPICION_TIMEOUT_US = 4_000_000;
+    /** Members asked to probe a suspect. */
+    private static final int INDIRECT_PROBERS = 3;
+    /** Bound on the number of unanswered probes that lengthen this member's own timeouts (Lifeguard's local health). */
+    private static final int MAX_SELF_DOUBT = 4;
+    /** A member that has received nothing for this long suspects itself rather than others. */
+    private static final long ISOLATION_SUSPECTED_US = 1_000_000;
+    /** A member that has received nothing for this long counts itself as the only live one. */
+    private static final long ISOLATED_US = 5_000_000;
+    /** A tick later than this counts as a pause of the process, and deadlines are extended by it. */
+    private static final long PAUSE_THRESHOLD_US = 100_000;
+
+    private static final int URGENT_FANOUT = 3;
+    /** One in this many random probes goes to a dead member, so that the parts of a partitioned fleet find each other again. */
+    private static final int DEAD_PROBE_RATIO = 4;
+    /** One bucket of the state is compared with a random member in this time; after a start, more often. */
+    private static final long COMPARE_INTERVAL_US = 1_000_000;
+
+    private static final long JOIN_PHASE_US = 3_000_000;
+    private static final int JOIN_COMPARISONS = 4;
+    /** Members that are dead or left are removed after this; one that returns announces itself. */
+    private static final long REMOVE_AFTER_US = 600_000_000;
+
+    private static final long REMOVE_INTERVAL_US = 10_000_000;
+    /** A peer counts as live for this long after a datagram of the previous program version. */
+    private static final long LEGACY_LIVENESS_US = 10_000_000;
+    /** An incarnation further ahead of the local clock is forged or faulty, and ignored. */
+    private static final long MAX_INCARNATION_AHEAD_MS = 86_400_000;
+    /** Claims to this member's name that are refuted per {@link #CLAIM_WINDOW_US}; one more, and the other process keeps the name. */
+    private static final int MAX_CLAIMS = 3;
+
+    private static final long CLAIM_WINDOW_US = 60_000_000;
+    /** A member heard within this time keeps its peer index: no other member takes the index, and it takes no other index. */
+    private static final long PEER_INDEX_LOCK_US = 2_000_000;
+
+    private static final long NAME_INTERVAL_MESSAGES = 8;
+    private static final int MAX_NAME_BYTES = 48;
+    /** Random draws for a live member, as many entries of the peer list may not be live. */
+    private static final int MAX_DRAWS = 16;
+    /** Bytes before the name in a {@link #NAME} section. */
+    private static final int METADATA_BYTES = 5;
+    /** A datagram with a single update. */
+    private static final int MIN_UPDATE_MESSAGE_BYTES = 40;
+
+    private static final int COMPARE_MESSAGE_BYTES = 30;
+    private static final int PING_MESSAGE_BYTES = 22;
+    /** Send budget that dissemination and anti-entropy leave for pings to suspects. */
+    private static final int RESERVED_BYTES = 200;
+
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private static final int PING = 1;
     private static final int ACK = 2;
-    private static final int CHECK = 3;
-    private static final int ACCUSE = 4;
-    private static final int SEEN = 5;
+    private static final int PING_REQUEST = 3;
+    private static final int CONFIRM_SUSPICION = 4;
+    private static final int HEARD_BY_WITNESS = 5;
     private static final int UPDATES = 6;
     private static final int NAME = 7;
     private static final int COMPARE = 8;
-    private static final int PAGE_OF = 9;
+    private static final int BUCKET = 9;
 
     /**
-     * What it is told of itself.
+     * Configuration of the local member.
      *
-     * @param number  its place in its configured list
-     * @param peers   length of that list
-     * @param startMs Unix time of its start, its first incarnation
-     * @param taken   length of a datagram that belongs to somebody else; -1 for none
+     * @param index          its position in its own peer list
+     * @param peerCount      length of that list
+     * @param startMs        Unix time of its start, used as its first incarnation
+     * @param reservedLength datagram length used by another protocol on the same socket; -1 for none
      */
     public record Self(
-            String name, int number, int peers, int zone, int zones, int version, int parts, long startMs, int taken) {}
-
-    /** A probe that is out. */
+            String name,
+            int index,
+            int peerCount,
+            int zone,
+            int zoneCount,
+            int version,
+            int features,
+            long startMs,
+            int reservedLength) {}
+
+    /** A probe that waits for its acknowledgement. */
     private static final class Probe {
         private final Member target;
-        /** Of our own accord, not since another has asked us to look. */
-        private final boolean own;
+        /** Whether this member started it; false for one on behalf of another member. */
+        private final boolean direct;
 
         private long dueUs;
 
-        Probe(Member target, boolean own, long dueUs) {
+        Probe(Member target, boolean direct, long dueUs) {
             this.target = target;
-            this.own = own;
+            this.direct = direct;
             this.dueUs = dueUs;
         }
     }
 
-    /** Own evidence against a member: it has not answered us. */
-    private static final class Accusation {
-        private final Set<Long> accusers = new HashSet<>();
+    /** This member's own evidence against a member that did not answer it. */
+    private static final class Suspicion {
+        private final Set<Long> suspecters = new HashSet<>();
         private long sinceUs;
-        private long againUs;
-        private int asked;
-        /** Not where it was another who made us look, or at a loss of 30% all would look for ever. */
-        private boolean asksOthers;
-        /** Those who asked us to look, and hear what we saw. */
-        private final Set<Integer> askers = new HashSet<>();
+        private long nextPingUs;
+        private int pings;
+        /** False after an indirect probe: otherwise, at a loss of 30%, indirect probes would trigger each other without end. */
+        private boolean requestsIndirectProbes;
+        /** Peer indexes of the members that asked for a probe and get its result. */
+        private final Set<Integer> requesters = new HashSet<>();
 
-        /** Who misses many answers is at the worse end of its links, and waits for longer. */
-        long dueUs(int doubt) {
-            return sinceUs + (accusers.size() >= 2 ? QUICK_US : SLOW_US) * (MOST_DOUBT + doubt) / MOST_DOUBT;
+        /** A member that misses many answers probably has bad links itself, and waits longer. */
+        long expiresUs(int selfDoubt) {
+            return sinceUs
+                    + (suspecters.size() >= 2 ? CONFIRMED_SUSPICION_TIMEOUT_US : LONE_SUSPICION_TIMEOUT_US)
+                            * (MAX_SELF_DOUBT + selfDoubt)
+                            / MAX_SELF_DOUBT;
         }
     }
 
-    private final Self self;
-    private final Host host;
+    private final Self config;
+    private final Environment environment;
     private final SplittableRandom random;
     private final SendBudget budget;
-    private final Member me;
+    private final Member localMember;
     private final Map<Long, Member> members = new HashMap<>();
-    /** All but the dead and those who left, in the order that all share. */
+    /** Live members in an order that is the same at all members. */
     private final NavigableMap<Long, Member> ring = new TreeMap<>();
-    /** By place in the configured list; null where nobody is known. */
-    private final Member[] slots;
+    /** By index in the peer list; null where no member is known. */
+    private final Member[] byPeerIndex;
 
-    private final long[] oldWordUs;
+    private final long[] legacyHeardUs;
     private final Map<Integer, Probe> probes = new LinkedHashMap<>();
-    private final Map<Long, Accusation> accusations = new LinkedHashMap<>();
-    /** Who asked us to look at whom, until our own probe has ended. */
-    private final Map<Long, Set<Integer>> asked = new LinkedHashMap<>();
+    private final Map<Long, Suspicion> suspicions = new LinkedHashMap<>();
+    /** By member id: peer indexes of those that asked for a probe of it, until that probe has ended. */
+    private final Map<Long, Set<Integer>> probeRequesters = new LinkedHashMap<>();
 
     private final Dissemination dissemination = new Dissemination();
     private final StateDigest digest = new StateDigest(members.values());
     private final long startedUs;
     private long nowUs;
-    private long tickedUs;
-    private long periodUs;
-    private long compareUs;
-    private long forgetUs;
-    private long heardUs = NEVER;
-    private long lookUs;
-    /** A change to be told on at once; one of the view. */
-    private boolean fresh;
-
-    private boolean changed;
-    private boolean quiet;
-    private int doubt;
+    private long lastTickUs;
+    private long nextProbeUs;
+    private long nextCompareUs;
+    private long nextRemoveUs;
+    private long lastHeardUs = NEVER;
+    private long nextViewUs;
+    /** Whether updates are to be sent without waiting for the next probe. */
+    private boolean urgentPending;
+
+    private boolean viewStale;
+    private boolean stopped;
+    private int selfDoubt;
     private int sequence;
-    private int bucket;
-    private long sentCount;
-    private final List<Long> claims = new ArrayList<>();
-    private View view;
-
-    public Membership(Self self, long nowUs, long seed, Host host) {
-        this.self = self;
-        this.host = host;
+    private int nextBucket;
+    private long messageCount;
+    private final List<Long> claimTimesUs = new ArrayList<>();
+    private MembershipView view;
+
+    public Membership(Self config, long nowUs, long seed, Environment environment) {
+        this.config = config;
+        this.environment = environment;
         random = new SplittableRandom(seed);
-        this.nowUs = tickedUs = startedUs = nowUs;
+        this.nowUs = lastTickUs = startedUs = nowUs;
         budget = new SendBudget(nowUs);
-        me = new Member(Envelope.id(self.name()));
-        me.incarnation = self.startMs();
-        me.state = State.ALIVE;
-        me.zone = self.zone();
-        me.number = self.number();
-        me.version = self.version();
-        me.parts = self.parts();
-        me.name = self.name();
-        me.slot = self.number();
-        me.sinceUs = nowUs;
-        slots = new Member[self.peers()];
-        oldWordUs = new long[self.peers()];
-        Arrays.fill(oldWordUs, NEVER);
-        if (self.number() >= 0 && self.number() < slots.length) {
-            slots[self.number()] = me;
-        }
-        members.put(me.id, me);
-        ring.put(Member.place(me.id), me);
-        periodUs = nowUs + random.nextLong(PERIOD_US);
-        compareUs = nowUs;
-        tell(me);
-        view = look(null);
-    }
-
-    // ---- what users see ---------------------------------------------------------------------------
-
-    public View view() {
+        localMember = new Member(Envelope.idOf(config.name()));
+        localMember.incarnation = config.startMs();
+        localMember.state = State.ALIVE;
+        localMember.zone = config.zone();
+        localMember.ownIndex = config.index();
+        localMember.version = config.version();
+        localMember.features = config.features();
+        localMember.name = config.name();
+        localMember.peerIndex = config.index();
+        localMember.sinceUs = nowUs;
+        byPeerIndex = new Member[config.peerCount()];
+        legacyHeardUs = new long[config.peerCount()];
+        Arrays.fill(legacyHeardUs, NEVER);
+        if (config.index() >= 0 && config.index() < byPeerIndex.length) {
+            byPeerIndex[config.index()] = localMember;
+        }
+        members.put(localMember.id, localMember);
+        ring.put(Member.ringPosition(localMember.id), localMember);
+        nextProbeUs = nowUs + random.nextLong(PROBE_PERIOD_US);
+        nextCompareUs = nowUs;
+        disseminateUrgently(localMember);
+        view = computeView(null);
+    }
+
+    // ---- queries ----------------------------------------------------------------------------------
+
+    public MembershipView view() {
         return view;
     }
 
-    /** All that are remembered, itself included, in no order. */
+    /** All known members in any state, including this one, in no order. */
     public Collection<Member> members() {
         return members.values();
     }
 
-    /** Null where nothing is known of it. */
+    /** Null if the member is unknown. */
     public Member member(long id) {
         return members.get(id);
     }
 
     public Member self() {
-        return me;
+        return localMember;
     }
 
-    /** Another process of its name has come after it: it takes no part any more. */
-    public boolean isQuiet() {
-        return quiet;
+    /** Whether this member takes no further part: it has left, or another process uses its name. */
+    public boolean isStopped() {
+        return stopped;
     }
 
     @Override
@@ -251,186 +262,200 @@
     }
 
     @Override
-    public int one(int part, SplittableRandom by) {
-        for (int tries = 0; tries < TRIES && slots.length > 0; tries++) {
-            Member m = slots[by.nextInt(slots.length)];
-            if (m != null && m != me && m.state == State.ALIVE && (m.parts & part) != 0) {
-                return m.slot;
+    public int randomPeer(int feature, SplittableRandom random) {
+        for (int tries = 0; tries < MAX_DRAWS && byPeerIndex.length > 0; tries++) {
+            Member m = byPeerIndex[random.nextInt(byPeerIndex.length)];
+            if (m != null && m != localMember && m.state == State.ALIVE && (m.features & feature) != 0) {
+                return m.peerIndex;
             }
         }
         return -1;
     }
 
-    /** Alive, or suspect, and reached at a place of its own: one that several names claim is nobody's. */
+    /** Alive or suspect, and reachable at a peer index that no other member has taken. */
     @Override
-    public boolean here(long member) {
+    public boolean isLive(long member) {
         Member m = members.get(member);
-        return m != null && m.slot >= 0 && (m.state == State.ALIVE || m.state == State.SUSPECT);
+        return m != null && m.peerIndex >= 0 && (m.state == State.ALIVE || m.state == State.SUSPECT);
     }
 
     @Override
-    public String name(long member) {
+    public String nameOf(long member) {
         Member m = members.get(member);
         return m == null ? String.format("%012x", member) : m.name();
     }
 
     // ---- time ---------------------------------------------------------------------------------------
 
-    /** Wants to be called every {@link #TICK_US}. A time that goes back is taken as no time at all. */
+    /** To be called every {@link #TICK_INTERVAL_US}. A clock that steps back counts as standing still. */
     public void onTick(long now) {
         advance(now);
-        long heldUpUs = nowUs - tickedUs - TICK_US;
-        tickedUs = nowUs;
-        if (quiet) {
+        long pauseUs = nowUs - lastTickUs - TICK_INTERVAL_US;
+        lastTickUs = nowUs;
+        if (stopped) {
             return;
         }
-        if (heldUpUs > HELD_UP_US) {
-            heldUp(heldUpUs);
+        if (pauseUs > PAUSE_THRESHOLD_US) {
+            compensateForPause(pauseUs);
         }
-        lateProbes();
-        lateAccusations();
-        if (nowUs >= periodUs) {
-            periodUs = Math.max(periodUs + PERIOD_US, nowUs + PERIOD_US / 2);
-            period();
+        expireProbes();
+        processSuspicions();
+        if (nowUs >= nextProbeUs) {
+            nextProbeUs = Math.max(nextProbeUs + PROBE_PERIOD_US, nowUs + PROBE_PERIOD_US / 2);
+            runProbePeriod();
         }
-        if (nowUs >= compareUs) {
-            compare();
+        if (nowUs >= nextCompareUs) {
+            startComparison();
         }
-        if (fresh) {
-            eager();
+        if (urgentPending) {
+            sendUrgentUpdates();
         }
-        if (changed || nowUs >= lookUs) {
-            changed = false;
-            lookUs = nowUs + COMPARE_US;
-            view = look(view);
+        if (viewStale || nowUs >= nextViewUs) {
+            viewStale = false;
+            nextViewUs = nowUs + COMPARE_INTERVAL_US;
+            view = computeView(view);
         }
     }
 
     private void advance(long now) {
         nowUs = Math.max(nowUs, now);
-        budget.advance(nowUs);
+        budget.refill(nowUs);
     }
 
-    /** What lay in our socket meanwhile has not been read: nobody's time ran. */
-    private void heldUp(long us) {
-        doubt = Math.min(MOST_DOUBT, doubt + 1);
-        probes.values().forEach(p -> p.dueUs += us);
-        accusations.values().forEach(a -> a.sinceUs += us);
-        heardUs = heardUs == NEVER ? NEVER : heardUs + us;
+    /** Datagrams that arrived during a pause are still unread, so all deadlines are extended by it. */
+    private void compensateForPause(long pauseUs) {
+        selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
+        probes.values().forEach(p -> p.dueUs += pauseUs);
+        suspicions.values().forEach(suspicion -> suspicion.sinceUs += pauseUs);
+        lastHeardUs = lastHeardUs == NEVER ? NEVER : lastHeardUs + pauseUs;
     }
 
-    private boolean deaf() {
-        return nowUs - heardUs > DEAF_US;
+    private boolean isPossiblyIsolated() {
+        return nowUs - lastHeardUs > ISOLATION_SUSPECTED_US;
     }
 
-    private void lateProbes() {
+    private void expireProbes() {
         for (Iterator<Map.Entry<Integer, Probe>> i = probes.entrySet().iterator(); i.hasNext(); ) {
             Probe p = i.next().getValue();
             if (nowUs < p.dueUs) {
                 continue;
             }
             i.remove();
-            doubt = Math.min(MOST_DOUBT, doubt + 1);
+            selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
             if (p.target.state == State.ALIVE || p.target.state == State.SUSPECT) {
-                accuse(p.target, p.own);
+                suspect(p.target, p.direct);
             }
         }
     }
 
-    private void accuse(Member m, boolean own) {
-        if (accusations.containsKey(m.id) || deaf() && heardUs != NEVER) {
+    private void suspect(Member m, boolean direct) {
+        if (suspicions.containsKey(m.id) || isPossiblyIsolated() && lastHeardUs != NEVER) {
             return;
         }
-        Accusation a = new Accusation();
-        a.accusers.add(me.id);
-        a.sinceUs = nowUs;
-        a.againUs = nowUs;
-        a.asksOthers = own;
-        accusations.put(m.id, a);
-        for (int slot : asked.getOrDefault(m.id, Set.of())) {
-            a.askers.add(slot);
-            send(slot, letter().add(ACCUSE, about(m)).bytes(self.taken()));
-        }
-        asked.remove(m.id);
+        Suspicion suspicion = new Suspicion();
+        suspicion.suspecters.add(localMember.id);
+        suspicion.sinceUs = nowUs;
+        suspicion.nextPingUs = nowUs;
+        suspicion.requestsIndirectProbes = direct;
+        suspicions.put(m.id, suspicion);
+        for (int requester : probeRequesters.getOrDefault(m.id, Set.of())) {
+            suspicion.requesters.add(requester);
+            send(
+                    requester,
+                    newEnvelope()
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .toBytes(config.reservedLength()));
+        }
+        probeRequesters.remove(m.id);
         if (m.state == State.ALIVE) {
-            become(m, State.SUSPECT, "no answer to our probe");
+            setState(m, State.SUSPECT, "no answer to a probe");
         }
     }
 
-    /** Asks again; the second time others too, since most that is missed is one datagram lost. */
-    private void askAgain(Accusation a, Member m) {
-        a.againUs = nowUs + AGAIN_US;
+    /** Pings again, and asks other members only with the second ping: most missed answers are a single lost datagram. */
+    private void pingSuspect(Suspicion suspicion, Member m) {
+        suspicion.nextPingUs = nowUs + SUSPECT_PING_INTERVAL_US;
         ping(m);
-        if (++a.asked == 2 && a.asksOthers) {
-            for (Member w : some(WITNESSES, m)) {
-                send(w.slot, letter().add(CHECK, about(m)).bytes(self.taken()));
+        if (++suspicion.pings == 2 && suspicion.requestsIndirectProbes) {
+            for (Member prober : randomAliveMembers(INDIRECT_PROBERS, m)) {
+                send(
+                        prober.peerIndex,
+                        newEnvelope()
+                                .addSection(PING_REQUEST, encodeIdentity(m))
+                                .toBytes(config.reservedLength()));
             }
         }
     }
 
-    private void lateAccusations() {
-        for (Map.Entry<Long, Accusation> e : List.copyOf(accusations.entrySet())) {
-            Accusation a = e.getValue();
+    private void processSuspicions() {
+        for (Map.Entry<Long, Suspicion> e : List.copyOf(suspicions.entrySet())) {
+            Suspicion suspicion = e.getValue();
             Member m = members.get(e.getKey());
             if (m == null || m.state == State.DEAD || m.state == State.LEFT) {
-                accusations.remove(e.getKey());
-            } else if (nowUs >= a.dueUs(doubt) && !deaf()) {
-                accusations.remove(e.getKey());
-                become(m, State.DEAD, a.accusers.size() >= 2 ? "silent for us and " + name(a) : "silent for us alone");
-            } else if (nowUs >= a.againUs && budget.admits(QUESTION)) {
-                askAgain(a, m);
-            } else if (nowUs >= a.againUs) {
-                // Many are silent at once. Who could not be asked has not failed to answer: its time waits too.
-                a.sinceUs += TICK_US;
+                suspicions.remove(e.getKey());
+            } else if (nowUs >= suspicion.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
+                suspicions.remove(e.getKey());
+                setState(
+                        m,
+                        State.DEAD,
+                        suspicion.suspecters.size() >= 2
+                                ? "unreachable from this member and " + otherSuspecters(suspicion)
+                                : "unreachable from this member alone");
+            } else if (nowUs >= suspicion.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
+                pingSuspect(suspicion, m);
+            } else if (nowUs >= suspicion.nextPingUs) {
+                // The budget is exhausted by many suspects. One that was not pinged can't answer, so its timeout is
+                // extended.
+                suspicion.sinceUs += TICK_INTERVAL_US;
             }
         }
     }
 
-    private String name(Accusation a) {
-        return a.accusers.stream()
-                .filter(id -> id != me.id)
+    private String otherSuspecters(Suspicion suspicion) {
+        return suspicion.suspecters.stream()
+                .filter(id -> id != localMember.id)
                 .map(id -> members.containsKey(id) ? members.get(id).name() : String.format("%012x", id))
                 .sorted()
                 .reduce((x, y) -> x + " and " + y)
                 .orElse("nobody");
     }
 
-    /** Probes of a period: the next in the ring and one at random. */
-    private void period() {
-        int wanted = TARGETS;
-        Member at = me;
-        for (int i = 0; i < ring.size() - 1 && wanted > 0; i++) {
-            Map.Entry<Long, Member> next = ring.higherEntry(Member.place(at.id));
-            at = next == null ? ring.firstEntry().getValue() : next.getValue();
-            if (at.slot >= 0 && at != me) {
-                if (!accusations.containsKey(at.id)) {
-                    probe(at, true);
+    /** Probes the next members in the ring and one at random. */
+    private void runProbePeriod() {
+        int remaining = RING_TARGETS;
+        Member current = localMember;
+        for (int i = 0; i < ring.size() - 1 && remaining > 0; i++) {
+            Map.Entry<Long, Member> next = ring.higherEntry(Member.ringPosition(current.id));
+            current = next == null ? ring.firstEntry().getValue() : next.getValue();
+            if (current.peerIndex >= 0 && current != localMember) {
+                if (!suspicions.containsKey(current.id)) {
+                    probe(current, true);
                 }
-                // Beyond one under suspicion is somebody who would have nobody left to look at him.
-                wanted -= at.state == State.SUSPECT ? 0 : 1;
+                // A suspect doesn't count as a target, as its successor may have lost a prober with it.
+                remaining -= current.state == State.SUSPECT ? 0 : 1;
             }
         }
-        int slot = random.nextInt(slots.length);
-        Member m = slots[slot];
+        int peerIndex = random.nextInt(byPeerIndex.length);
+        Member m = byPeerIndex[peerIndex];
         if (m == null) {
-            // Nobody is known there yet, or the program before is.
-            ping(slot);
-        } else if (m != me) {
+            // No member is known there yet, or it runs the previous program version.
+            ping(peerIndex);
+        } else if (m != localMember) {
             boolean gone = m.state == State.DEAD || m.state == State.LEFT;
-            if (!gone || random.nextInt(DEAD_ONE_IN) == 0) {
+            if (!gone || random.nextInt(DEAD_PROBE_RATIO) == 0) {
                 probe(m, true);
             }
         }
-        if (random.nextInt(DEAD_ONE_IN) == 0) {
-            oneOfTheDead();
+        if (random.nextInt(DEAD_PROBE_RATIO) == 0) {
+            pingRandomDeadMember();
         }
-        forget();
+        removeOldMembers();
     }
 
-    private void oneOfTheDead() {
+    private void pingRandomDeadMember() {
         List<Member> dead = new ArrayList<>();
         for (Member m : members.values()) {
-            if (m.state == State.DEAD && m.slot >= 0) {
+            if (m.state == State.DEAD && m.peerIndex >= 0) {
                 dead.add(m);
             }
         }
@@ -440,618 +465,654 @@
         }
     }
 
-    /** Seldom: it goes through all members. */
-    private void forget() {
-        if (nowUs < forgetUs) {
+    /** Runs only every {@link #REMOVE_INTERVAL_US}, as it visits all members. */
+    private void removeOldMembers() {
+        if (nowUs < nextRemoveUs) {
             return;
         }
-        forgetUs = nowUs + FORGET_LOOK_US;
+        nextRemoveUs = nowUs + REMOVE_INTERVAL_US;
         members.values().removeIf(m -> {
-            boolean old = (m.state == State.DEAD || m.state == State.LEFT) && nowUs - m.sinceUs > FORGET_US;
-            if (old && m.slot >= 0 && slots[m.slot] == m) {
-                slots[m.slot] = null;
+            boolean old = (m.state == State.DEAD || m.state == State.LEFT) && nowUs - m.sinceUs > REMOVE_AFTER_US;
+            if (old && m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
+                byPeerIndex[m.peerIndex] = null;
             }
             if (old) {
-                digest.changed();
+                digest.invalidate();
             }
             return old;
         });
     }
 
-    private void probe(Member m, boolean own) {
+    private void probe(Member m, boolean direct) {
         int number = ping(m);
-        if (!accusations.containsKey(m.id)) {
-            probes.put(number, new Probe(m, own, nowUs + ANSWER_US * (4 + doubt) / 4));
+        if (!suspicions.containsKey(m.id)) {
+            probes.put(number, new Probe(m, direct, nowUs + ACK_TIMEOUT_US * (4 + selfDoubt) / 4));
         }
     }
 
     private int ping(Member m) {
-        return ping(m.slot);
+        return ping(m.peerIndex);
     }
 
-    /** Whoever is there answers, and says by it who that is. */
-    private int ping(int slot) {
+    /** Pings a peer index. The answer identifies the member there. */
+    private int ping(int peerIndex) {
         int number = sequence = sequence + 1 & 0xFFFF;
         ByteBuffer b = ByteBuffer.allocate(2).putShort((short) number);
-        Envelope e = letter().add(PING, b);
-        if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
-            addName(e);
+        Envelope e = newEnvelope().addSection(PING, b);
+        if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
+            addNameSection(e);
         }
-        send(slot, withUpdates(e).bytes(self.taken()));
+        send(peerIndex, addUpdates(e).toBytes(config.reservedLength()));
         return number;
     }
 
-    /** Who we are: zone, number, version, parts, and the name. */
-    private void addName(Envelope e) {
-        byte[] name = self.name().getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(FACTS + MOST_NAME);
-        b.put((byte) me.zone).putShort((short) me.number).put((byte) me.version).put((byte) me.parts);
-        b.put(name, 0, Math.min(MOST_NAME, name.length));
-        e.add(NAME, b);
-    }
-
-    /** One page of the state with somebody's: only a hash goes out where both have the same. */
-    private void compare() {
-        boolean joining = nowUs - startedUs < JOIN_US;
-        compareUs = nowUs + (joining ? TICK_US : COMPARE_US);
-        for (int i = 0; i < (joining ? JOIN_PAGES : 1); i++) {
-            List<Member> one = some(1, null);
-            int slot = one.isEmpty() ? random.nextInt(slots.length) : one.get(0).slot;
-            if (slot == self.number() || !budget.admits(COMPARISON + RESERVE)) {
+    /** Adds this member's zone, index, version, features and name. */
+    private void addNameSection(Envelope e) {
+        byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
+        ByteBuffer b = ByteBuffer.allocate(METADATA_BYTES + MAX_NAME_BYTES);
+        b.put((byte) localMember.zone)
+                .putShort((short) localMember.ownIndex)
+                .put((byte) localMember.version)
+                .put((byte) localMember.features);
+        b.put(name, 0, Math.min(MAX_NAME_BYTES, name.length));
+        e.addSection(NAME, b);
+    }
+
+    /** Starts anti-entropy for one bucket; its content is transferred only if the hashes differ. */
+    private void startComparison() {
+        boolean joining = nowUs - startedUs < JOIN_PHASE_US;
+        nextCompareUs = nowUs + (joining ? TICK_INTERVAL_US : COMPARE_INTERVAL_US);
+        for (int i = 0; i < (joining ? JOIN_COMPARISONS : 1); i++) {
+            List<Member> chosen = randomAliveMembers(1, null);
+            int peerIndex = chosen.isEmpty() ? random.nextInt(byPeerIndex.length) : chosen.get(0).peerIndex;
+            if (peerIndex == config.index() || !budget.canSend(COMPARE_MESSAGE_BYTES + RESERVED_BYTES)) {
                 continue;
             }
-            int buckets = digest.buckets(slots.length);
-            bucket = (bucket + 1) % buckets;
+            int buckets = digest.bucketCount(byPeerIndex.length);
+            nextBucket = (nextBucket + 1) % buckets;
             ByteBuffer b = ByteBuffer.allocate(8)
-                    .putShort((short) bucket)
+                    .putShort((short) nextBucket)
                     .putShort((short) buckets)
-                    .putInt(digest.hash(bucket, buckets));
-            send(slot, withUpdates(letter().add(COMPARE, b)).bytes(self.taken()));
+                    .putInt(digest.bucketHash(nextBucket, buckets));
+            send(peerIndex, addUpdates(newEnvelope().addSection(COMPARE, b)).toBytes(config.reservedLength()));
         }
     }
 
     // ---- datagrams ----------------------------------------------------------------------------------
 
-    /** The program before, which speaks no envelopes, has said something: its peer lives. */
-    public void onOldWord(long now, int from) {
+    /** A datagram of the previous program version, which doesn't use envelopes, came from this peer. */
+    public void onLegacyDatagram(long now, int peerIndex) {
         advance(now);
-        if (from >= 0 && from < oldWordUs.length) {
-            oldWordUs[from] = nowUs;
+        if (peerIndex >= 0 && peerIndex < legacyHeardUs.length) {
+            legacyHeardUs[peerIndex] = nowUs;
         }
     }
 
-    /** {@link #onLetter} of what is an envelope. */
-    public void onDatagram(long now, int from, byte[] datagram) {
-        Envelope.Letter letter = Envelope.read(datagram);
-        if (letter != null) {
-            onLetter(now, from, letter);
+    /** Passes the datagram to {@link #onMessage} if it is an envelope. */
+    public void onDatagram(long now, int peerIndex, byte[] datagram) {
+        Envelope.Message message = Envelope.parse(datagram);
+        if (message != null) {
+            onMessage(now, peerIndex, message);
         }
     }
 
     /**
-     * From the peer at this place of the list; what can't be true changes nothing.
+     * Handles a message from the peer at this index. Implausible content changes nothing.
      *
-     * @return whether it is its sender's: another part may take its own sections then
+     * @return whether the sender is the member at this index, so that other components may handle their sections of the message
      */
-    public boolean onLetter(long now, int from, Envelope.Letter letter) {
+    public boolean onMessage(long now, int peerIndex, Envelope.Message message) {
         advance(now);
-        if (from < 0 || from >= slots.length || quiet || letter.sender() == 0 || ahead(letter.incarnation())) {
+        if (peerIndex < 0
+                || peerIndex >= byPeerIndex.length
+                || stopped
+                || message.sender() == 0
+                || isTooFarAhead(message.incarnation())) {
             return false;
         }
-        if (letter.sender() == me.id) {
-            mirror(letter, from);
+        if (message.sender() == localMember.id) {
+            onDuplicateId(message, peerIndex);
             return false;
         }
-        Member sender = another(letter.sender(), from) ? null : heard(letter, from);
+        Member sender =
+                conflictsWithRecentSender(message.sender(), peerIndex) ? null : identifySender(message, peerIndex);
         if (sender == null) {
             return false;
         }
-        for (Envelope.Section s : letter.sections()) {
-            ByteBuffer b = ByteBuffer.wrap(s.bytes());
-            switch (s.type()) {
-                case PING -> pinged(sender, b);
-                case ACK -> acked(sender, b);
-                case CHECK -> checked(sender, b);
-                case ACCUSE -> accused(sender, b);
-                case SEEN -> seen(b);
-                case UPDATES -> updated(sender, b);
-                case COMPARE -> compared(sender, b);
-                case PAGE_OF -> page(b);
+        for (Envelope.Section section : message.sections()) {
+            ByteBuffer b = ByteBuffer.wrap(section.bytes());
+            switch (section.type()) {
+                case PING -> onPing(sender, b);
+                case ACK -> onAck(sender, b);
+                case PING_REQUEST -> onPingRequest(sender, b);
+                case CONFIRM_SUSPICION -> onSuspicionConfirmed(sender, b);
+                case HEARD_BY_WITNESS -> onHeardByWitness(b);
+                case UPDATES -> onUpdates(sender, b);
+                case COMPARE -> onCompare(sender, b);
+                case BUCKET -> onBucket(b);
                 default -> {}
             }
         }
-        return sender.slot == from;
+        return sender.peerIndex == peerIndex;
     }
 
-    /** A place speaks for one member, and a member from one place: another has to wait until the one is silent. */
-    private boolean another(long sender, int from) {
+    /** An index belongs to one member and a member to one index; either may change only once the previous pairing is silent. */
+    private boolean conflictsWithRecentSender(long sender, int peerIndex) {
         Member m = members.get(sender);
-        Member before = slots[from];
-        return m != null && m.slot != from && m.slot >= 0 && speaks(m)
-                || before != null && before != m && speaks(before);
+        Member previous = byPeerIndex[peerIndex];
+        return m != null && m.peerIndex != peerIndex && m.peerIndex >= 0 && wasHeardRecently(m)
+                || previous != null && previous != m && wasHeardRecently(previous);
     }
 
-    private boolean speaks(Member m) {
-        return m != me && (m.state == State.ALIVE || m.state == State.SUSPECT) && nowUs - m.heardUs < MOVE_US;
+    private boolean wasHeardRecently(Member m) {
+        return m != localMember
+                && (m.state == State.ALIVE || m.state == State.SUSPECT)
+                && nowUs - m.lastHeardUs < PEER_INDEX_LOCK_US;
     }
 
-    private boolean ahead(long incarnation) {
-        return incarnation > nowUs / 1_000 + AHEAD_MS;
+    private boolean isTooFarAhead(long incarnation) {
+        return incarnation > nowUs / 1_000 + MAX_INCARNATION_AHEAD_MS;
     }
 
-    /** Somebody else has our name. The later process stays, the earlier goes quiet and leaves the name to it. */
-    private void mirror(Envelope.Letter letter, int from) {
-        if (from == self.number() && letter.incarnation() == me.incarnation) {
+    /** Another process has this member's name. The one started later keeps it, and the earlier one stops. */
+    private void onDuplicateId(Envelope.Message message, int peerIndex) {
+        if (peerIndex == config.index() && message.incarnation() == localMember.incarnation) {
             return;
         }
-        if (letter.incarnation() > me.incarnation && nowUs - startedUs >= JOIN_US) {
-            // The last word: the other would not know that there was one before it.
-            send(from, letter().bytes(self.taken()));
-            goQuiet("another process of this name, started later, speaks from place " + from);
-        } else if (letter.incarnation() > me.incarnation) {
-            host.note("another process of this name speaks from place " + from);
-            refute(letter.incarnation(), "place " + from);
+        if (message.incarnation() > localMember.incarnation && nowUs - startedUs >= JOIN_PHASE_US) {
+            // One last datagram, so that the other process can log that there was an earlier one.
+            send(peerIndex, newEnvelope().toBytes(config.reservedLength()));
+            stop("another process of this name, started later, sends from place " + peerIndex);
+        } else if (message.incarnation() > localMember.incarnation) {
+            environment.logEvent("another process of this name sends from place " + peerIndex);
+            refute(message.incarnation(), "place " + peerIndex);
         } else {
-            host.note("another process of this name, started before, speaks from place " + from);
+            environment.logEvent("another process of this name, started earlier, sends from place " + peerIndex);
         }
     }
 
-    private void goQuiet(String why) {
-        quiet = true;
+    private void stop(String reason) {
+        stopped = true;
         probes.clear();
-        accusations.clear();
+        suspicions.clear();
         dissemination.clear();
-        host.note("takes no part among members any more: " + why);
-        view = look(view);
+        environment.logEvent("stops taking part in the membership: " + reason);
+        view = computeView(view);
     }
 
-    /** What a datagram says by having come: its sender lives, is this one, and is reached there. */
-    private Member heard(Envelope.Letter letter, int from) {
-        Member m = members.get(letter.sender());
+    /** Records that the sender of a message is alive and reachable at this index; null if the message is outdated. */
+    private Member identifySender(Envelope.Message message, int peerIndex) {
+        Member m = members.get(message.sender());
         if (m == null) {
-            m = new Member(letter.sender());
-            m.number = Member.NO_NUMBER;
-            m.incarnation = letter.incarnation();
+            m = new Member(message.sender());
+            m.ownIndex = Member.UNKNOWN_INDEX;
+            m.incarnation = message.incarnation();
             m.state = State.LEFT;
-            facts(m, letter);
+            applyMetadata(m, message);
             members.put(m.id, m);
-            place(m, from);
-            heardNow(m);
-            become(m, State.ALIVE, "has come");
+            assignPeerIndex(m, peerIndex);
+            recordContact(m);
+            setState(m, State.ALIVE, "joined");
             return m;
         }
-        if (letter.incarnation() < m.incarnation) {
-            // A process of before, or one that does not know yet what was said of it: it is told, and may answer that.
-            if ((m.slot < 0 || m.slot == from) && budget.admits(LEAST_NEWS)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
+        if (message.incarnation() < m.incarnation) {
+            // An earlier process of this name, or a member that missed an update about itself: send it, so that it can
+            // refute it.
+            if ((m.peerIndex < 0 || m.peerIndex == peerIndex) && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
+                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
                 m.write(b);
-                send(from, letter().add(UPDATES, b).bytes(self.taken()));
+                send(peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
             }
             return null;
         }
-        facts(m, letter);
-        place(m, from);
-        heardNow(m);
-        if (letter.incarnation() > m.incarnation) {
-            m.incarnation = letter.incarnation();
-            digest.changed();
-            become(m, State.ALIVE, "has come back");
-            tell(m);
+        applyMetadata(m, message);
+        assignPeerIndex(m, peerIndex);
+        recordContact(m);
+        if (message.incarnation() > m.incarnation) {
+            m.incarnation = message.incarnation();
+            digest.invalidate();
+            setState(m, State.ALIVE, "rejoined");
+            disseminateUrgently(m);
         } else if (m.state == State.SUSPECT) {
-            become(m, State.ALIVE, "has answered");
+            setState(m, State.ALIVE, "answered again");
         }
-        Accusation a = accusations.remove(m.id);
-        for (int slot : a == null ? Set.<Integer>of() : a.askers) {
-            sendSeen(slot, m.id);
+        Suspicion suspicion = suspicions.remove(m.id);
+        for (int requester : suspicion == null ? Set.<Integer>of() : suspicion.requesters) {
+            sendHeardByWitness(requester, m.id);
         }
         return m;
     }
 
-    private void heardNow(Member m) {
-        m.heardUs = nowUs;
-        heardUs = nowUs;
-        if (m.slot >= 0) {
-            oldWordUs[m.slot] = NEVER;
+    private void recordContact(Member m) {
+        m.lastHeardUs = nowUs;
+        lastHeardUs = nowUs;
+        if (m.peerIndex >= 0) {
+            legacyHeardUs[m.peerIndex] = NEVER;
         }
     }
 
-    private void place(Member m, int from) {
-        if (m.slot == from || from == self.number()) {
+    private void assignPeerIndex(Member m, int peerIndex) {
+        if (m.peerIndex == peerIndex || peerIndex == config.index()) {
             return;
         }
-        if (m.slot >= 0 && slots[m.slot] == m) {
-            slots[m.slot] = null;
+        if (m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
+            byPeerIndex[m.peerIndex] = null;
         }
-        Member before = slots[from];
-        if (before != null && before != me) {
-            before.slot = -1;
+        Member previous = byPeerIndex[peerIndex];
+        if (previous != null && previous != localMember) {
+            previous.peerIndex = -1;
         }
-        slots[from] = m;
-        m.slot = from;
+        byPeerIndex[peerIndex] = m;
+        m.peerIndex = peerIndex;
     }
 
-    private static boolean has(ByteBuffer b, int bytes) {
+    private static boolean hasRemaining(ByteBuffer b, int bytes) {
         return b.remaining() >= bytes;
     }
 
-    private void pinged(Member sender, ByteBuffer b) {
-        if (!has(b, 2)) {
+    private void onPing(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 2)) {
             return;
         }
         short number = b.getShort();
         ByteBuffer ack = ByteBuffer.allocate(2).putShort(number);
-        Envelope e = letter().add(ACK, ack);
-        if (nowUs - startedUs < JOIN_US || sentCount++ % NAME_EVERY == 0) {
-            addName(e);
+        Envelope e = newEnvelope().addSection(ACK, ack);
+        if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
+            addNameSection(e);
         }
-        send(sender.slot, withUpdates(e).bytes(self.taken()));
+        send(sender.peerIndex, addUpdates(e).toBytes(config.reservedLength()));
     }
 
-    private void acked(Member sender, ByteBuffer b) {
-        if (!has(b, 2)) {
+    private void onAck(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 2)) {
             return;
         }
         Probe p = probes.remove(b.getShort() & 0xFFFF);
         if (p != null && p.target == sender) {
-            doubt = Math.max(0, doubt - 1);
+            selfDoubt = Math.max(0, selfDoubt - 1);
         }
-        Set<Integer> askers = asked.remove(sender.id);
-        if (askers != null) {
-            askers.forEach(slot -> sendSeen(slot, sender.id));
+        Set<Integer> requesters = probeRequesters.remove(sender.id);
+        if (requesters != null) {
+            requesters.forEach(requester -> sendHeardByWitness(requester, sender.id));
         }
     }
 
-    /** A member that has not heard from another asks us to look for ourselves. */
-    private void checked(Member sender, ByteBuffer b) {
-        Member m = has(b, 12) ? members.get(Envelope.get48(b)) : null;
+    /** The sender got no answer from a member and asks for an indirect probe of it. */
+    private void onPingRequest(Member sender, ByteBuffer b) {
+        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
         long incarnation = m == null ? 0 : Envelope.get48(b);
         if (m == null
-                || m == me
+                || m == localMember
                 || incarnation < m.incarnation
-                || m.slot < 0
+                || m.peerIndex < 0
                 || m.state == State.DEAD
                 || m.state == State.LEFT) {
             return;
         }
-        Accusation own = accusations.get(m.id);
-        if (own != null) {
-            own.accusers.add(sender.id);
-            own.askers.add(sender.slot);
-            send(sender.slot, letter().add(ACCUSE, about(m)).bytes(self.taken()));
+        Suspicion suspicion = suspicions.get(m.id);
+        if (suspicion != null) {
+            suspicion.suspecters.add(sender.id);
+            suspicion.requesters.add(sender.peerIndex);
+            send(
+                    sender.peerIndex,
+                    newEnvelope()
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .toBytes(config.reservedLength()));
         } else {
-            asked.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.slot);
+            probeRequesters.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
             probe(m, false);
         }
     }
 
-    private void accused(Member sender, ByteBuffer b) {
-        Accusation a = has(b, 12) ? accusations.get(Envelope.get48(b)) : null;
-        if (a != null) {
-            a.accusers.add(sender.id);
+    private void onSuspicionConfirmed(Member sender, ByteBuffer b) {
+        Suspicion suspicion = hasRemaining(b, 12) ? suspicions.get(Envelope.get48(b)) : null;
+        if (suspicion != null) {
+            suspicion.suspecters.add(sender.id);
         }
     }
 
-    /** A witness has heard from the one that does not answer us: the link between us is bad, not the member. */
-    private void seen(ByteBuffer b) {
-        Member m = has(b, 12) ? members.get(Envelope.get48(b)) : null;
-        if (m != null && accusations.remove(m.id) != null && m.state == State.SUSPECT) {
-            m.heardUs = nowUs;
-            become(m, State.ALIVE, "was heard by a witness");
+    /** Another member has heard from the suspect, so only the link to it is bad and the suspicion ends. */
+    private void onHeardByWitness(ByteBuffer b) {
+        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
+        if (m != null && suspicions.remove(m.id) != null && m.state == State.SUSPECT) {
+            m.lastHeardUs = nowUs;
+            setState(m, State.ALIVE, "heard by another member");
         }
     }
 
-    private void sendSeen(int slot, long id) {
+    private void sendHeardByWitness(int peerIndex, long id) {
         Member m = members.get(id);
-        send(slot, letter().add(SEEN, about(m)).bytes(self.taken()));
+        send(
+                peerIndex,
+                newEnvelope().addSection(HEARD_BY_WITNESS, encodeIdentity(m)).toBytes(config.reservedLength()));
     }
 
-    private void updated(Member sender, ByteBuffer b) {
-        while (has(b, Member.BYTES)) {
-            Member word = Member.read(b);
-            if (word == null) {
+    private void onUpdates(Member sender, ByteBuffer b) {
+        while (hasRemaining(b, Member.WIRE_BYTES)) {
+            Member update = Member.read(b);
+            if (update == null) {
                 return;
             }
-            take(word, sender.name(), false);
+            applyUpdate(update, sender.name(), false);
         }
     }
 
-    /** What it says of itself; only the name that the id stands for. */
-    private void facts(Member m, Envelope.Letter letter) {
-        for (Envelope.Section s : letter.sections()) {
-            if (s.type() != NAME || s.bytes().length < FACTS) {
+    /** Takes over what the sender reports about itself; a name only if it hashes to the sender's id. */
+    private void applyMetadata(Member m, Envelope.Message message) {
+        for (Envelope.Section section : message.sections()) {
+            if (section.type() != NAME || section.bytes().length < METADATA_BYTES) {
                 continue;
             }
-            ByteBuffer b = ByteBuffer.wrap(s.bytes());
+            ByteBuffer b = ByteBuffer.wrap(section.bytes());
             int zone = b.get() & 255;
-            if (zone < Math.max(1, self.zones())) {
-                boolean news = !m.known();
-                if (news) {
-                    digest.changed();
+            if (zone < Math.max(1, config.zoneCount())) {
+                boolean first = !m.hasMetadata();
+                if (first) {
+                    digest.invalidate();
                 }
                 m.zone = zone;
-                m.number = b.getShort() & 0xFFFF;
+                m.ownIndex = b.getShort() & 0xFFFF;
                 m.version = b.get() & 255;
-                m.parts = b.get() & 255;
-                if (news && m.known() && m.state == State.ALIVE) {
-                    tellInPassing(m);
+                m.features = b.get() & 255;
+                if (first && m.hasMetadata() && m.state == State.ALIVE) {
+                    disseminate(m);
                 }
             }
             if (m.name == null) {
-                String name = new String(s.bytes(), FACTS, s.bytes().length - FACTS, StandardCharsets.UTF_8);
-                m.name = Envelope.id(name) == m.id ? name : null;
+                String name = new String(
+                        section.bytes(),
+                        METADATA_BYTES,
+                        section.bytes().length - METADATA_BYTES,
+                        StandardCharsets.UTF_8);
+                m.name = Envelope.idOf(name) == m.id ? name : null;
             }
         }
     }
 
-    private void compared(Member sender, ByteBuffer b) {
-        if (!has(b, 8)) {
+    private void onCompare(Member sender, ByteBuffer b) {
+        if (!hasRemaining(b, 8)) {
             return;
         }
-        int of = b.getShort() & 0xFFFF;
+        int bucket = b.getShort() & 0xFFFF;
         int buckets = b.getShort() & 0xFFFF;
         if (buckets == 0
-                || of >= buckets
-                || !budget.admits(Envelope.MOST + RESERVE)
-                || b.getInt() == digest.hash(of, buckets)) {
+                || bucket >= buckets
+                || !budget.canSend(Envelope.MAX_BYTES + RESERVED_BYTES)
+                || b.getInt() == digest.bucketHash(bucket, buckets)) {
             return;
         }
-        ByteBuffer page = ByteBuffer.allocate(Member.BYTES * StateDigest.PAGE);
-        digest.write(of, buckets, page);
-        send(sender.slot, letter().add(PAGE_OF, page).bytes(self.taken()));
+        ByteBuffer content = ByteBuffer.allocate(Member.WIRE_BYTES * StateDigest.MEMBERS_PER_BUCKET);
+        digest.writeBucket(bucket, buckets, content);
+        send(sender.peerIndex, newEnvelope().addSection(BUCKET, content).toBytes(config.reservedLength()));
     }
 
-    private void page(ByteBuffer b) {
-        while (has(b, Member.BYTES)) {
-            Member word = Member.read(b);
-            if (word == null) {
+    private void onBucket(ByteBuffer b) {
+        while (hasRemaining(b, Member.WIRE_BYTES)) {
+            Member update = Member.read(b);
+            if (update == null) {
                 return;
             }
-            take(word, "a page", true);
+            applyUpdate(update, "a state comparison", true);
         }
     }
 
-    /** Somebody's word on a member. What can't be true is left out. */
-    private void take(Member word, String who, boolean paged) {
-        boolean zoneFits = word.zone < Math.max(1, self.zones());
-        if (word.id == 0 || !zoneFits || ahead(word.incarnation)) {
+    /** Merges a reported member state. Implausible updates are ignored. */
+    private void applyUpdate(Member update, String source, boolean fromBucket) {
+        boolean zoneFits = update.zone < Math.max(1, config.zoneCount());
+        if (update.id == 0 || !zoneFits || isTooFarAhead(update.incarnation)) {
             return;
         }
-        if (word.id == me.id) {
-            if (word.incarnation > me.incarnation || word.incarnation == me.incarnation && word.state != State.ALIVE) {
-                claimed(word, who);
+        if (update.id == localMember.id) {
+            if (update.incarnation > localMember.incarnation
+                    || update.incarnation == localMember.incarnation && update.state != State.ALIVE) {
+                onFalseUpdateAboutSelf(update, source);
             }
             return;
         }
-        Member m = members.get(word.id);
-        if (m != null && !m.known() && word.known() && word.incarnation == m.incarnation) {
-            adopt(m, word);
-            presume(m);
+        Member m = members.get(update.id);
+        if (m != null && !m.hasMetadata() && update.hasMetadata() && update.incarnation == m.incarnation) {
+            copyMetadata(m, update);
+            assumePeerIndex(m);
         }
         if (m == null) {
-            if (word.state == State.DEAD || word.state == State.LEFT) {
+            if (update.state == State.DEAD || update.state == State.LEFT) {
                 return;
             }
-            m = new Member(word.id);
+            m = new Member(update.id);
             m.state = State.LEFT;
             members.put(m.id, m);
-            adopt(m, word);
-            presume(m);
-            become(m, State.ALIVE, "by word of " + who);
+            copyMetadata(m, update);
+            assumePeerIndex(m);
+            setState(m, State.ALIVE, "reported by " + source);
             return;
         }
-        if (!Member.later(word.incarnation, word.state, m.incarnation, m.state == State.SUSPECT ? State.ALIVE : m.state)
-                || word.state == State.SUSPECT && word.incarnation == m.incarnation) {
+        if (!Member.supersedes(
+                        update.incarnation,
+                        update.state,
+                        m.incarnation,
+                        m.state == State.SUSPECT ? State.ALIVE : m.state)
+                || update.state == State.SUSPECT && update.incarnation == m.incarnation) {
             return;
         }
-        boolean deadByPage = paged
-                && word.state == State.DEAD
-                && word.incarnation == m.incarnation
+        boolean deathInBucket = fromBucket
+                && update.state == State.DEAD
+                && update.incarnation == m.incarnation
                 && (m.state == State.ALIVE || m.state == State.SUSPECT);
-        boolean heardJustNow =
-                word.state == State.DEAD && word.incarnation == m.incarnation && nowUs - m.heardUs < DEAF_US;
-        if (deadByPage || heardJustNow) {
-            // An old page, or a quarrel: it hears of it, and says itself whether it lives.
-            if (m.slot >= 0 && budget.admits(LEAST_NEWS)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
-                word.write(b);
-                send(m.slot, letter().add(UPDATES, b).bytes(self.taken()));
+        boolean deathOfRecentlyHeard = update.state == State.DEAD
+                && update.incarnation == m.incarnation
+                && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
+        if (deathInBucket || deathOfRecentlyHeard) {
+            // The bucket may be outdated, or the reporter wrong: the member gets the update and may refute it.
+            if (m.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
+                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
+                update.write(b);
+                send(m.peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
             }
             return;
         }
-        // Suspicions are not told: one that is says no more than that it lives.
-        State now = word.state == State.SUSPECT ? State.ALIVE : word.state;
-        adopt(m, word);
-        presume(m);
-        become(m, now, "by word of " + who);
-        tell(m);
+        // Suspicions are not disseminated; a received one only shows that the member is not dead.
+        State newState = update.state == State.SUSPECT ? State.ALIVE : update.state;
+        copyMetadata(m, update);
+        assumePeerIndex(m);
+        setState(m, newState, "reported by " + source);
+        disseminateUrgently(m);
     }
 
-    private void adopt(Member m, Member word) {
-        digest.changed();
-        m.incarnation = word.incarnation;
-        m.zone = word.zone;
-        m.number = word.number;
-        m.version = word.version;
-        m.parts = word.parts;
+    private void copyMetadata(Member m, Member update) {
+        digest.invalidate();
+        m.incarnation = update.incarnation;
+        m.zone = update.zone;
+        m.ownIndex = update.ownIndex;
+        m.version = update.version;
+        m.features = update.features;
     }
 
-    /** Where nothing else is known, it is reached at the place that it says it has: its first datagram tells better. */
-    private void presume(Member m) {
-        if (m.slot < 0 && m.number < slots.length && slots[m.number] == null) {
-            m.slot = m.number;
-            slots[m.number] = m;
+    /** Assumes that both peer lists agree, until the member's first datagram shows its actual index. */
+    private void assumePeerIndex(Member m) {
+        if (m.peerIndex < 0 && m.ownIndex < byPeerIndex.length && byPeerIndex[m.ownIndex] == null) {
+            m.peerIndex = m.ownIndex;
+            byPeerIndex[m.ownIndex] = m;
         }
     }
 
-    /** Word on ourselves that is not so. */
-    private void claimed(Member word, String who) {
-        if (word.state == State.ALIVE && nowUs - startedUs >= JOIN_US) {
-            claims.removeIf(at -> nowUs - at > CLAIMS_US);
-            claims.add(nowUs);
-            if (claims.size() > MOST_CLAIMS) {
-                goQuiet("another process of this name goes on claiming it, by word of " + who);
+    /** Handles a wrong update about this member: it is refuted, unless another process insists on the name. */
+    private void onFalseUpdateAboutSelf(Member update, String source) {
+        if (update.state == State.ALIVE && nowUs - startedUs >= JOIN_PHASE_US) {
+            claimTimesUs.removeIf(at -> nowUs - at > CLAIM_WINDOW_US);
+            claimTimesUs.add(nowUs);
+            if (claimTimesUs.size() > MAX_CLAIMS) {
+                stop("another process of this name keeps claiming it, reported by " + source);
                 return;
             }
         }
-        refute(word.incarnation, who);
+        refute(update.incarnation, source);
     }
 
-    private void refute(long incarnation, String who) {
-        me.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
-        digest.changed();
-        me.sinceUs = nowUs;
-        host.note("refutes what " + who + " says of it");
-        tell(me);
+    private void refute(long incarnation, String source) {
+        localMember.incarnation = Math.min((1L << 48) - 1, incarnation + 1);
+        digest.invalidate();
+        localMember.sinceUs = nowUs;
+        environment.logEvent("refutes the update from " + source + " about itself");
+        disseminateUrgently(localMember);
     }
 
-    // ---- changes ------------------------------------------------------------------------------------
+    // ---- state changes ------------------------------------------------------------------------------
 
-    private void become(Member m, State state, String why) {
-        digest.changed();
-        boolean was = m.state == State.ALIVE || m.state == State.SUSPECT;
-        // One that is new here was in no state before.
-        boolean gone = !was && m.sinceUs != 0;
+    private void setState(Member m, State state, String reason) {
+        digest.invalidate();
+        boolean wasLive = m.state == State.ALIVE || m.state == State.SUSPECT;
+        // A member that was just created has no previous state.
+        boolean wasGone = !wasLive && m.sinceUs != 0;
         if (m.state != state
                 && (state != State.SUSPECT && m.state != State.SUSPECT || state == State.DEAD || state == State.LEFT)) {
-            host.note(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + why);
+            environment.logEvent(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
         }
         if (m.state != state) {
             m.sinceUs = nowUs;
-            m.why = why;
+            m.reason = reason;
         }
         m.state = state;
-        boolean is = state == State.ALIVE || state == State.SUSPECT;
-        if (is && !was) {
-            ring.put(Member.place(m.id), m);
-        } else if (!is) {
-            ring.remove(Member.place(m.id));
-            accusations.remove(m.id);
+        boolean isLive = state == State.ALIVE || state == State.SUSPECT;
+        if (isLive && !wasLive) {
+            ring.put(Member.ringPosition(m.id), m);
+        } else if (!isLive) {
+            ring.remove(Member.ringPosition(m.id));
+            suspicions.remove(m.id);
         }
         if (state == State.ALIVE) {
-            Accusation a = accusations.remove(m.id);
-            if (a != null) {
-                a.askers.forEach(slot -> sendSeen(slot, m.id));
+            Suspicion suspicion = suspicions.remove(m.id);
+            if (suspicion != null) {
+                suspicion.requesters.forEach(requester -> sendHeardByWitness(requester, m.id));
             }
         }
-        changed = true;
-        if (!is || gone) {
-            tell(m);
-        } else if (!was) {
-            tellInPassing(m);
+        viewStale = true;
+        if (!isLive || wasGone) {
+            disseminateUrgently(m);
+        } else if (!wasLive) {
+            disseminate(m);
         }
     }
 
-    private void tell(Member m) {
-        dissemination.tell(m, members.size());
-        fresh = true;
+    private void disseminateUrgently(Member m) {
+        dissemination.enqueueUrgent(m, members.size());
+        urgentPending = true;
     }
 
-    private void tellInPassing(Member m) {
-        dissemination.tellInPassing(m, members.size());
+    private void disseminate(Member m) {
+        dissemination.enqueueRegular(m, members.size());
     }
 
-    /** Fills what room is left with changes. */
-    private Envelope withUpdates(Envelope e) {
-        int affordable = (budget.left() - RESERVE - SendBudget.HEADERS - (Envelope.MOST - e.room())) / Member.BYTES;
-        int most = Math.min(Math.min(e.room() / Member.BYTES, StateDigest.PAGE), affordable);
-        if (most <= 0 || dissemination.isEmpty()) {
+    /** Fills the remaining space with updates, as far as the budget allows. */
+    private Envelope addUpdates(Envelope e) {
+        int affordable = (budget.availableBytes()
+                        - RESERVED_BYTES
+                        - SendBudget.IP_UDP_HEADER_BYTES
+                        - (Envelope.MAX_BYTES - e.remainingBytes()))
+                / Member.WIRE_BYTES;
+        int count =
+                Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
+        if (count <= 0 || dissemination.isEmpty()) {
             return e;
         }
-        ByteBuffer b = ByteBuffer.allocate(most * Member.BYTES);
-        dissemination.write(b);
-        return e.add(UPDATES, b);
+        ByteBuffer b = ByteBuffer.allocate(count * Member.WIRE_BYTES);
+        dissemination.writeUpdates(b);
+        return e.addSection(UPDATES, b);
     }
 
-    /** News does not wait for the next probe, but for room in the budget. */
-    private void eager() {
-        fresh = false;
-        for (Member m : some(EAGER, null)) {
-            if (!dissemination.anyUrgent()) {
+    /** Sends urgent updates without waiting for the next probe, as far as the budget allows. */
+    private void sendUrgentUpdates() {
+        urgentPending = false;
+        for (Member m : randomAliveMembers(URGENT_FANOUT, null)) {
+            if (!dissemination.hasUrgent()) {
                 return;
             }
-            if (!budget.admits(LEAST_NEWS + RESERVE)) {
-                fresh = true;
+            if (!budget.canSend(MIN_UPDATE_MESSAGE_BYTES + RESERVED_BYTES)) {
+                urgentPending = true;
                 return;
             }
-            send(m.slot, withUpdates(letter()).bytes(self.taken()));
+            send(m.peerIndex, addUpdates(newEnvelope()).toBytes(config.reservedLength()));
         }
     }
 
-    /** So many of those here that can be reached, at random, without one. */
-    private List<Member> some(int n, Member but) {
-        List<Member> some = new ArrayList<>(n);
-        for (int tries = 0; tries < 4 * n && some.size() < n; tries++) {
-            Member m = slots.length == 0 ? null : slots[random.nextInt(slots.length)];
-            if (m != null && m != me && m != but && m.state == State.ALIVE && !some.contains(m)) {
-                some.add(m);
+    /** Up to {@code count} reachable alive members at random, without {@code excluded}. */
+    private List<Member> randomAliveMembers(int count, Member excluded) {
+        List<Member> chosen = new ArrayList<>(count);
+        for (int tries = 0; tries < 4 * count && chosen.size() < count; tries++) {
+            Member m = byPeerIndex.length == 0 ? null : byPeerIndex[random.nextInt(byPeerIndex.length)];
+            if (m != null && m != localMember && m != excluded && m.state == State.ALIVE && !chosen.contains(m)) {
+                chosen.add(m);
             }
         }
-        return some;
+        return chosen;
     }
 
-    private ByteBuffer about(Member m) {
+    private ByteBuffer encodeIdentity(Member m) {
         ByteBuffer b = ByteBuffer.allocate(12);
         Envelope.put48(b, m.id);
         Envelope.put48(b, m.incarnation);
         return b;
     }
 
-    private void send(int slot, byte[] datagram) {
+    private void send(int peerIndex, byte[] datagram) {
         budget.spend(datagram.length);
-        host.send(slot, datagram);
+        environment.send(peerIndex, datagram);
     }
 
-    private Envelope letter() {
-        return Envelope.from(me.id, me.incarnation);
+    private Envelope newEnvelope() {
+        return Envelope.from(localMember.id, localMember.incarnation);
     }
 
-    /** The process leaves of its own will: told to several, since some word is lost. Nothing follows. */
+    /** Announces a voluntary leave to several members, as datagrams get lost, and stops. */
     public void leave(long now) {
         advance(now);
-        if (quiet) {
+        if (stopped) {
             return;
         }
-        me.state = State.LEFT;
-        digest.changed();
-        ByteBuffer b = ByteBuffer.allocate(Member.BYTES);
-        me.write(b);
-        for (Member m : some(2 * EAGER, null)) {
-            ByteBuffer copy = ByteBuffer.allocate(Member.BYTES).put(b.array());
-            send(m.slot, letter().add(UPDATES, copy).bytes(self.taken()));
-        }
-        quiet = true;
-        host.note("has told that it leaves");
-    }
-
-    private View look(View before) {
-        int here = 0;
-        int gone = 0;
-        int[] zones = new int[Math.max(1, self.zones())];
-        // Whom it has not heard of for so long it can't call dead, nor count.
-        boolean alone = nowUs - Math.max(startedUs, heardUs) > ALONE_US;
-        if (alone) {
-            here = 1;
-            zones[Math.min(zones.length - 1, me.zone)]++;
-        }
-        if (!quiet && !alone) {
+        localMember.state = State.LEFT;
+        digest.invalidate();
+        ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
+        localMember.write(b);
+        for (Member m : randomAliveMembers(2 * URGENT_FANOUT, null)) {
+            ByteBuffer copy = ByteBuffer.allocate(Member.WIRE_BYTES).put(b.array());
+            send(m.peerIndex, newEnvelope().addSection(UPDATES, copy).toBytes(config.reservedLength()));
+        }
+        stopped = true;
+        environment.logEvent("announced that it leaves");
+    }
+
+    private MembershipView computeView(MembershipView previous) {
+        int live = 0;
+        int left = 0;
+        int[] liveByZone = new int[Math.max(1, config.zoneCount())];
+        // An isolated member can't tell whether the others are dead, and counts none of them.
+        boolean isolated = nowUs - Math.max(startedUs, lastHeardUs) > ISOLATED_US;
+        if (isolated) {
+            live = 1;
+            liveByZone[Math.min(liveByZone.length - 1, localMember.zone)]++;
+        }
+        if (!stopped && !isolated) {
             for (Member m : members.values()) {
                 if (m.state == State.LEFT) {
-                    gone += m.slot >= 0 ? 1 : 0;
+                    left += m.peerIndex >= 0 ? 1 : 0;
                 } else if (m.state != State.DEAD) {
-                    here++;
-                    zones[Math.min(zones.length - 1, m.zone)]++;
+                    live++;
+                    liveByZone[Math.min(liveByZone.length - 1, m.zone)]++;
                 }
             }
-            for (int i = 0; i < slots.length; i++) {
-                here += slots[i] == null && nowUs - oldWordUs[i] < OLD_WORD_US ? 1 : 0;
+            for (int i = 0; i < byPeerIndex.length; i++) {
+                live += byPeerIndex[i] == null && nowUs - legacyHeardUs[i] < LEGACY_LIVENESS_US ? 1 : 0;
             }
         }
-        int expected = Math.max(1, slots.length - gone);
-        View.Standing standing = here <= 1 && expected > 1
-                ? View.Standing.NOBODY
-                : 2 * here > expected ? View.Standing.MAJORITY : View.Standing.MINORITY;
-        boolean same = before != null && before.standing() == standing;
-        return new View(
-                expected, here, Arrays.stream(zones).boxed().toList(), standing, same ? before.sinceUs() : nowUs);
+        int expected = Math.max(1, byPeerIndex.length - left);
+        MembershipView.Standing standing = live <= 1 && expected > 1
+                ? MembershipView.Standing.NOBODY
+                : 2 * live > expected ? MembershipView.Standing.MAJORITY : MembershipView.Standing.MINORITY;
+        boolean standingUnchanged = previous != null && previous.standing() == standing;
+        return new MembershipView(
+                expected,
+                live,
+                Arrays.stream(liveByZone).boxed().toList(),
+                standing,
+                standingUnchanged ? previous.standingSinceUs() : nowUs);
     }
 }
