--- a/src/main/java/rushproxy/fleet/release/Gate.java
+++ b/src/main/java/rushproxy/fleet/release/Gate.java
@@ -7,16 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * Judges the new servers of one stage against control servers of the same kind, zone and age, by what all sidecars have seen of both
- * meanwhile. Without I/O, time is told; equal batches give equal verdicts. One thread.
+ * Compares the new servers of one stage with control servers of the same kind, zone and age, by the concurrent observations of all
+ * sidecars. Performs no I/O; the time is passed in. Deterministic: equal batches give equal verdicts. Not thread-safe.
  *
- * <p>Three kinds of events are looked at, in each stratum: failures, silence, and answers slower than three quarters of
- * control's were so far. Each has its {@link Evidence}; those of one kind are averaged over the strata, so that what is bad in one
- * zone or for one class alone shows, and the three share the false-halt rate. So a good release is halted falsely with a
- * chance of at most {@link Rule#falseHalts}, however often it is looked at; the chance counts for each stage.
+ * <p>Three kinds of events are tested in each stratum: failures, timeouts, and answers slower than the 75th percentile of control
+ * so far. Each has its {@link Evidence}. The evidence of one kind is averaged over the strata, so that a regression in a single zone
+ * or class is found, and the three kinds share the false-halt probability. A good release is therefore halted with a probability of
+ * at most {@link Criteria#falseHaltProbability} per stage, however often it is evaluated.
  */
 public final class Gate {
-    /** What a gate says of a stage: go on, wait, stop where it is, or take it back. */
+    /** Whether a stage proceeds, waits, is halted, or is rolled back. */
     public enum Verdict {
         ON,
         WAIT,
@@ -25,187 +25,204 @@
     }
 
     /**
-     * @param leastUs    the stage lasts at least this long
-     * @param mostUs     and where it can't be told by then, it is halted
-     * @param answers    of each group at least so many
-     * @param falseHalts chance of halting a good release, at most
-     * @param worse      the stage goes on only while the new ones' part of bad answers is at most this above control's
-     * @param slower     and their median at most so many times control's
-     * @param sickAt     part of bad answers of control from which nothing can be told: a fault hits both
+     * Criteria of a stage.
+     *
+     * @param minDurationUs        minimum duration of the stage
+     * @param maxDurationUs        a stage that is inconclusive after this time is halted
+     * @param minAnswers           minimum attempts per group
+     * @param falseHaltProbability maximum probability of halting a good release
+     * @param maxBadFractionExcess maximum excess of the candidate's fraction of failures and timeouts over that of control
+     * @param maxMedianRatio       maximum ratio of the candidate's median latency to that of control
+     * @param sickControlFraction  fraction of bad answers of control above which a stage is inconclusive, as a fault affects both groups
      */
-    public record Rule(
-            long leastUs, long mostUs, long answers, double falseHalts, double worse, double slower, double sickAt) {
-        public static final Rule USUAL = new Rule(30_000_000, 600_000_000, 200, 0.01, 0.02, 1.25, 0.3);
+    public record Criteria(
+            long minDurationUs,
+            long maxDurationUs,
+            long minAnswers,
+            double falseHaltProbability,
+            double maxBadFractionExcess,
+            double maxMedianRatio,
+            double sickControlFraction) {
+        public static final Criteria DEFAULT = new Criteria(30_000_000, 600_000_000, 200, 0.01, 0.02, 1.25, 0.3);
     }
 
-    /** {@code why} is for people: what speaks against it, or what is missing. */
-    public record Ruling(Verdict verdict, String why) {}
+    /** {@code reason} tells operators the evidence against the release or the unmet criterion. */
+    public record Decision(Verdict verdict, String reason) {}
 
     private static final class Stratum {
         private final Evidence failure = new Evidence();
         private final Evidence silence = new Evidence();
         private final Evidence slowness = new Evidence();
-        private final Tally fresh = new Tally();
+        private final Tally candidate = new Tally();
         private final Tally control = new Tally();
-        /** Of control before this batch; a batch's own would not be known beforehand. */
-        private long slowUs;
+        /** From control before the current batch, as the e-process requires a threshold that is fixed beforehand. */
+        private long slowThresholdUs;
     }
 
-    private static final int KINDS = 3;
-    /** Answers of control before slowness can be told. */
-    private static final int KNOWN = 40;
-    /** The way back is taken where the evidence is as strong as this many false halts in a row would be rare. */
-    private static final double SURE = 2;
+    private static final int EVENT_KINDS = 3;
+    /** Answers needed to judge latency, or whether control is sick. */
+    private static final int MIN_CONTROL_ANSWERS = 40;
+    /** A release is rolled back if the evidence is as unlikely as this many consecutive false halts. */
+    private static final double ROLLBACK_FACTOR = 2;
 
-    private final Rule rule;
+    private final Criteria criteria;
     private final Map<String, Stratum> strata = new TreeMap<>();
-    private long sinceUs;
-    private boolean begun;
-    /** Control's answers since it was last told whether it is sick. */
-    private long lastControl;
+    private long startedUs;
+    private boolean started;
+    /** Attempts on control since {@link #controlSick} was last evaluated. */
+    private long recentControlAttempts;
 
-    private long lastControlBad;
-    private boolean sick;
+    private long recentControlBad;
+    private boolean controlSick;
 
-    public Gate(Rule rule) {
-        this.rule = rule;
+    public Gate(Criteria criteria) {
+        this.criteria = criteria;
     }
 
-    /** What came since the batch before, in one stratum. Servers that still warm up belong to neither. */
-    public void add(String stratum, Tally fresh, Tally control) {
-        Stratum s = strata.computeIfAbsent(stratum, n -> new Stratum());
-        s.failure.add(fresh.failures(), fresh.asked(), control.failures(), control.asked());
-        s.silence.add(fresh.silences(), fresh.asked(), control.silences(), control.asked());
-        if (s.slowUs > 0) {
-            s.slowness.add(
-                    fresh.slowerThan(s.slowUs), fresh.answered(), control.slowerThan(s.slowUs), control.answered());
+    /** Adds the tallies of one stratum since the previous batch. Servers that are warming up belong to neither group. */
+    public void addBatch(String stratum, Tally candidate, Tally control) {
+        Stratum state = strata.computeIfAbsent(stratum, n -> new Stratum());
+        state.failure.add(candidate.failures(), candidate.attempts(), control.failures(), control.attempts());
+        state.silence.add(candidate.timeouts(), candidate.attempts(), control.timeouts(), control.attempts());
+        if (state.slowThresholdUs > 0) {
+            state.slowness.add(
+                    candidate.slowerThan(state.slowThresholdUs),
+                    candidate.successes(),
+                    control.slowerThan(state.slowThresholdUs),
+                    control.successes());
         }
-        s.fresh.add(fresh);
-        s.control.add(control);
-        s.slowUs = s.control.answered() >= KNOWN ? s.control.percentileUs(75) : 0;
-        lastControl += control.asked();
-        lastControlBad += control.failures() + control.silences();
+        state.candidate.add(candidate);
+        state.control.add(control);
+        state.slowThresholdUs = state.control.successes() >= MIN_CONTROL_ANSWERS ? state.control.percentileUs(75) : 0;
+        recentControlAttempts += control.attempts();
+        recentControlBad += control.failures() + control.timeouts();
     }
 
-    /** To be asked after the batches of a time, as often as anybody likes. */
-    public Ruling rule(long nowUs) {
-        if (!begun) {
-            begun = true;
-            sinceUs = nowUs;
+    /** Evaluates the stage after the batches of an interval; may be called any number of times. */
+    public Decision decide(long nowUs) {
+        if (!started) {
+            started = true;
+            startedUs = nowUs;
         }
-        if (lastControl >= KNOWN) {
-            sick = lastControlBad > rule.sickAt * lastControl;
-            lastControl = 0;
-            lastControlBad = 0;
+        if (recentControlAttempts >= MIN_CONTROL_ANSWERS) {
+            controlSick = recentControlBad > criteria.sickControlFraction * recentControlAttempts;
+            recentControlAttempts = 0;
+            recentControlBad = 0;
         }
-        double bar = Math.log(KINDS / rule.falseHalts);
+        double haltThreshold = Math.log(EVENT_KINDS / criteria.falseHaltProbability);
         String[] kinds = {"failures", "silence", "slowness"};
-        String against = null;
-        double most = Double.NEGATIVE_INFINITY;
-        for (int kind = 0; kind < KINDS; kind++) {
-            double log = mean(kind);
-            if (log > most) {
-                most = log;
-                against = kinds[kind];
+        String strongestKind = null;
+        double max = Double.NEGATIVE_INFINITY;
+        for (int kind = 0; kind < EVENT_KINDS; kind++) {
+            double log = meanLogEvidence(kind);
+            if (log > max) {
+                max = log;
+                strongestKind = kinds[kind];
             }
         }
-        if (most >= SURE * bar) {
-            return new Ruling(Verdict.BACK, words(against, most));
+        if (max >= ROLLBACK_FACTOR * haltThreshold) {
+            return new Decision(Verdict.BACK, describe(strongestKind, max));
         }
-        if (most >= bar) {
-            return new Ruling(Verdict.HALT, words(against, most));
+        if (max >= haltThreshold) {
+            return new Decision(Verdict.HALT, describe(strongestKind, max));
         }
-        if (sick) {
-            return new Ruling(Verdict.WAIT, "control servers fail too: nothing can be told");
+        if (controlSick) {
+            return new Decision(Verdict.WAIT, "control servers fail too: inconclusive");
         }
-        String missing = missing(nowUs);
-        if (missing == null) {
-            return new Ruling(Verdict.ON, "no worse than control");
+        String unmet = unmetCriterion(nowUs);
+        if (unmet == null) {
+            return new Decision(Verdict.ON, "no worse than control");
         }
-        return nowUs - sinceUs >= rule.mostUs
-                ? new Ruling(Verdict.HALT, "it can't be told in time: " + missing)
-                : new Ruling(Verdict.WAIT, missing);
+        return nowUs - startedUs >= criteria.maxDurationUs
+                ? new Decision(Verdict.HALT, "inconclusive at the end of the stage: " + unmet)
+                : new Decision(Verdict.WAIT, unmet);
     }
 
-    private double mean(int kind) {
-        double most = 0;
+    private double meanLogEvidence(int kind) {
+        double max = 0;
         List<Double> logs = new ArrayList<>();
-        for (Stratum s : strata.values()) {
-            double log = (kind == 0 ? s.failure : kind == 1 ? s.silence : s.slowness).log();
+        for (Stratum stratum : strata.values()) {
+            double log = (kind == 0 ? stratum.failure : kind == 1 ? stratum.silence : stratum.slowness).log();
             logs.add(log);
-            most = Math.max(most, log);
+            max = Math.max(max, log);
         }
         double sum = 0;
         for (double l : logs) {
-            sum += Math.exp(l - most);
+            sum += Math.exp(l - max);
         }
-        return logs.isEmpty() ? 0 : most + Math.log(sum / logs.size());
+        return logs.isEmpty() ? 0 : max + Math.log(sum / logs.size());
     }
 
-    private String words(String against, double log) {
+    private String describe(String kind, double log) {
         Map.Entry<String, Stratum> worst = null;
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
-            worst = worst == null || strength(e.getValue(), against) > strength(worst.getValue(), against) ? e : worst;
+            worst = worst == null || logEvidence(e.getValue(), kind) > logEvidence(worst.getValue(), kind) ? e : worst;
         }
-        Stratum s = worst.getValue();
+        Stratum stratum = worst.getValue();
         return String.format(
                 Locale.ROOT,
-                "%s, most in %s: %d of %d failed and %d were silent, control %d of %d and %d; medians %.1f and %.1f ms;"
+                "%s, strongest in %s: %d of %d failed and %d timed out, control %d of %d and %d; medians %.1f and %.1f ms;"
                         + " evidence e^%.1f",
-                against,
+                kind,
                 worst.getKey(),
-                s.fresh.failures(),
-                s.fresh.asked(),
-                s.fresh.silences(),
-                s.control.failures(),
-                s.control.asked(),
-                s.control.silences(),
-                s.fresh.percentileUs(50) / 1e3,
-                s.control.percentileUs(50) / 1e3,
+                stratum.candidate.failures(),
+                stratum.candidate.attempts(),
+                stratum.candidate.timeouts(),
+                stratum.control.failures(),
+                stratum.control.attempts(),
+                stratum.control.timeouts(),
+                stratum.candidate.percentileUs(50) / 1e3,
+                stratum.control.percentileUs(50) / 1e3,
                 log);
     }
 
-    private static double strength(Stratum s, String against) {
-        return (against.equals("failures") ? s.failure : against.equals("silence") ? s.silence : s.slowness).log();
+    private static double logEvidence(Stratum stratum, String kind) {
+        return (kind.equals("failures") ? stratum.failure : kind.equals("silence") ? stratum.silence : stratum.slowness)
+                .log();
     }
 
-    /** Null where the stage may go on. */
-    private String missing(long nowUs) {
-        Tally fresh = new Tally();
+    /** Describes the first criterion that is not met; null if the stage may proceed. */
+    private String unmetCriterion(long nowUs) {
+        Tally candidate = new Tally();
         Tally control = new Tally();
-        strata.values().forEach(s -> {
-            fresh.add(s.fresh);
-            control.add(s.control);
+        strata.values().forEach(stratum -> {
+            candidate.add(stratum.candidate);
+            control.add(stratum.control);
         });
-        if (fresh.asked() < rule.answers || control.asked() < rule.answers) {
+        if (candidate.attempts() < criteria.minAnswers || control.attempts() < criteria.minAnswers) {
             return String.format(
                     Locale.ROOT,
-                    "%d answers of new and %d of control servers, %d of each are wanted",
-                    fresh.asked(),
-                    control.asked(),
-                    rule.answers);
+                    "%d answers of new and %d of control servers, %d of each are needed",
+                    candidate.attempts(),
+                    control.attempts(),
+                    criteria.minAnswers);
         }
-        if (nowUs - sinceUs < rule.leastUs) {
-            return String.format(Locale.ROOT, "%.0f of %.0f s", (nowUs - sinceUs) / 1e6, rule.leastUs / 1e6);
+        if (nowUs - startedUs < criteria.minDurationUs) {
+            return String.format(
+                    Locale.ROOT, "%.0f of %.0f s", (nowUs - startedUs) / 1e6, criteria.minDurationUs / 1e6);
         }
-        double badNew = (fresh.failures() + fresh.silences()) / (double) fresh.asked();
-        double badControl = (control.failures() + control.silences()) / (double) control.asked();
-        if (badNew > badControl + rule.worse) {
+        double candidateBad = (candidate.failures() + candidate.timeouts()) / (double) candidate.attempts();
+        double controlBad = (control.failures() + control.timeouts()) / (double) control.attempts();
+        if (candidateBad > controlBad + criteria.maxBadFractionExcess) {
             return String.format(
-                    Locale.ROOT, "%.1f%% of new answers are bad, %.1f%% of control's", 100 * badNew, 100 * badControl);
+                    Locale.ROOT,
+                    "%.1f%% of the answers of new servers are bad, %.1f%% of control",
+                    100 * candidateBad,
+                    100 * controlBad);
         }
-        // In one stratum: over all of them a mix that differs would look like slowness.
+        // Per stratum: over all strata, a different mix of requests would look like slowness.
         for (Map.Entry<String, Stratum> e : strata.entrySet()) {
-            Stratum s = e.getValue();
-            if (s.fresh.answered() >= KNOWN
-                    && s.control.answered() >= KNOWN
-                    && s.fresh.percentileUs(50) > rule.slower * s.control.percentileUs(50)) {
+            Stratum stratum = e.getValue();
+            if (stratum.candidate.successes() >= MIN_CONTROL_ANSWERS
+                    && stratum.control.successes() >= MIN_CONTROL_ANSWERS
+                    && stratum.candidate.percentileUs(50)
+                            > criteria.maxMedianRatio * stratum.control.percentileUs(50)) {
                 return String.format(
                         Locale.ROOT,
-                        "%s: a median of %.1f ms, control's is %.1f ms",
+                        "%s: median of %.1f ms, %.1f ms for control",
                         e.getKey(),
-                        s.fresh.percentileUs(50) / 1e3,
-                        s.control.percentileUs(50) / 1e3);
+                        stratum.candidate.percentileUs(50) / 1e3,
+                        stratum.control.percentileUs(50) / 1e3);
             }
         }
         return null;
--- a/src/main/java/rushproxy/fleet/release/Tally.java
+++ b/src/main/java/rushproxy/fleet/release/Tally.java
@@ -3,96 +3,98 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What was seen of one group of servers in one stratum (a class in a zone) over some time: answers of all kinds, those that failed,
- * those that never came, and how long the good ones took. Adds up over sidecars and over time. One thread.
+ * Outcomes of the attempts on one group of servers in one stratum (a class in a zone): all attempts, failures, timeouts, and the
+ * latencies of the successes. Tallies can be added up over sidecars and over time. Not thread-safe.
  */
 public final class Tally {
-    /** Two digits tell 1% apart; latencies above a minute count as one. */
-    private static final long MOST_US = 60_000_000;
-
-    private static final int DIGITS = 2;
-
-    private long asked;
-    private long failed;
-    private long silent;
-    private final Histogram tookUs = new Histogram(1, MOST_US, DIGITS);
-
-    /** An answer with success, after so many microseconds. */
-    public void good(long us) {
-        asked++;
-        tookUs.recordValue(Math.max(1, Math.min(MOST_US, us)));
+    /** Longer latencies are recorded as this. */
+    private static final long MAX_LATENCY_US = 60_000_000;
+    /** A resolution of 1%. */
+    private static final int SIGNIFICANT_DIGITS = 2;
+
+    private long attempts;
+    private long failures;
+    private long timeouts;
+    private final Histogram latenciesUs = new Histogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+
+    /** Records a successful answer. */
+    public void addSuccess(long latencyUs) {
+        attempts++;
+        latenciesUs.recordValue(Math.max(1, Math.min(MAX_LATENCY_US, latencyUs)));
     }
 
-    public void failed() {
-        asked++;
-        failed++;
+    public void addFailure() {
+        attempts++;
+        failures++;
     }
 
-    public void silent() {
-        asked++;
-        silent++;
+    public void addTimeout() {
+        attempts++;
+        timeouts++;
     }
 
     public void add(Tally other) {
-        asked += other.asked;
-        failed += other.failed;
-        silent += other.silent;
-        tookUs.add(other.tookUs);
+        attempts += other.attempts;
+        failures += other.failures;
+        timeouts += other.timeouts;
+        latenciesUs.add(other.latenciesUs);
     }
 
-    /** What has come since an earlier state of the same tally; that of a process that has started anew counts from its start. */
-    public Tally since(Tally before) {
-        Tally d = new Tally();
-        d.add(this);
-        if (before != null
-                && before.asked <= asked
-                && before.failed <= failed
-                && before.silent <= silent
-                && before.tookUs.getTotalCount() <= tookUs.getTotalCount()) {
-            d.asked -= before.asked;
-            d.failed -= before.failed;
-            d.silent -= before.silent;
-            d.tookUs.subtract(before.tookUs);
+    /** The difference to an earlier state of the same tally; after a restart of its process, all of it. */
+    public Tally deltaSince(Tally earlier) {
+        Tally delta = new Tally();
+        delta.add(this);
+        if (earlier != null
+                && earlier.attempts <= attempts
+                && earlier.failures <= failures
+                && earlier.timeouts <= timeouts
+                && earlier.latenciesUs.getTotalCount() <= latenciesUs.getTotalCount()) {
+            delta.attempts -= earlier.attempts;
+            delta.failures -= earlier.failures;
+            delta.timeouts -= earlier.timeouts;
+            delta.latenciesUs.subtract(earlier.latenciesUs);
         }
-        return d;
+        return delta;
     }
 
-    public long asked() {
-        return asked;
+    public long attempts() {
+        return attempts;
     }
 
     public long failures() {
-        return failed;
+        return failures;
     }
 
-    public long silences() {
-        return silent;
+    public long timeouts() {
+        return timeouts;
     }
 
-    public long answered() {
-        return tookUs.getTotalCount();
+    public long successes() {
+        return latenciesUs.getTotalCount();
     }
 
-    /** Good answers that took longer. */
-    public long slowerThan(long us) {
-        return us >= MOST_US ? 0 : tookUs.getTotalCount() - tookUs.getCountBetweenValues(0, us);
+    /** Number of successes that took longer. */
+    public long slowerThan(long thresholdUs) {
+        return thresholdUs >= MAX_LATENCY_US
+                ? 0
+                : latenciesUs.getTotalCount() - latenciesUs.getCountBetweenValues(0, thresholdUs);
     }
 
-    /** Microseconds that so many percent of the good answers took at most; 0 where there was none. */
+    /** Latency percentile of the successes; 0 without any. */
     public long percentileUs(double percent) {
-        return tookUs.getTotalCount() == 0 ? 0 : tookUs.getValueAtPercentile(percent);
+        return latenciesUs.getTotalCount() == 0 ? 0 : latenciesUs.getValueAtPercentile(percent);
     }
 
-    Histogram histogram() {
-        return tookUs;
+    Histogram latencies() {
+        return latenciesUs;
     }
 
-    static Tally of(long asked, long failed, long silent, Histogram tookUs) {
-        Tally t = new Tally();
-        t.asked = asked;
-        t.failed = failed;
-        t.silent = silent;
-        t.tookUs.add(tookUs);
-        return t;
+    static Tally fromCounts(long attempts, long failures, long timeouts, Histogram latenciesUs) {
+        Tally tally = new Tally();
+        tally.attempts = attempts;
+        tally.failures = failures;
+        tally.timeouts = timeouts;
+        tally.latenciesUs.add(latenciesUs);
+        return tally;
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/Verdicts.java
+++ b/src/main/java/rushproxy/fleet/shared/Verdicts.java
@@ -13,245 +13,263 @@
 import rushproxy.Balancer.Evidence;
 import rushproxy.Balancer.Verdict;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /**
- * What the fleet says of its servers: each sidecar writes what it has seen itself and nothing that it heard; a verdict needs
- * independent witnesses and ends by itself. Without I/O; one thread.
+ * The fleet's verdicts on servers. Each sidecar publishes only what it has observed itself; a verdict needs independent
+ * witnesses and expires. Performs no I/O. Not thread-safe.
  *
- * <p>Bounds: at most {@link #MOST_OUT} of the servers are out by verdicts, and past it none is (Envoy's panic threshold); a sidecar
- * that accuses more than {@link #SUSPECT} of them is itself the suspect and counts for none of them. So no one member
- * and no two cost the fleet a server that a third finds good, and no number of them costs it more than that part.
+ * <p>Bounds: verdicts eject at most {@link #MAX_EJECTED_FRACTION} of the servers, and beyond it none (like Envoy's panic
+ * threshold). A sidecar that accuses more than {@link #MAX_ACCUSED_FRACTION} of them is itself suspected, and its reports are
+ * ignored. So neither one member nor two can eject a server that a third finds good, and any number of members can eject at most
+ * that fraction.
  */
 public final class Verdicts {
-    /** Witnesses that a verdict needs, with fewer others who find the server good. */
-    public static final int WITNESSES = 2;
-    /** Of the listed servers, at most so many are out by verdicts (and one in a small fleet). */
-    public static final double MOST_OUT = 0.25;
-    /** Who accuses more of the servers than this, and at least {@link #FEW}, sees its own fault. */
-    public static final double SUSPECT = 1 / 3.0;
+    /** Witnesses that a verdict needs; they also must outnumber those that find the server good. */
+    public static final int MIN_WITNESSES = 2;
+    /** Fraction of the listed servers that verdicts may eject (at least one server in a small fleet). */
+    public static final double MAX_EJECTED_FRACTION = 0.25;
+    /** A sidecar that accuses more of the servers than this, and at least {@link #MIN_ACCUSED_SERVERS}, is probably faulty itself. */
+    public static final double MAX_ACCUSED_FRACTION = 1 / 3.0;
 
-    private static final int FEW = 3;
-    /** Own evidence is renewed so often, for as long as it is not older than {@link #FRESH_US}. */
-    static final long RENEW_US = 5_000_000;
-    /** A server that is left alone is tried again within 8 s. */
-    static final long FRESH_US = 12_000_000;
+    private static final int MIN_ACCUSED_SERVERS = 3;
+    /** Published evidence is renewed at this interval while it is younger than {@link #EVIDENCE_TTL_US}. */
+    static final long RENEW_INTERVAL_US = 5_000_000;
+    /** Longer than the 8 s within which an avoided server is tried again, which renews the evidence. */
+    static final long EVIDENCE_TTL_US = 12_000_000;
 
-    private static final long GOOD_US = 3_000_000;
-    /** So many others tell as much as one more would. */
-    private static final int ENOUGH = 3;
-    /** What the module was told counts for so long; it is told each second. */
-    static final long COUNTS_US = 2_500_000;
+    private static final long GOOD_TTL_US = 3_000_000;
+    /** With this many other witnesses an additional report is redundant and not published. */
+    private static final int SUFFICIENT_WITNESSES = 3;
+    /** Validity of verdicts, which are evaluated every second. */
+    static final long VERDICT_TTL_US = 2_500_000;
 
-    private static final int BYTES = 6;
+    private static final int VALUE_BYTES = 6;
 
-    /** One voice on a server. */
-    public record Word(long witness, Evidence kind, double factor, int count, int zone, long ageUs) {}
+    /** One member's report on a server. */
+    public record WitnessReport(long witness, Evidence kind, double factor, int count, int zone, long ageUs) {}
 
-    /** All that is said of one server; {@code why} tells operators why it holds, or not. */
-    public record Case(String server, Verdict verdict, List<Word> words, String why) {}
+    /** The verdict on a server with its reports; {@code reason} tells operators why it holds or not. */
+    public record Assessment(String server, Verdict verdict, List<WitnessReport> reports, String reason) {}
 
-    private static final class Own {
+    private static final class LocalEvidence {
         private Evidence kind;
         private double factor;
         private int count;
-        private long atUs;
-        private long writtenUs = Long.MIN_VALUE / 2;
-        private boolean written;
-        /** What the log has of it last, null where that it was taken back. */
-        private Evidence noted;
+        private long observedUs;
+        private long publishedUs = Long.MIN_VALUE / 2;
+        private boolean published;
+        /** The kind that was logged last; null after a withdrawal. */
+        private Evidence loggedKind;
     }
 
-    private final Store store;
-    private final long me;
+    private final ReplicatedStore store;
+    private final long selfId;
     private final int zone;
-    private final Group group;
-    private final Host host;
-    private final Map<String, Own> own = new LinkedHashMap<>();
+    private final PeerDirectory peers;
+    private final Environment environment;
+    private final Map<String, LocalEvidence> localEvidence = new LinkedHashMap<>();
     private Map<Long, String> servers = Map.of();
     private Map<String, Integer> zones = Map.of();
-    private Set<Long> suspects = Set.of();
+    private Set<Long> suspectedWitnesses = Set.of();
     private boolean panic;
-    private Set<String> held = Set.of();
+    private Set<String> heldServers = Set.of();
 
-    /** {@code zone} is the own one's number in the settings. */
-    public Verdicts(Store store, long me, int zone, Group group, Host host) {
+    /** {@code zone}: index of the local zone in the settings. */
+    public Verdicts(ReplicatedStore store, long selfId, int zone, PeerDirectory peers, Environment environment) {
         this.store = store;
-        this.me = me;
+        this.selfId = selfId;
         this.zone = zone;
-        this.group = group;
-        this.host = host;
+        this.peers = peers;
+        this.environment = environment;
     }
 
-    /** The zones of the servers that are listed as ready, by id, -1 where it is none of the settings': of others nothing is said. */
-    public void servers(Map<String, Integer> ready) {
-        Map<Long, String> now = new HashMap<>();
-        ready.keySet().forEach(id -> now.put(Envelope.id(id), id));
-        servers = now;
+    /** Sets the ready servers: the index of their zone in the settings by id, -1 for an unknown zone. All others are ignored. */
+    public void setServers(Map<String, Integer> ready) {
+        Map<Long, String> byId = new HashMap<>();
+        ready.keySet().forEach(id -> byId.put(Envelope.idOf(id), id));
+        servers = byId;
         zones = Map.copyOf(ready);
-        own.keySet().retainAll(ready.keySet());
+        localEvidence.keySet().retainAll(ready.keySet());
     }
 
-    /** Own evidence, fresh at this time. */
-    public void evidence(long nowUs, String server, Evidence kind, double factor) {
-        if (!servers.containsKey(Envelope.id(server))) {
+    /** Records evidence that this sidecar has observed itself. */
+    public void recordEvidence(long nowUs, String server, Evidence kind, double factor) {
+        if (!servers.containsKey(Envelope.idOf(server))) {
             return;
         }
-        Own o = own.computeIfAbsent(server, id -> new Own());
-        if (o.kind != kind) {
-            o.count = 0;
-            o.writtenUs = Long.MIN_VALUE / 2;
+        LocalEvidence evidence = localEvidence.computeIfAbsent(server, id -> new LocalEvidence());
+        if (evidence.kind != kind) {
+            evidence.count = 0;
+            evidence.publishedUs = Long.MIN_VALUE / 2;
         }
-        o.kind = kind;
-        o.factor = factor;
-        o.count = Math.min(255, o.count + 1);
-        o.atUs = nowUs;
+        evidence.kind = kind;
+        evidence.factor = factor;
+        evidence.count = Math.min(255, evidence.count + 1);
+        evidence.observedUs = nowUs;
     }
 
-    /** Writes and renews the own words, and says what holds now. To be called each second, and after evidence. */
-    public List<Case> look(long nowUs) {
-        Map<Long, List<Word>> said = said(nowUs);
-        suspects(said);
-        write(nowUs, said);
-        List<Case> cases = judge(nowUs, said);
-        long out = cases.stream()
-                .filter(c -> c.verdict.holds() && c.verdict.kind().out())
+    /** Publishes and renews local evidence and returns the current verdicts. To be called every second and after new evidence. */
+    public List<Assessment> evaluate(long nowUs) {
+        Map<Long, List<WitnessReport>> reports = collectReports(nowUs);
+        updateSuspectedWitnesses(reports);
+        publishEvidence(nowUs, reports);
+        List<Assessment> assessments = assess(nowUs, reports);
+        long ejected = assessments.stream()
+                .filter(assessment -> assessment.verdict.confirmed()
+                        && assessment.verdict.evidence().isOutage())
                 .count();
-        boolean past = out > Math.max(1, (int) (MOST_OUT * servers.size()));
-        if (past != panic) {
-            panic = past;
-            host.note(
-                    past
-                            ? "verdicts against " + out + " of " + servers.size()
-                                    + " servers: too many to believe, none counts"
-                            : "verdicts against " + out + " of " + servers.size() + " servers: they count again");
+        boolean tooMany = ejected > Math.max(1, (int) (MAX_EJECTED_FRACTION * servers.size()));
+        if (tooMany != panic) {
+            panic = tooMany;
+            environment.logEvent(
+                    tooMany
+                            ? "verdicts against " + ejected + " of " + servers.size()
+                                    + " servers: too many, all are ignored"
+                            : "verdicts against " + ejected + " of " + servers.size() + " servers: they apply again");
         }
         if (panic) {
-            cases.replaceAll(c -> new Case(
-                    c.server,
-                    holds(c.verdict, c.verdict.holds() && !c.verdict.kind().out()),
-                    c.words,
-                    c.verdict.kind().out() ? "too many at once" : c.why));
+            assessments.replaceAll(assessment -> new Assessment(
+                    assessment.server,
+                    withHolds(
+                            assessment.verdict,
+                            assessment.verdict.confirmed()
+                                    && !assessment.verdict.evidence().isOutage()),
+                    assessment.reports,
+                    assessment.verdict.evidence().isOutage() ? "too many verdicts at once" : assessment.reason));
         }
-        tell(cases);
-        return cases;
+        logChanges(assessments);
+        return assessments;
     }
 
-    private static Verdict holds(Verdict v, boolean holds) {
-        return new Verdict(v.upstream(), v.kind(), v.factor(), v.witnesses(), v.ownWord(), holds, v.untilUs());
+    private static Verdict withHolds(Verdict v, boolean holds) {
+        return new Verdict(
+                v.upstream(), v.evidence(), v.factor(), v.witnesses(), v.reportedHere(), holds, v.validUntilUs());
     }
 
-    /** All words that count, by server, the own ones with them. */
-    private Map<Long, List<Word>> said(long nowUs) {
-        Map<Long, List<Word>> said = new TreeMap<>();
-        for (Read r : store.all(nowUs, Table.VERDICTS)) {
-            if (r.value().length < BYTES
-                    || !servers.containsKey(r.key())
-                    || !r.holds()
-                    || r.writer() != me && !group.here(r.writer())) {
+    /** Fresh reports of live members by server, including this sidecar's own. */
+    private Map<Long, List<WitnessReport>> collectReports(long nowUs) {
+        Map<Long, List<WitnessReport>> reports = new TreeMap<>();
+        for (StoredEntry entry : store.readAll(nowUs, Table.VERDICTS)) {
+            if (entry.value().length < VALUE_BYTES
+                    || !servers.containsKey(entry.key())
+                    || !entry.fresh()
+                    || entry.writer() != selfId && !peers.isLive(entry.writer())) {
                 continue;
             }
-            ByteBuffer b = ByteBuffer.wrap(r.value());
+            ByteBuffer b = ByteBuffer.wrap(entry.value());
             int kind = b.get() & 255;
             if (kind < Evidence.values().length) {
-                said.computeIfAbsent(r.key(), k -> new ArrayList<>())
-                        .add(new Word(
-                                r.writer(),
+                reports.computeIfAbsent(entry.key(), k -> new ArrayList<>())
+                        .add(new WitnessReport(
+                                entry.writer(),
                                 Evidence.values()[kind],
                                 (b.getShort() & 0xFFFF) / 16.0,
                                 b.get() & 255,
                                 b.get() & 255,
-                                r.ageUs()));
+                                entry.ageUs()));
             }
         }
-        said.values().forEach(words -> words.sort((a, b) -> Long.compare(a.witness, b.witness)));
-        return said;
+        reports.values().forEach(serverReports -> serverReports.sort((a, b) -> Long.compare(a.witness, b.witness)));
+        return reports;
     }
 
-    private void suspects(Map<Long, List<Word>> said) {
-        Map<Long, Integer> accuses = new HashMap<>();
-        said.values()
-                .forEach(words -> words.stream()
-                        .filter(w -> w.kind.out() || w.kind == Evidence.SLOW)
-                        .forEach(w -> accuses.merge(w.witness, 1, Integer::sum)));
-        // The store keeps a few witnesses a server: the own evidence is all here.
-        accuses.merge(
-                me,
-                (int) own.values().stream()
-                        .filter(o -> o.kind.out() || o.kind == Evidence.SLOW)
+    private void updateSuspectedWitnesses(Map<Long, List<WitnessReport>> reports) {
+        Map<Long, Integer> accusedCounts = new HashMap<>();
+        reports.values()
+                .forEach(serverReports -> serverReports.stream()
+                        .filter(report -> report.kind.isOutage() || report.kind == Evidence.SLOW)
+                        .forEach(report -> accusedCounts.merge(report.witness, 1, Integer::sum)));
+        // The store keeps only a few witnesses per server, so the local evidence is counted separately.
+        accusedCounts.merge(
+                selfId,
+                (int) localEvidence.values().stream()
+                        .filter(evidence -> evidence.kind.isOutage() || evidence.kind == Evidence.SLOW)
                         .count(),
                 Math::max);
-        Set<Long> now = new HashSet<>();
-        accuses.forEach((who, count) -> {
-            if (count >= FEW && count > SUSPECT * servers.size()) {
-                now.add(who);
+        Set<Long> suspected = new HashSet<>();
+        accusedCounts.forEach((witness, count) -> {
+            if (count >= MIN_ACCUSED_SERVERS && count > MAX_ACCUSED_FRACTION * servers.size()) {
+                suspected.add(witness);
             }
         });
-        for (long who : now) {
-            if (!suspects.contains(who)) {
-                host.note((who == me ? "this sidecar" : group.name(who)) + " accuses " + accuses.get(who) + " of "
+        for (long witness : suspected) {
+            if (!suspectedWitnesses.contains(witness)) {
+                environment.logEvent((witness == selfId ? "this sidecar" : peers.nameOf(witness)) + " accuses "
+                        + accusedCounts.get(witness) + " of "
                         + servers.size() + " servers: "
-                        + (who == me ? "it is itself the suspect, and tells nobody" : "its word is left out"));
+                        + (witness == selfId
+                                ? "it suspects itself and publishes no reports"
+                                : "its reports are ignored"));
             }
         }
-        suspects = now;
+        suspectedWitnesses = suspected;
     }
 
-    private void write(long nowUs, Map<Long, List<Word>> said) {
-        own.values().removeIf(o -> o.atUs + FRESH_US < nowUs && !o.written);
-        for (Map.Entry<String, Own> e : own.entrySet()) {
-            Own o = e.getValue();
-            long key = Envelope.id(e.getKey());
-            List<Word> words = said.getOrDefault(key, List.of());
-            long others = words.stream()
-                    .filter(w -> w.witness != me && w.kind == o.kind)
+    private void publishEvidence(long nowUs, Map<Long, List<WitnessReport>> reports) {
+        localEvidence
+                .values()
+                .removeIf(evidence -> evidence.observedUs + EVIDENCE_TTL_US < nowUs && !evidence.published);
+        for (Map.Entry<String, LocalEvidence> e : localEvidence.entrySet()) {
+            LocalEvidence evidence = e.getValue();
+            long key = Envelope.idOf(e.getKey());
+            List<WitnessReport> serverReports = reports.getOrDefault(key, List.of());
+            long others = serverReports.stream()
+                    .filter(report -> report.witness != selfId && report.kind == evidence.kind)
                     .count();
-            boolean accused = words.stream().anyMatch(w -> w.witness != me && w.kind != Evidence.GOOD);
-            boolean fresh = nowUs - o.atUs < (o.kind == Evidence.GOOD ? GOOD_US : FRESH_US);
-            boolean wanted = fresh
-                    && !suspects.contains(me)
-                    && (o.written || others < ENOUGH)
-                    && (o.kind != Evidence.GOOD || accused);
-            if (!wanted && o.written) {
-                store.drop(nowUs, Table.VERDICTS, key);
-                o.written = false;
-                o.noted = null;
-                host.note("this sidecar says nothing of " + e.getKey() + " any more");
-            } else if (wanted && nowUs - o.writtenUs >= RENEW_US) {
-                ByteBuffer b = ByteBuffer.allocate(BYTES)
-                        .put((byte) o.kind.ordinal())
-                        .putShort((short) Math.min(65_535, Math.round(o.factor * 16)))
-                        .put((byte) o.count)
+            boolean accused =
+                    serverReports.stream().anyMatch(report -> report.witness != selfId && report.kind != Evidence.GOOD);
+            boolean fresh =
+                    nowUs - evidence.observedUs < (evidence.kind == Evidence.GOOD ? GOOD_TTL_US : EVIDENCE_TTL_US);
+            boolean publish = fresh
+                    && !suspectedWitnesses.contains(selfId)
+                    && (evidence.published || others < SUFFICIENT_WITNESSES)
+                    && (evidence.kind != Evidence.GOOD || accused);
+            if (!publish && evidence.published) {
+                store.remove(nowUs, Table.VERDICTS, key);
+                evidence.published = false;
+                evidence.loggedKind = null;
+                environment.logEvent("this sidecar reports nothing about " + e.getKey() + " any more");
+            } else if (publish && nowUs - evidence.publishedUs >= RENEW_INTERVAL_US) {
+                ByteBuffer b = ByteBuffer.allocate(VALUE_BYTES)
+                        .put((byte) evidence.kind.ordinal())
+                        .putShort((short) Math.min(65_535, Math.round(evidence.factor * 16)))
+                        .put((byte) evidence.count)
                         .put((byte) zone);
                 store.put(nowUs, Table.VERDICTS, key, b.array());
-                o.written = true;
-                o.writtenUs = nowUs;
-                if (o.noted != o.kind) {
-                    String before = o.noted == null ? "" : ", before: " + name(o.noted);
-                    o.noted = o.kind;
-                    host.note("this sidecar says that " + e.getKey() + " is " + name(o.kind) + before);
+                evidence.published = true;
+                evidence.publishedUs = nowUs;
+                if (evidence.loggedKind != evidence.kind) {
+                    String previously =
+                            evidence.loggedKind == null ? "" : ", previously: " + lowerCaseName(evidence.loggedKind);
+                    evidence.loggedKind = evidence.kind;
+                    environment.logEvent("this sidecar reports that " + e.getKey() + " is "
+                            + lowerCaseName(evidence.kind) + previously);
                 }
             }
         }
     }
 
-    private List<Case> judge(long nowUs, Map<Long, List<Word>> said) {
-        List<Case> cases = new ArrayList<>();
-        for (Map.Entry<Long, List<Word>> e : said.entrySet()) {
+    private List<Assessment> assess(long nowUs, Map<Long, List<WitnessReport>> reports) {
+        List<Assessment> assessments = new ArrayList<>();
+        for (Map.Entry<Long, List<WitnessReport>> e : reports.entrySet()) {
             String server = servers.get(e.getKey());
-            List<Word> words = e.getValue().stream()
-                    .filter(w -> !suspects.contains(w.witness))
+            List<WitnessReport> credible = e.getValue().stream()
+                    .filter(report -> !suspectedWitnesses.contains(report.witness))
                     .toList();
-            long good = words.stream().filter(w -> w.kind == Evidence.GOOD).count();
-            List<Word> against = words.stream().filter(w -> w.kind.out()).toList();
+            long good = credible.stream()
+                    .filter(report -> report.kind == Evidence.GOOD)
+                    .count();
+            List<WitnessReport> against =
+                    credible.stream().filter(report -> report.kind.isOutage()).toList();
             if (against.isEmpty()) {
-                Map<Evidence, List<Word>> of = new TreeMap<>();
-                words.stream()
-                        .filter(w -> w.kind != Evidence.GOOD)
-                        .forEach(w -> of.computeIfAbsent(w.kind, k -> new ArrayList<>())
-                                .add(w));
-                against = of.values().stream()
+                Map<Evidence, List<WitnessReport>> byKind = new TreeMap<>();
+                credible.stream()
+                        .filter(report -> report.kind != Evidence.GOOD)
+                        .forEach(report -> byKind.computeIfAbsent(report.kind, k -> new ArrayList<>())
+                                .add(report));
+                against = byKind.values().stream()
                         .max((a, b) -> a.size() != b.size()
                                 ? Integer.compare(a.size(), b.size())
                                 : b.get(0).kind.compareTo(a.get(0).kind))
@@ -260,59 +278,72 @@
             if (against.isEmpty()) {
                 continue;
             }
-            boolean enough = against.size() >= WITNESSES;
-            // Witnesses of one zone that is neither ours nor the server's may speak of the way between zones.
-            int of = zones.get(server);
-            boolean near = against.stream().filter(w -> w.zone == zone).count() >= WITNESSES
-                    || against.stream().filter(w -> w.zone == of).count() >= WITNESSES
-                    || against.stream().mapToInt(Word::zone).distinct().count() > 1;
-            boolean holds = enough && near && against.size() > good;
-            Evidence kind = against.stream().map(Word::kind).sorted().toList().get(against.size() / 2);
-            // The most careful word of a restart, the least of slowness.
+            boolean enough = against.size() >= MIN_WITNESSES;
+            // Witnesses of a single zone, neither the local nor the server's, may see only a fault of the network
+            // between zones.
+            int serverZone = zones.get(server);
+            boolean wellPlaced = against.stream()
+                                    .filter(report -> report.zone == zone)
+                                    .count()
+                            >= MIN_WITNESSES
+                    || against.stream()
+                                    .filter(report -> report.zone == serverZone)
+                                    .count()
+                            >= MIN_WITNESSES
+                    || against.stream().mapToInt(WitnessReport::zone).distinct().count() > 1;
+            boolean holds = enough && wellPlaced && against.size() > good;
+            Evidence kind =
+                    against.stream().map(WitnessReport::kind).sorted().toList().get(against.size() / 2);
+            // The smallest factor: the most cautious one for a restart, the mildest for slowness.
             double factor = against.stream()
-                    .filter(w -> w.kind == kind)
-                    .mapToDouble(Word::factor)
+                    .filter(report -> report.kind == kind)
+                    .mapToDouble(WitnessReport::factor)
                     .min()
                     .orElse(1);
-            String why = holds
+            String reason = holds
                     ? "holds"
-                    : !enough ? "one witness alone" : !near ? "seen from one other zone alone" : "others find it good";
-            boolean ownWord = against.stream().anyMatch(w -> w.witness == me);
-            cases.add(new Case(
+                    : !enough
+                            ? "only one witness"
+                            : !wellPlaced ? "seen from only one other zone" : "outweighed by good reports";
+            boolean ownWord = against.stream().anyMatch(report -> report.witness == selfId);
+            assessments.add(new Assessment(
                     server,
-                    new Verdict(server, kind, factor, against.size(), ownWord, holds, nowUs + COUNTS_US),
+                    new Verdict(server, kind, factor, against.size(), ownWord, holds, nowUs + VERDICT_TTL_US),
                     e.getValue(),
-                    why));
+                    reason));
         }
-        return cases;
+        return assessments;
     }
 
-    private static String name(Evidence kind) {
+    private static String lowerCaseName(Evidence kind) {
         return kind.name().toLowerCase(Locale.ROOT);
     }
 
-    private void tell(List<Case> cases) {
-        Set<String> now = new HashSet<>();
-        for (Case c : cases) {
-            if (c.verdict.holds()) {
-                now.add(c.server);
-                if (!held.contains(c.server)) {
-                    host.note(c.server + " is " + name(c.verdict.kind()) + " by word of "
+    private void logChanges(List<Assessment> assessments) {
+        Set<String> holding = new HashSet<>();
+        for (Assessment assessment : assessments) {
+            if (assessment.verdict.confirmed()) {
+                holding.add(assessment.server);
+                if (!heldServers.contains(assessment.server)) {
+                    environment.logEvent(assessment.server + " is " + lowerCaseName(assessment.verdict.evidence())
+                            + " as reported by "
                             + String.join(
                                     ", ",
-                                    c.words.stream()
-                                            .filter(w -> w.kind != Evidence.GOOD)
-                                            .map(w -> (w.witness == me ? "this sidecar" : group.name(w.witness)) + " ("
-                                                    + w.count + ")")
+                                    assessment.reports.stream()
+                                            .filter(report -> report.kind != Evidence.GOOD)
+                                            .map(report -> (report.witness == selfId
+                                                            ? "this sidecar"
+                                                            : peers.nameOf(report.witness))
+                                                    + " (" + report.count + ")")
                                             .toList()));
                 }
             }
         }
-        for (String server : held) {
-            if (!now.contains(server)) {
-                host.note("nothing is held against " + server + " any more");
+        for (String server : heldServers) {
+            if (!holding.contains(server)) {
+                environment.logEvent("the verdict against " + server + " is lifted");
             }
         }
-        held = now;
+        heldServers = holding;
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/WarmStart.java
+++ b/src/main/java/rushproxy/fleet/shared/WarmStart.java
@@ -8,140 +8,154 @@
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
 /**
- * A process that has just started asks three of those who are here for what they know, and ends with it, or with its time: no answer
- * is an ordinary start. Who has started of late itself gives none. What the bytes mean is their user's. Without I/O; one thread.
+ * Transfers learned state to a process that has just started. It requests the state of several live members and finishes with
+ * three answers or at the time limit; without answers the process starts cold. Members that started recently don't answer. The
+ * content of the state is opaque. Performs no I/O. Not thread-safe.
  */
 public final class WarmStart {
-    /** From the start on; a start takes longer for other reasons. */
-    public static final long MOST_US = 600_000;
-    /** Others' middle is wanted, so that one alone can't mislead. */
-    private static final int ANSWERS = 3;
+    /** Time limit, counted from the start; shorter than the rest of a process start, so that it causes no delay. */
+    public static final long MAX_WAIT_US = 600_000;
+    /** Answers needed for a median, so that a single wrong one has no effect. */
+    private static final int WANTED_ANSWERS = 3;
 
-    private static final int ASKED = 6;
-    private static final long AGAIN_US = 100_000;
-    /** Who knows for less than this knows next to nothing. */
-    private static final long KNOWS_US = 10_000_000;
+    private static final int REQUEST_FANOUT = 6;
+    private static final long RETRY_INTERVAL_US = 100_000;
+    /** A member with a shorter uptime has learned too little to answer. */
+    private static final long MIN_UPTIME_US = 10_000_000;
 
-    private static final int PART = 200;
-    private static final int PARTS = 8;
+    private static final int CHUNK_BYTES = 200;
+    private static final int MAX_CHUNKS = 8;
 
-    private static final int ASK = 40;
-    private static final int TELL = 41;
+    private static final int STATE_REQUEST = 40;
+    private static final int STATE_CHUNK = 41;
 
-    private final long me;
-    private final int part;
-    private final int taken;
-    private final Group group;
-    private final Host host;
+    private final long selfId;
+    private final int feature;
+    private final int reservedLength;
+    private final PeerDirectory peers;
+    private final Environment environment;
     private final SplittableRandom random;
-    private final Supplier<byte[]> known;
+    private final Supplier<byte[]> localState;
     private final long startUs;
-    /** By the place that tells, its parts; complete ones go to {@code answers}. */
-    private final Map<Integer, byte[][]> coming = new LinkedHashMap<>();
+    /** Received chunks by the sender's peer index; complete states go to {@code answers}. */
+    private final Map<Integer, byte[][]> incoming = new LinkedHashMap<>();
 
     private final Map<Integer, byte[]> answers = new LinkedHashMap<>();
-    private long askUs;
-    private boolean over;
+    private long nextRequestUs;
+    private boolean finished;
 
-    /** {@code known} gives what this process knows at the time of the call. */
+    /** {@code localState} returns this process's current state, for requests of other members. */
     public WarmStart(
-            long me, int part, int taken, long nowUs, long seed, Group group, Host host, Supplier<byte[]> known) {
-        this.me = me;
-        this.part = part;
-        this.taken = taken;
-        this.group = group;
-        this.host = host;
-        this.known = known;
+            long selfId,
+            int feature,
+            int reservedLength,
+            long nowUs,
+            long seed,
+            PeerDirectory peers,
+            Environment environment,
+            Supplier<byte[]> localState) {
+        this.selfId = selfId;
+        this.feature = feature;
+        this.reservedLength = reservedLength;
+        this.peers = peers;
+        this.environment = environment;
+        this.localState = localState;
         startUs = nowUs;
-        askUs = nowUs;
+        nextRequestUs = nowUs;
         random = new SplittableRandom(seed);
     }
 
-    /** No more is waited for: three have told, or the time is up. */
-    public boolean over() {
-        return over;
+    /** Whether enough answers have arrived or the time limit is reached. */
+    public boolean isFinished() {
+        return finished;
     }
 
-    /** What was told, each by another; none after the first call that follows {@link #over}. */
-    public List<byte[]> take() {
-        List<byte[]> all = new ArrayList<>(answers.values());
+    /** Removes and returns the received states, each from a different member. */
+    public List<byte[]> takeAnswers() {
+        List<byte[]> taken = new ArrayList<>(answers.values());
         answers.clear();
-        return all;
+        return taken;
     }
 
     public void onTick(long nowUs, long incarnation) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = answers.size() >= ANSWERS || nowUs - startUs >= MOST_US;
-        if (!over && nowUs >= askUs) {
-            askUs = nowUs + AGAIN_US;
-            for (int i = answers.size(); i < ASKED; i++) {
-                int place = group.one(part, random);
-                if (place >= 0 && !answers.containsKey(place)) {
-                    host.send(
-                            place,
-                            Envelope.from(me, incarnation)
-                                    .add(ASK, ByteBuffer.allocate(1).put((byte) 1))
-                                    .bytes(taken));
+        finished = answers.size() >= WANTED_ANSWERS || nowUs - startUs >= MAX_WAIT_US;
+        if (!finished && nowUs >= nextRequestUs) {
+            nextRequestUs = nowUs + RETRY_INTERVAL_US;
+            for (int i = answers.size(); i < REQUEST_FANOUT; i++) {
+                int peerIndex = peers.randomPeer(feature, random);
+                if (peerIndex >= 0 && !answers.containsKey(peerIndex)) {
+                    environment.send(
+                            peerIndex,
+                            Envelope.from(selfId, incarnation)
+                                    .addSection(
+                                            STATE_REQUEST,
+                                            ByteBuffer.allocate(1).put((byte) 1))
+                                    .toBytes(reservedLength));
                 }
             }
         }
     }
 
-    /** From the member at this place of the list. */
-    public void onLetter(long nowUs, int from, Envelope.Letter letter, long incarnation) {
-        for (Envelope.Section s : letter.sections()) {
-            if (s.type() == ASK && nowUs - startUs >= KNOWS_US) {
-                tell(from, incarnation);
-            } else if (s.type() == TELL && !over && s.bytes().length > 2) {
-                told(from, s.bytes());
+    /** Handles a message of the member at this peer index. */
+    public void onMessage(long nowUs, int peerIndex, Envelope.Message message, long incarnation) {
+        for (Envelope.Section section : message.sections()) {
+            if (section.type() == STATE_REQUEST && nowUs - startUs >= MIN_UPTIME_US) {
+                sendState(peerIndex, incarnation);
+            } else if (section.type() == STATE_CHUNK && !finished && section.bytes().length > 2) {
+                onChunk(peerIndex, section.bytes());
             }
         }
     }
 
-    private void tell(int to, long incarnation) {
-        byte[] all = known.get();
-        int parts = (all.length + PART - 1) / PART;
-        if (parts > PARTS) {
+    private void sendState(int peerIndex, long incarnation) {
+        byte[] state = localState.get();
+        int chunks = (state.length + CHUNK_BYTES - 1) / CHUNK_BYTES;
+        if (chunks > MAX_CHUNKS) {
             return;
         }
-        for (int i = 0; i < parts; i++) {
-            int length = Math.min(PART, all.length - i * PART);
+        for (int i = 0; i < chunks; i++) {
+            int length = Math.min(CHUNK_BYTES, state.length - i * CHUNK_BYTES);
             ByteBuffer b = ByteBuffer.allocate(2 + length)
                     .put((byte) i)
-                    .put((byte) parts)
-                    .put(all, i * PART, length);
-            host.send(to, Envelope.from(me, incarnation).add(TELL, b).bytes(taken));
+                    .put((byte) chunks)
+                    .put(state, i * CHUNK_BYTES, length);
+            environment.send(
+                    peerIndex,
+                    Envelope.from(selfId, incarnation)
+                            .addSection(STATE_CHUNK, b)
+                            .toBytes(reservedLength));
         }
     }
 
-    private void told(int from, byte[] bytes) {
-        int number = bytes[0];
-        int parts = bytes[1];
-        if (parts <= 0 || parts > PARTS || number < 0 || number >= parts) {
+    private void onChunk(int peerIndex, byte[] bytes) {
+        int index = bytes[0];
+        int chunkCount = bytes[1];
+        if (chunkCount <= 0 || chunkCount > MAX_CHUNKS || index < 0 || index >= chunkCount) {
             return;
         }
-        byte[][] of = coming.computeIfAbsent(from, f -> new byte[parts][]);
-        if (of.length != parts) {
+        byte[][] chunks = incoming.computeIfAbsent(peerIndex, f -> new byte[chunkCount][]);
+        if (chunks.length != chunkCount) {
             return;
         }
-        of[number] = java.util.Arrays.copyOfRange(bytes, 2, bytes.length);
+        chunks[index] = java.util.Arrays.copyOfRange(bytes, 2, bytes.length);
         int length = 0;
-        for (byte[] p : of) {
-            if (p == null) {
+        for (byte[] chunk : chunks) {
+            if (chunk == null) {
                 return;
             }
-            length += p.length;
+            length += chunk.length;
         }
         ByteBuffer whole = ByteBuffer.allocate(length);
-        for (byte[] p : of) {
-            whole.put(p);
+        for (byte[] chunk : chunks) {
+            whole.put(chunk);
         }
-        answers.put(from, whole.array());
+        answers.put(peerIndex, whole.array());
     }
 }
--- /dev/null
+++ b/src/main/java/rushproxy/sidecar/AdminCommandHandler.java
@@ -0,0 +1,110 @@
+package rushproxy.sidecar;
+
+import io.netty.channel.EventLoop;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+
+/** Carries out the commands of the administrative port. */
+final class AdminCommandHandler implements AdminServer.Commands {
+    private final EventLoop loop;
+    private final ClientServer clients;
+    private final UpstreamPool upstreams;
+    /** Null if the fleet plane is off. */
+    private final FleetPlane fleet;
+
+    private final CordonStore cordons;
+    /** Whether an upstream is in the cordon store, listed or not. */
+    private final Predicate<String> hasCordonState;
+
+    AdminCommandHandler(
+            EventLoop loop,
+            ClientServer clients,
+            UpstreamPool upstreams,
+            FleetPlane fleet,
+            CordonStore cordons,
+            Predicate<String> hasCordonState) {
+        this.loop = loop;
+        this.clients = clients;
+        this.upstreams = upstreams;
+        this.fleet = fleet;
+        this.cordons = cordons;
+        this.hasCordonState = hasCordonState;
+    }
+
+    @Override
+    public String notReadyReason() {
+        return clients.acceptsClients() ? null : "not accepting clients";
+    }
+
+    @Override
+    public void quiesce() {
+        Log.info("draining: requested by an operator");
+        clients.drain();
+    }
+
+    @Override
+    public void resume() {
+        Log.info("accepting clients again: requested by an operator");
+        clients.resume();
+    }
+
+    @Override
+    public void cordon(String id, Consumer<String> done) {
+        setCordoned(id, true, done);
+    }
+
+    @Override
+    public void uncordon(String id, Consumer<String> done) {
+        setCordoned(id, false, done);
+    }
+
+    @Override
+    public String membersJson() {
+        return fleet == null ? null : fleet.membersJson();
+    }
+
+    @Override
+    public String verdictsJson() {
+        return fleet == null || !fleet.isSharing() ? null : fleet.verdictsJson();
+    }
+
+    @Override
+    public String limitsJson() {
+        return fleet == null || !fleet.isSharing() ? null : fleet.limitsJson();
+    }
+
+    @Override
+    public String setLimit(String name, String scope, String maximum, String unit) {
+        Log.info("limit " + name + " for " + scope + " set to " + maximum + " " + unit + ": requested by an operator");
+        return fleet.setLimit(name, scope, maximum, unit);
+    }
+
+    @Override
+    public String ordersJson() {
+        return fleet == null || !fleet.isSharing() ? null : fleet.ordersJson();
+    }
+
+    @Override
+    public String talliesJson(String release) {
+        return fleet.talliesJson(release);
+    }
+
+    @Override
+    public String submitOrder(String[] words) {
+        return fleet.submitOrder(words[0], words[1], words[2], words[3], words[4], words[5], words[6]);
+    }
+
+    @Override
+    public String removeLimit(String name) {
+        Log.info("limit " + name + " removed: requested by an operator");
+        return fleet.removeLimit(name);
+    }
+
+    private void setCordoned(String id, boolean isCordoned, Consumer<String> done) {
+        if (upstreams.isListed(id) || hasCordonState.test(id)) {
+            cordons.set(id, isCordoned, error -> loop.execute(() -> done.accept(error)));
+        } else {
+            done.accept("no such upstream");
+        }
+    }
+}
--- a/src/main/java/rushproxy/sidecar/ClientConnection.java
+++ b/src/main/java/rushproxy/sidecar/ClientConnection.java
@@ -29,202 +29,211 @@
 import java.util.concurrent.TimeUnit;
 import rushproxy.Balancer.Request;
 
-/** One connection of the application: its requests in turn, each answered once, whole or so that the client can tell. */
+/**
+ * A connection from a client. Handles its requests one after the other and gives each exactly one response, which is
+ * either complete or recognisably incomplete.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientInput.Listener {
-    /** Parts of requests sent ahead of their turn before no more is read. */
-    private static final int MOST_AHEAD = 32;
-    /** A body has this long to get going, and then comes at half the pace at least of a client on a poor link. */
-    private static final long BODY_STARTS_US = 2_200_000;
-
-    private static final long BODY_BYTES_PER_S = 32_000;
-    /** A body that rests for so long while it is waited for does not go on; a request may be written in 2 s. */
-    private static final long BODY_RESTS_US = 2_200_000;
-    /** An upstream that takes nothing of a body for so long does not go on either. */
-    private static final long STUCK_US = 10_000_000;
-    /** Room for a body is waited for so long; a refusal says that nothing was sent. */
-    private static final long ROOM_US = 1_000_000;
-    /** A client that takes nothing of its answer for so long is no longer there to read it. */
-    private static final long UNREAD_US = 20_000_000;
-    /** As the socket was: its close waits for nothing, and what is written still leaves. */
-    private static final int NO_LINGER = -1;
-    /** A client sends its first request as soon as its connection is up. */
-    private static final long YOUNG_US = 200_000;
-    /** What the client has been given of an answer that broke off waits for the client to take it so long. */
-    private static final long BROKEN_US = 1_000_000;
+    /** Parts of pipelined requests that are queued before reading stops. */
+    private static final int MAX_QUEUED_PARTS = 32;
+    /** Time before the minimum rate applies to a body. The rate is half that of a client on a poor link. */
+    private static final long BODY_START_GRACE_US = 2_200_000;
+
+    private static final long MIN_BODY_BYTES_PER_S = 32_000;
+    /** Longest pause within a body; a client may take up to 2 s to write a request. */
+    private static final long MAX_BODY_PAUSE_US = 2_200_000;
+    /** After this time without accepting any of a body an upstream counts as stalled. */
+    private static final long MAX_UPSTREAM_BLOCKED_US = 10_000_000;
+    /** Longest wait for body memory. The refusal that follows tells the client that nothing was sent upstream. */
+    private static final long MAX_MEMORY_WAIT_US = 1_000_000;
+    /** After this time without reading any of its response a client counts as gone. */
+    private static final long MAX_UNREAD_RESPONSE_US = 20_000_000;
+    /** The default of SO_LINGER: close returns at once, and the kernel still sends what was written. */
+    private static final int LINGER_DISABLED = -1;
+    /** A connection is new for this long; clients send their first request right after connecting. */
+    private static final long NEW_CONNECTION_US = 200_000;
+    /** Longest wait for the client to read what was written of a response that has broken off. */
+    private static final long MAX_ABORT_FLUSH_US = 1_000_000;
 
     private final TcpConnection channel;
     private final Clock clock;
-    /** Those that the request in hand belongs to. */
-    private Requests requests;
+    /** Coordinates the current request. */
+    private RequestCoordinator coordinator;
 
     private final Set<String> classes;
     private final ClientServer server;
-    private final Budget budget;
-    private final AnswerDeadlines deadlines;
+    private final MemoryBudget memoryBudget;
+    private final ResponseDeadlines deadlines;
     private final RequestGuard guard;
     private final ClientInput input;
-    private final ArrayDeque<Arrival> ahead = new ArrayDeque<>();
-    /** When the request being read sent its first byte; 0 between requests. */
-    private long readingSinceUs;
-    /** When the head that was decoded last sent its first byte. */
-    private long headSinceUs;
+    private final ArrayDeque<QueuedPart> queued = new ArrayDeque<>();
+    /** When the first byte of the request that is being read arrived; 0 between requests. */
+    private long readStartUs;
+    /** When the first byte of the most recently decoded head arrived. */
+    private long headStartUs;
 
-    private long activeUs;
+    private long lastActiveUs;
     private final long openedUs;
-    /** When its first bytes came by the kernel, where that was before it was accepted; 0 before they are read. */
-    private long firstBytesUs;
-    /** Since when what was read last may have lain there. */
+    /** When the kernel received the first bytes, at most the time of the accept; 0 before they are read. */
+    private long firstReceivedUs;
+    /** Earliest time at which the client may have sent the bytes read last. */
     private long sentUs;
-    /** Whether a whole request has come: such a client may be quiet for as long as it likes. */
-    private boolean proven;
+    /** Whether a complete request has arrived. Such a client may be idle without a limit. */
+    private boolean hasSentRequest;
 
-    // ---- the request in hand, from its head to the end of its answer
+    // ---- the current request, from its head to the end of its response
     private boolean busy;
-    /** Its end has not come yet. */
+    /** Whether the end of the request is still to come. */
     private boolean receiving;
 
-    private boolean answered;
-    /** The kernel has the last byte of its answer. */
-    private boolean written;
-    /** No other request follows on this connection. */
-    private boolean last;
-    /** The output has ended, and all that still comes is discarded. */
-    private boolean lingers;
-    /** What comes on this connection is refused, since its client can't be watched any more. */
-    private boolean refuses;
-    /** An answer may still be on its way to the client. */
-    private boolean anyAnswer;
+    private boolean responded;
+    /** Whether the last byte of the response was handed to the kernel. */
+    private boolean flushed;
+    /** Whether the connection closes after the current response. */
+    private boolean closeAfterResponse;
+    /** Whether the output is shut down and all further input is discarded. */
+    private boolean lingering;
+    /** Whether new requests are refused because a disconnect of the client can no longer be detected. */
+    private boolean refusing;
+    /** Whether a response was sent, which may not have reached the client yet. */
+    private boolean hasSentResponse;
 
     private HttpRequest head;
-    /** What its head says; that of the request before where it is none of the protocol. */
-    private RequestHead asked;
+    /** The parsed head; still that of the previous request if the current head is invalid. */
+    private RequestHead requestHead;
 
-    private Body body;
-    /** When its first byte was read. */
+    private RequestBody body;
+    /** When the first byte of the current request was read. */
     private long firstByteUs;
 
-    private long bodySinceUs;
-    private long pieceUs;
+    private long bodyStartUs;
+    private long lastPartUs;
+    private long bodyBytesSinceStart;
     private long bodyBytes;
-    private long size;
-    private int reserved;
-    /** Takes back a wish for memory that has not been granted; null where none is open. */
-    private Runnable asking;
-    /** Since when its body has had to wait for room, unread in the kernel; 0 where it has not. */
+    private int reservedBytes;
+    /** Withdraws a pending memory reservation; null if none is pending. */
+    private Runnable cancelReservation;
+    /** Since when the body has waited unread in the kernel for memory; 0 if it has not. */
     private long unreadSinceUs;
 
-    private Exchange current;
-    /** Asks for more of an answer that comes in pieces; null where none does. */
-    private Runnable resume;
+    private Exchange exchange;
+    /** Resumes reading a streamed response from its upstream; null if none is streamed. */
+    private Runnable resumeUpstream;
 
-    private record Arrival(HttpObject part, long atUs) {}
+    private record QueuedPart(HttpObject part, long sentUs) {}
 
     ClientConnection(
             TcpConnection channel,
             Clock clock,
             Set<String> classes,
             ClientServer server,
-            Budget budget,
-            LoopDelay loopDelay,
-            AnswerDeadlines deadlines,
+            MemoryBudget memoryBudget,
+            EventLoopDelay loopDelay,
+            ResponseDeadlines deadlines,
             RequestGuard guard) {
         this.channel = channel;
         this.clock = clock;
         this.classes = classes;
         this.server = server;
-        this.budget = budget;
+        this.memoryBudget = memoryBudget;
         this.deadlines = deadlines;
         this.guard = guard;
-        input = new ClientInput(clock, loopDelay, budget, this);
-        activeUs = openedUs = clock.now();
+        input = new ClientInput(clock, loopDelay, memoryBudget, this);
+        lastActiveUs = openedUs = clock.nowUs();
     }
 
     TcpConnection channel() {
         return channel;
     }
 
-    /** Stands before the decoder. */
+    /** The handler in front of the decoder. */
     ClientInput input() {
         return input;
     }
 
-    /** Half a request is no quiet. */
+    /** Counts any input as activity, even a part of a request. */
     @Override
-    public void arrived(long sinceUs) {
-        activeUs = clock.now();
+    public void onBytes(long sinceUs) {
+        lastActiveUs = clock.nowUs();
         sentUs = sinceUs;
-        if (firstBytesUs == 0) {
-            long agoUs = channel.lastReceivedAgoUs();
-            firstBytesUs = agoUs == TcpInfo.UNKNOWN ? openedUs : Math.min(openedUs, activeUs - agoUs);
+        if (firstReceivedUs == 0) {
+            long agoUs = channel.sinceLastReceiveUs();
+            firstReceivedUs = agoUs == TcpInfo.UNKNOWN ? openedUs : Math.min(openedUs, lastActiveUs - agoUs);
         }
-        if (readingSinceUs == 0) {
-            readingSinceUs = activeUs;
+        if (readStartUs == 0) {
+            readStartUs = lastActiveUs;
         }
     }
 
-    /** What has been read is answered, without an attempt that could begin after its client's end; then the connection ends. */
+    /**
+     * Answers what has been read but starts no attempt, since it might start after the client has left; then closes the
+     * connection.
+     */
     @Override
-    public void unwatched() {
-        if (lingers || asking != null || current != null && !current.body.whole()) {
-            // Nothing begins before there is room; what flows to an upstream has begun, and begins no second time.
+    public void onDisconnectUndetectable() {
+        if (lingering || cancelReservation != null || exchange != null && !exchange.body.isReplayable()) {
+            // No attempt starts before memory is reserved, and a streamed body has started its only attempt.
             return;
         }
-        input.stop();
-        refuses = true;
-        if (current != null) {
-            requests.unwatched(current);
+        input.stopReading();
+        refusing = true;
+        if (exchange != null) {
+            coordinator.onDisconnectUndetectable(exchange);
         }
     }
 
-    /** The decoder gets no more than there is room for; the socket is read for as long as it may tell of the client's end. */
-    private void regulate() {
-        input.regulate(
-                ahead.size() >= MOST_AHEAD || body != null && body.full(),
-                asking != null || body != null && body.stuck());
+    /**
+     * Passes no more to the decoder than can be stored. The socket itself is read as long as possible, so that a
+     * disconnect is noticed.
+     */
+    private void updateReading() {
+        input.setFlow(
+                queued.size() >= MAX_QUEUED_PARTS || body != null && body.isFull(),
+                cancelReservation != null || body != null && body.isBlocked());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         HttpObject part = (HttpObject) message;
         if (part instanceof HttpRequest) {
-            headSinceUs = readingSinceUs == 0 ? activeUs : readingSinceUs;
+            headStartUs = readStartUs == 0 ? lastActiveUs : readStartUs;
         }
         if (part instanceof LastHttpContent) {
-            readingSinceUs = 0;
-            proven |= part.decoderResult().isSuccess();
+            readStartUs = 0;
+            hasSentRequest |= part.decoderResult().isSuccess();
         }
-        if (busy && !receiving || !ahead.isEmpty()) {
-            ahead.add(new Arrival(part, sentUs));
-            if (ahead.size() >= MOST_AHEAD) {
-                regulate();
+        if (busy && !receiving || !queued.isEmpty()) {
+            queued.add(new QueuedPart(part, sentUs));
+            if (queued.size() >= MAX_QUEUED_PARTS) {
+                updateReading();
             }
         } else {
             handle(part, sentUs);
         }
     }
 
-    /** What came ahead has its turn, up to the end of the next request. */
-    private void next() {
-        if (!ahead.isEmpty()) {
-            while ((!busy || receiving) && !ahead.isEmpty() && channel.isActive()) {
-                Arrival arrival = ahead.poll();
-                handle(arrival.part, arrival.atUs);
+    /** Handles queued parts up to the end of the next request. */
+    private void handleQueued() {
+        if (!queued.isEmpty()) {
+            while ((!busy || receiving) && !queued.isEmpty() && channel.isActive()) {
+                QueuedPart next = queued.poll();
+                handle(next.part, next.sentUs);
             }
-            regulate();
+            updateReading();
         }
     }
 
-    private void handle(HttpObject part, long atUs) {
+    private void handle(HttpObject part, long partSentUs) {
         try {
             if (part instanceof HttpRequest request) {
-                begin(request);
+                beginRequest(request);
             }
             if (part instanceof HttpContent content) {
-                go(content, atUs);
+                handleContent(content, partSentUs);
             }
         } catch (RuntimeException e) {
-            Log.trouble("a handler failed", e);
-            if (busy && !answered && current == null) {
+            Log.error("a handler failed", e);
+            if (busy && !responded && exchange == null) {
                 reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
             }
         } finally {
@@ -232,567 +241,588 @@
         }
     }
 
-    private void begin(HttpRequest m) {
+    private void beginRequest(HttpRequest message) {
         busy = receiving = true;
-        answered = written = false;
-        head = m;
+        responded = flushed = false;
+        head = message;
         body = null;
-        bodySinceUs = pieceUs = clock.now();
-        firstByteUs = headSinceUs;
+        bodyStartUs = lastPartUs = clock.nowUs();
+        firstByteUs = headStartUs;
         unreadSinceUs = 0;
-        bodyBytes = size = 0;
-        last = !HttpUtil.isKeepAlive(m);
-        requests = server.requestsFor(m);
-        if (!m.decoderResult().isSuccess() || !RequestDecoder.framed(m)) {
-            last = true;
+        bodyBytesSinceStart = bodyBytes = 0;
+        closeAfterResponse = !HttpUtil.isKeepAlive(message);
+        coordinator = server.coordinatorFor(message);
+        if (!message.decoderResult().isSuccess() || !RequestDecoder.hasUnambiguousFraming(message)) {
+            closeAfterResponse = true;
             reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        String path = m.uri().split("\\?", 2)[0];
-        if (path.equals("/health/ready") && m.method().equals(HttpMethod.GET)) {
+        String path = message.uri().split("\\?", 2)[0];
+        if (path.equals("/health/ready") && message.method().equals(HttpMethod.GET)) {
             write(
-                    server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                     Unpooled.EMPTY_BUFFER,
                     0);
-        } else if (server.isAttemptOfWarmUp(m)) {
+        } else if (server.isWarmUpAttempt(message)) {
             write(HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER, 0);
         } else if (!path.equals("/api") && !path.startsWith("/api/")) {
             reject(HttpResponseStatus.NOT_FOUND);
-        } else if (!fits(m)) {
+        } else if (!parseHead(message)) {
             reject(HttpResponseStatus.BAD_REQUEST);
-        } else if (m.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(m)) {
+        } else if (message.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(message)) {
             reject(HttpResponseStatus.EXPECTATION_FAILED);
         } else {
-            receive(m);
+            receiveBody(message);
         }
     }
 
-    /** Whether it is a request of the protocol, of a class that there is, and of an id that is not held already. */
-    private boolean fits(HttpRequest m) {
-        RequestHead parsed = RequestHead.of(m).orElse(null);
-        if (parsed == null || requests.knows(parsed.id()) || !classes.contains(parsed.requestClass())) {
+    /** Parses the head. Returns false if it is invalid, names an unknown class or repeats the id of an open request. */
+    private boolean parseHead(HttpRequest message) {
+        RequestHead parsed = RequestHead.parse(message).orElse(null);
+        if (parsed == null || coordinator.isOpen(parsed.id()) || !classes.contains(parsed.requestClass())) {
             return false;
         }
-        asked = parsed;
+        requestHead = parsed;
         return true;
     }
 
-    private void receive(HttpRequest m) {
-        long length = HttpUtil.isTransferEncodingChunked(m) ? -1 : HttpUtil.getContentLength(m, 0L);
-        if (length > Headers.MAX_BODY) {
+    private void receiveBody(HttpRequest message) {
+        long length = HttpUtil.isTransferEncodingChunked(message) ? -1 : HttpUtil.getContentLength(message, 0L);
+        if (length > Headers.MAX_BODY_BYTES) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        body = new Body(this::regulate, length);
+        body = new RequestBody(this::updateReading, length);
         if (length == 0) {
             return;
         }
-        // Until there is room for it no more is read; what the client is asked for it may send.
-        asking = budget.ask(body.keeps(), () -> {
-            asking = null;
-            reserved = body.keeps();
-            bodySinceUs = pieceUs = clock.now();
-            if (!HttpUtil.is100ContinueExpected(m)) {
-                input.unreadSince(unreadSinceUs);
+        // Reading stops until memory is granted; a 100 Continue is sent only then.
+        cancelReservation = memoryBudget.reserve(body.maxKeptBytes(), () -> {
+            cancelReservation = null;
+            reservedBytes = body.maxKeptBytes();
+            bodyStartUs = lastPartUs = clock.nowUs();
+            if (!HttpUtil.is100ContinueExpected(message)) {
+                input.setUnreadSince(unreadSinceUs);
             } else {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
-            body.look();
+            body.updateFlow();
         });
-        if (reserved > 0) {
-            asking = null;
+        if (reservedBytes > 0) {
+            cancelReservation = null;
         } else {
-            awaitRoom();
+            scheduleMemoryTimeout();
         }
-        regulate();
+        updateReading();
     }
 
-    /** Its client may have sent all of it already, and counts from then: what finds no room in time is refused in time. */
-    private void awaitRoom() {
-        HttpRequest waits = head;
+    /**
+     * Refuses the request if memory is not granted in time. The client may have sent the whole body already, so its
+     * deadline counts from that time.
+     */
+    private void scheduleMemoryTimeout() {
+        HttpRequest waiting = head;
         unreadSinceUs = sentUs;
-        long untilUs =
-                Math.min(clock.now() + ROOM_US, deadlines.dueUs(asked.requestClass(), sentUs, asked.remainingUs()));
+        long untilUs = Math.min(
+                clock.nowUs() + MAX_MEMORY_WAIT_US,
+                deadlines.deadlineUs(requestHead.requestClass(), sentUs, requestHead.remainingUs()));
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            if (asking != null && head == waits) {
+                            if (cancelReservation != null && head == waiting) {
                                 reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
                             }
                         },
-                        untilUs - clock.now(),
+                        untilUs - clock.nowUs(),
                         TimeUnit.MICROSECONDS);
     }
 
-    private void go(HttpContent content, long atUs) {
-        boolean ends = content instanceof LastHttpContent;
+    private void handleContent(HttpContent content, long partSentUs) {
+        boolean isLast = content instanceof LastHttpContent;
         if (!receiving) {
             return;
         }
-        receiving = !ends;
+        receiving = !isLast;
         if (content.decoderResult().isFailure()) {
-            spoilt();
+            rejectMalformed();
             return;
         }
-        if (!answered && body != null) {
-            took(content.content(), ends, atUs);
+        if (!responded && body != null) {
+            receivePart(content.content(), isLast, partSentUs);
         }
-        if (ends && answered) {
-            // What came ahead may be many requests that are answered as fast: not one within the other.
-            if (ahead.isEmpty()) {
-                turn();
+        if (isLast && responded) {
+            // Queued requests may be answered at once; scheduling each on the loop bounds the recursion.
+            if (queued.isEmpty()) {
+                finishRequest();
             } else {
-                channel.eventLoop().execute(this::turn);
+                channel.eventLoop().execute(this::finishRequest);
             }
         }
     }
 
-    private void took(ByteBuf piece, boolean ends, long atUs) {
-        pieceUs = clock.now();
-        bodyBytes += piece.readableBytes();
-        size += piece.readableBytes();
-        if (size > Headers.MAX_BODY) {
-            abort();
+    private void receivePart(ByteBuf part, boolean isLast, long partSentUs) {
+        lastPartUs = clock.nowUs();
+        bodyBytesSinceStart += part.readableBytes();
+        bodyBytes += part.readableBytes();
+        if (bodyBytes > Headers.MAX_BODY_BYTES) {
+            abandonExchange();
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
-        if (piece.isReadable()) {
-            body.add(piece);
+        if (part.isReadable()) {
+            body.append(part);
         }
-        if (ends) {
-            body.end();
+        if (isLast) {
+            body.finish();
         }
-        if (current != null) {
-            if (ends) {
-                requests.complete(current, atUs, deadline(atUs));
+        if (exchange != null) {
+            if (isLast) {
+                coordinator.onBodyComplete(exchange, partSentUs, deadlineUs(partSentUs));
             }
-        } else if (ends || body.full()) {
-            take(atUs);
+        } else if (isLast || body.isFull()) {
+            accept(partSentUs);
         }
     }
 
-    private void take(long atUs) {
-        if (refuses) {
+    private void accept(long partSentUs) {
+        if (refusing) {
             reject(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        long deadline = deadline(atUs);
+        long requestDeadlineUs = deadlineUs(partSentUs);
         Request request = new Request(
-                asked.id(),
-                asked.key(),
-                asked.resent(),
+                requestHead.id(),
+                requestHead.key(),
+                requestHead.resent(),
                 false,
-                asked.estimateUs(),
-                Math.max(1, deadline - clock.now()),
-                asked.tenant(),
-                asked.requestClass(),
-                !body.complete());
-        RequestTimes times = new RequestTimes(
-                openedUs, firstByteUs, body.complete() ? clock.now() : 0, atUs, atUs + asked.remainingUs());
-        current = new Exchange(
+                requestHead.estimateUs(),
+                Math.max(1, requestDeadlineUs - clock.nowUs()),
+                requestHead.tenant(),
+                requestHead.requestClass(),
+                !body.isComplete());
+        RequestTimestamps timestamps = new RequestTimestamps(
+                openedUs,
+                firstByteUs,
+                body.isComplete() ? clock.nowUs() : 0,
+                partSentUs,
+                partSentUs + requestHead.remainingUs());
+        exchange = new Exchange(
                 request,
                 head.method(),
                 head.uri(),
-                asked.idempotencyKey(),
+                requestHead.idempotencyKey(),
                 body,
-                atUs,
-                asked.remainingUs(),
-                deadline,
-                new Answer(),
-                times);
-        requests.take(current);
-    }
-
-    /** A request's time runs from its last byte: who writes slowly has no less of it. */
-    private long deadline(long sentUs) {
-        return Math.min(server.dueUs(), deadlines.dueUs(asked.requestClass(), sentUs, asked.remainingUs()));
-    }
-
-    /** The end of the request can't be found: whatever has been made of it is not what the client meant. */
-    private void spoilt() {
-        last = true;
-        if (!answered) {
-            abort();
+                partSentUs,
+                requestHead.remainingUs(),
+                requestDeadlineUs,
+                new ConnectionResponseWriter(),
+                timestamps);
+        coordinator.accept(exchange);
+    }
+
+    /** The deadline counts from the last byte of the request, so a slow sender has the same time as any other. */
+    private long deadlineUs(long sentUs) {
+        return Math.min(
+                server.latestDeadlineUs(),
+                deadlines.deadlineUs(requestHead.requestClass(), sentUs, requestHead.remainingUs()));
+    }
+
+    /** Handles a body whose end can't be determined. */
+    private void rejectMalformed() {
+        closeAfterResponse = true;
+        if (!responded) {
+            abandonExchange();
             reject(HttpResponseStatus.BAD_REQUEST);
         } else {
-            end(CloseReason.NO_HTTP);
+            closeGracefully(CloseReason.NO_HTTP);
         }
     }
 
-    /** No attempt goes on for the request in hand, and its answer is not awaited any more. */
-    private void abort() {
-        if (current != null) {
-            Exchange gone = current;
-            current = null;
-            log(gone, "given up");
-            requests.left(gone);
+    /** Gives up the current request: no further attempt starts, and its response is no longer needed. */
+    private void abandonExchange() {
+        if (exchange != null) {
+            Exchange abandoned = exchange;
+            exchange = null;
+            log(abandoned, "given up");
+            coordinator.onClientLeft(abandoned);
         }
     }
 
-    private final class Answer implements Exchange.Answer {
+    private final class ConnectionResponseWriter implements Exchange.ResponseWriter {
         @Override
-        public void served(ByteBuf content) {
+        public void succeed(ByteBuf content) {
             write(HttpResponseStatus.OK, content, 0);
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void refuse(long retryAfterUs) {
             write(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfterUs);
         }
 
         @Override
-        public void failed() {
+        public void fail() {
             write(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
         }
 
         @Override
-        public void begins(long length, Runnable more) {
-            release();
+        public void beginStream(long length, Runnable resume) {
+            releaseMemory();
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (length >= 0) {
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
             } else if (head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
                 HttpUtil.setTransferEncodingChunked(response, true);
             } else {
-                // The end of the connection is the end of the answer: that of a broken one is a reset, whatever ends
-                // the process.
-                last = true;
+                // HTTP/1.0 marks the end of the response by closing. With SO_LINGER 0 any premature end, even that of
+                // the process, is a reset.
+                closeAfterResponse = true;
                 channel.options().set(StandardSocketOptions.SO_LINGER, 0);
             }
-            closeOrKeep(response);
-            resume = more;
+            setConnectionHeader(response);
+            resumeUpstream = resume;
             channel.writeAndFlush(response);
         }
 
         @Override
-        public boolean piece(ByteBuf piece) {
-            channel.writeAndFlush(new DefaultHttpContent(piece.retainedSlice()));
+        public boolean writePart(ByteBuf part) {
+            channel.writeAndFlush(new DefaultHttpContent(part.retainedSlice()));
             return channel.isWritable();
         }
 
         @Override
-        public void ends() {
-            resume = null;
+        public void endStream() {
+            resumeUpstream = null;
             if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-                channel.options().set(StandardSocketOptions.SO_LINGER, NO_LINGER);
+                channel.options().set(StandardSocketOptions.SO_LINGER, LINGER_DISABLED);
             }
-            over(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), "streamed");
+            awaitFlush(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), "streamed");
         }
 
         @Override
-        public boolean clientIsThere() {
-            return channel.isActive() && !lingers;
+        public boolean isClientConnected() {
+            return channel.isActive() && !lingering;
         }
 
         @Override
-        public void breaks() {
-            resume = null;
-            if (current == null) {
-                // The client has gone, and what flowed to it was called off.
+        public void abortStream() {
+            resumeUpstream = null;
+            if (exchange == null) {
+                // The client has disconnected, and its exchange was abandoned.
                 return;
             }
-            log(current, "broken off");
-            current = null;
+            log(exchange, "broken off");
+            exchange = null;
             if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-                // The end of the connection would be the end of the answer.
+                // For HTTP/1.0 an orderly close would mark the response as complete, so reset the connection.
                 channel.options().set(StandardSocketOptions.SO_LINGER, 0);
-                channel.options().whenSet(() -> close(CloseReason.ANSWER_BROKEN));
+                channel.options().whenApplied(() -> close(CloseReason.ANSWER_BROKEN));
                 return;
             }
-            var stuck = channel.eventLoop()
-                    .schedule(() -> close(CloseReason.ANSWER_BROKEN), BROKEN_US, TimeUnit.MICROSECONDS);
+            var timeout = channel.eventLoop()
+                    .schedule(() -> close(CloseReason.ANSWER_BROKEN), MAX_ABORT_FLUSH_US, TimeUnit.MICROSECONDS);
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> {
-                stuck.cancel(false);
-                end(CloseReason.ANSWER_BROKEN);
+                timeout.cancel(false);
+                closeGracefully(CloseReason.ANSWER_BROKEN);
             });
         }
     }
 
     private void reject(HttpResponseStatus status) {
-        RequestLog.rejected(channel, status.code());
+        RequestLog.logRejected(channel, status.code());
         write(status, Unpooled.EMPTY_BUFFER, 0);
     }
 
     private void write(HttpResponseStatus status, ByteBuf content, long retryAfterUs) {
-        release();
+        releaseMemory();
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-        closeOrKeep(response);
+        setConnectionHeader(response);
         if (retryAfterUs > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
         }
-        over(channel.writeAndFlush(response), "answered " + status.code());
+        awaitFlush(channel.writeAndFlush(response), "answered " + status.code());
     }
 
-    /** What the client still sends of a request that has been answered may be long: nothing follows on it. */
-    private void closeOrKeep(HttpResponse response) {
-        anyAnswer = true;
-        channel.history().answered();
-        last |= !server.goesOn() || receiving && bodyComes();
-        if (last) {
+    /** Closes after this response if the client is still sending the body of the request, which may be long. */
+    private void setConnectionHeader(HttpResponse response) {
+        hasSentResponse = true;
+        channel.history().recordResponse();
+        closeAfterResponse |= !server.keepsConnectionsOpen() || receiving && expectsBody();
+        if (closeAfterResponse) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
 
-    private boolean bodyComes() {
+    private boolean expectsBody() {
         return !head.decoderResult().isSuccess()
                 || HttpUtil.isTransferEncodingChunked(head)
                 || HttpUtil.getContentLength(head, 0L) > 0;
     }
 
-    private void log(Exchange x, String end) {
-        x.times.log(x.request.id(), end, x.attempts.size(), clock.now());
+    private void log(Exchange logged, String end) {
+        logged.timestamps.log(logged.request.id(), end, logged.attempts.size(), clock.nowUs());
     }
 
-    private void over(ChannelFuture written, String end) {
-        if (current != null) {
-            Exchange x = current;
-            x.times.answered(clock.now());
-            written.addListener(f -> log(x, f.isSuccess() ? end : "not written"));
+    private void awaitFlush(ChannelFuture written, String end) {
+        if (exchange != null) {
+            Exchange completed = exchange;
+            completed.timestamps.recordResponse(clock.nowUs());
+            written.addListener(f -> log(completed, f.isSuccess() ? end : "not written"));
         }
-        current = null;
-        answered = true;
-        activeUs = clock.now();
+        exchange = null;
+        responded = true;
+        lastActiveUs = clock.nowUs();
         written.addListener(f -> {
-            this.written = true;
-            if (last) {
-                end(CloseReason.LAST_ANSWER);
+            this.flushed = true;
+            if (closeAfterResponse) {
+                closeGracefully(CloseReason.LAST_ANSWER);
             } else if (!receiving) {
-                // Not from within: an answer may come while the one before is still being handled.
-                channel.eventLoop().execute(this::turn);
+                // On the loop, since a response may be written while the previous one is still being handled.
+                channel.eventLoop().execute(this::finishRequest);
             }
         });
     }
 
-    /** The request in hand is over, both ways. */
-    private void turn() {
-        if (!busy || receiving || !answered || !written || last) {
+    /** Finishes the current request once both directions are complete, and goes on to the next. */
+    private void finishRequest() {
+        if (!busy || receiving || !responded || !flushed || closeAfterResponse) {
             return;
         }
         busy = false;
         body = null;
-        next();
-        if (refuses && !busy && ahead.isEmpty() && input.isEmpty()) {
-            end(CloseReason.UNWATCHED);
+        handleQueued();
+        if (refusing && !busy && queued.isEmpty() && input.isEmpty()) {
+            closeGracefully(CloseReason.UNWATCHED);
         }
     }
 
-    private void release() {
-        if (asking != null) {
-            asking.run();
-            asking = null;
+    private void releaseMemory() {
+        if (cancelReservation != null) {
+            cancelReservation.run();
+            cancelReservation = null;
         }
-        int back = reserved;
-        reserved = 0;
-        if (back > 0) {
-            budget.give(back);
+        int bytes = reservedBytes;
+        reservedBytes = 0;
+        if (bytes > 0) {
+            memoryBudget.release(bytes);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (resume != null && channel.isWritable()) {
-            resume.run();
+        if (resumeUpstream != null && channel.isWritable()) {
+            resumeUpstream.run();
         }
     }
 
-    /** The head of a request has come, and its answer is not over. */
+    /** Whether a request is in progress, from its head to the end of its response. */
     boolean isBusy() {
         return busy;
     }
 
-    /** Between requests: nothing is held, and no part of the next one has come. */
-    boolean quiet() {
-        return !busy && ahead.isEmpty() && readingSinceUs == 0 && !lingers;
+    /** Whether the connection is between requests, with no part of the next one received. */
+    boolean isIdle() {
+        return !busy && queued.isEmpty() && readStartUs == 0 && !lingering;
     }
 
-    /** It has brought no request yet, and is so new that its first one may be on its way. */
-    boolean isYoung() {
-        return !proven && clock.now() - openedUs < YOUNG_US;
+    /** Whether the connection is so recent that its first request may still be on its way. */
+    boolean isNew() {
+        return !hasSentRequest && clock.nowUs() - openedUs < NEW_CONNECTION_US;
     }
 
-    /** A whole request has come, and its answer is not wholly with the kernel yet. */
-    boolean owes() {
-        return busy && !receiving && !lingers;
+    /** Whether a complete request has arrived whose response was not fully handed to the kernel. */
+    boolean owesResponse() {
+        return busy && !receiving && !lingering;
     }
 
-    long activeUs() {
-        return activeUs;
+    long lastActiveUs() {
+        return lastActiveUs;
     }
 
     /**
-     * Half a request is waited for as long as its client may still wait for the answer, not for ever. {@code sparesYoung}: not one that has
-     * just come. True where it closes.
+     * Closes the connection if it has been inactive since {@code sinceUs}, or since {@code partialSinceUs} while a
+     * request is incomplete: its client may still wait for a response, but not forever. With {@code spareNew} a new
+     * connection stays open. Returns whether it closes.
      */
-    boolean closeIfQuiet(long sinceUs, long halfSinceUs, boolean sparesYoung, CloseReason reason) {
-        if (!isQuietSince(sinceUs, halfSinceUs) || sparesYoung && isYoung()) {
+    boolean closeIfIdle(long sinceUs, long partialSinceUs, boolean spareNew, CloseReason reason) {
+        if (!isIdleSince(sinceUs, partialSinceUs) || spareNew && isNew()) {
             return false;
         }
         channel.readNow();
-        boolean closes = isQuietSince(sinceUs, halfSinceUs) && channel.isActive();
+        boolean closes = isIdleSince(sinceUs, partialSinceUs) && channel.isActive();
         if (closes) {
-            end(reason);
+            closeGracefully(reason);
         }
         return closes;
     }
 
-    private boolean isQuietSince(long sinceUs, long halfSinceUs) {
-        boolean untaken = !busy || receiving && current == null && !answered;
-        return activeUs < (quiet() ? sinceUs : halfSinceUs) && untaken && ahead.isEmpty() && !lingers;
+    private boolean isIdleSince(long sinceUs, long partialSinceUs) {
+        boolean notAccepted = !busy || receiving && exchange == null && !responded;
+        return lastActiveUs < (isIdle() ? sinceUs : partialSinceUs) && notAccepted && queued.isEmpty() && !lingering;
     }
 
-    /** Gives its descriptor back at once, unless a request lies in its socket. True where it is closed by now. */
-    boolean closeUnlessItBrings(CloseReason reason) {
+    /**
+     * Closes at once to free the descriptor, unless the socket holds a request. Returns whether the connection is now
+     * closed.
+     */
+    boolean closeUnlessRequestArrived(CloseReason reason) {
         channel.readNow();
-        if (channel.isActive() && quiet()) {
+        if (channel.isActive() && isIdle()) {
             close(reason);
         }
         return !channel.isOpen();
     }
 
-    /** Ends it, unless a request lies in its socket or is owed its answer. */
-    void endUnlessItBrings(CloseReason reason) {
+    /** Closes gracefully, unless the socket holds a request or a request awaits its response. */
+    void closeGracefullyUnlessRequestArrived(CloseReason reason) {
         channel.readNow();
-        if (!owes()) {
-            end(reason);
+        if (!owesResponse()) {
+            closeGracefully(reason);
         }
     }
 
     /**
-     * A head is waited for from its first byte, not the last: a peer that sends byte by byte is no better than a silent
-     * one. A new peer's wait begins with its connection, or with its first bytes where they waited in the kernel's queue.
+     * Closes the connection if its client has stopped sending or reading. The timeout of a head counts from its first
+     * byte, so that sending byte by byte does not extend it. On a new connection it counts from the accept, or from the
+     * first bytes if they arrived in the accept queue.
      */
-    void closeIfUnfinished(long now, long patienceUs, long firstPatienceUs) {
-        if (lingers) {
+    void closeIfTimedOut(long now, long timeoutUs, long firstTimeoutUs) {
+        if (lingering) {
             return;
         }
         if (busy) {
-            if (answered && !written && now - activeUs >= UNREAD_US) {
+            if (responded && !flushed && now - lastActiveUs >= MAX_UNREAD_RESPONSE_US) {
                 close(CloseReason.ANSWER_UNREAD);
-            } else if (receiving && !answered && body != null) {
-                lookAtBody(now);
+            } else if (receiving && !responded && body != null) {
+                checkBodyProgress(now);
             }
-        } else if (ahead.isEmpty()) {
-            boolean late = !proven
-                    ? now - beganUs() >= firstPatienceUs && !isYoung()
-                    : readingSinceUs != 0 && now - readingSinceUs >= patienceUs;
+        } else if (queued.isEmpty()) {
+            boolean late = !hasSentRequest
+                    ? now - requestWaitStartUs() >= firstTimeoutUs && !isNew()
+                    : readStartUs != 0 && now - readStartUs >= timeoutUs;
             if (late) {
-                end(CloseReason.REQUEST_UNFINISHED);
+                closeGracefully(CloseReason.REQUEST_UNFINISHED);
             }
         }
     }
 
-    /** Since when its peer, which has sent no whole request yet, is known to be there. */
-    private long beganUs() {
-        return firstBytesUs == 0 ? openedUs : firstBytesUs;
+    /** When the wait for the first request began. */
+    private long requestWaitStartUs() {
+        return firstReceivedUs == 0 ? openedUs : firstReceivedUs;
     }
 
-    private void lookAtBody(long now) {
-        if (asking != null) {
+    private void checkBodyProgress(long now) {
+        if (cancelReservation != null) {
             return;
         }
-        long stuckUs = body.stuckSince(now);
-        if (body.full() || stuckUs > 0) {
-            // It is not read: this time is not the client's.
-            bodySinceUs = pieceUs = now;
-            bodyBytes = 0;
-            if (stuckUs > 0 && now - stuckUs >= STUCK_US) {
-                abort();
+        long blockedUs = body.blockedSinceUs(now);
+        if (body.isFull() || blockedUs > 0) {
+            // Reading is suspended, so this time does not count against the client.
+            bodyStartUs = lastPartUs = now;
+            bodyBytesSinceStart = 0;
+            if (blockedUs > 0 && now - blockedUs >= MAX_UPSTREAM_BLOCKED_US) {
+                abandonExchange();
                 reject(HttpResponseStatus.BAD_GATEWAY);
             }
             return;
         }
-        long sinceUs = now - bodySinceUs;
-        boolean slow =
-                sinceUs >= BODY_STARTS_US && bodyBytes < BODY_BYTES_PER_S * (sinceUs - BODY_STARTS_US) / 1_000_000 + 1;
-        if (slow || now - pieceUs >= BODY_RESTS_US) {
-            abort();
-            end(CloseReason.BODY_TOO_SLOW);
+        long elapsedUs = now - bodyStartUs;
+        boolean slow = elapsedUs >= BODY_START_GRACE_US
+                && bodyBytesSinceStart < MIN_BODY_BYTES_PER_S * (elapsedUs - BODY_START_GRACE_US) / 1_000_000 + 1;
+        if (slow || now - lastPartUs >= MAX_BODY_PAUSE_US) {
+            abandonExchange();
+            closeGracefully(CloseReason.BODY_TOO_SLOW);
         }
     }
 
-    /** Ends the connection so that its client still gets what it has been answered; nothing may be waiting to be written. */
-    void end(CloseReason reason) {
-        if (lingers || answersFirst(reason)) {
+    /** Shuts the connection down so that the client still receives all responses. No write may be pending. */
+    void closeGracefully(CloseReason reason) {
+        if (lingering || answerBeforeClose(reason)) {
             return;
         }
-        if (!anyAnswer) {
+        if (!hasSentResponse) {
             close(reason);
             return;
         }
-        RequestLog.closes(channel, reason);
-        lingers = true;
+        RequestLog.recordClose(channel, reason);
+        lingering = true;
         input.discard();
-        release();
-        server.lingers(this);
-        LingeringClose.begin(channel, Math.min(LingeringClose.MOST_US, server.openUntilUs() - clock.now()));
-    }
-
-    /** A whole request that has no part of an answer yet gets one before its connection ends, which then follows on it. */
-    private boolean answersFirst(CloseReason reason) {
-        boolean owed =
-                busy && !receiving && !answered && current != null && !current.state.isOver() && channel.isActive();
+        releaseMemory();
+        server.addLingering(this);
+        LingeringClose.start(channel, Math.min(LingeringClose.MAX_LINGER_US, server.closeDeadlineUs() - clock.nowUs()));
+    }
+
+    /** Answers a complete request that has no part of a response yet; the connection closes after that response. */
+    private boolean answerBeforeClose(CloseReason reason) {
+        boolean owed = busy
+                && !receiving
+                && !responded
+                && exchange != null
+                && !exchange.state.isDecided()
+                && channel.isActive();
         if (owed) {
-            guard.closesWith(current.request.id(), reason);
-            last = true;
-            abort();
+            guard.recordCloseWithRequest(exchange.request.id(), reason);
+            closeAfterResponse = true;
+            abandonExchange();
             reject(HttpResponseStatus.BAD_GATEWAY);
         }
         return owed;
     }
 
-    /** Whether the output has ended, and only the client's end is waited for. */
-    boolean lingers() {
-        return lingers;
+    /** Whether the output is shut down and only the end of the client's input is awaited. */
+    boolean isLingering() {
+        return lingering;
     }
 
-    /** Gives its descriptor back at once. */
+    /** Closes at once and frees the descriptor. */
     void close(CloseReason reason) {
-        if (answersFirst(reason) || !guard.mayClose(isYoung() && !lingers, reason)) {
+        if (answerBeforeClose(reason) || !guard.canClose(isNew() && !lingering, reason)) {
             return;
         }
-        RequestLog.closes(channel, reason);
+        RequestLog.recordClose(channel, reason);
         channel.close();
     }
 
-    /** While reads fail the client's end can't be seen: no attempt begins any more for what has been read whole. */
+    /**
+     * While reads fail a disconnect can't be detected, so a request that was read completely starts no further attempt.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event == TcpConnection.ReadsFail.FOR_LONG && current != null && current.body.whole()) {
-            requests.unwatched(current);
+        if (event == TcpConnection.ReadFailure.FOR_LONG && exchange != null && exchange.body.isReplayable()) {
+            coordinator.onDisconnectUndetectable(exchange);
         }
         ctx.fireUserEventTriggered(event);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        for (Arrival a; (a = ahead.poll()) != null; ) {
-            ReferenceCountUtil.release(a.part);
+        for (QueuedPart queuedPart; (queuedPart = queued.poll()) != null; ) {
+            ReferenceCountUtil.release(queuedPart.part);
         }
-        resume = null;
-        release();
-        abort();
+        resumeUpstream = null;
+        releaseMemory();
+        abandonExchange();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            // A client that leaves, also within a request, is no fault.
-            RequestLog.closes(channel, CloseReason.PEER_ENDED);
+            // A client that disconnects, even within a request, is not an error.
+            RequestLog.recordClose(channel, CloseReason.PEER_ENDED);
             ctx.close();
             return;
         }
-        channel.history().failed(ConnectionHistory.Call.HANDLER, cause);
-        Log.trouble("a client's connection failed", cause);
-        if (busy && !answered && current == null) {
-            last = true;
+        channel.history().recordFailure(ConnectionHistory.SocketOperation.HANDLER, cause);
+        Log.error("a client's connection failed", cause);
+        if (busy && !responded && exchange == null) {
+            closeAfterResponse = true;
             reject(HttpResponseStatus.INTERNAL_SERVER_ERROR);
-        } else if (busy && answered && !written) {
-            // Its answer is on its way, and the connection ends behind it.
-            last = true;
+        } else if (busy && responded && !flushed) {
+            // The response is being written; close after it.
+            closeAfterResponse = true;
         } else {
             close(CloseReason.FAILED);
         }
--- /dev/null
+++ b/src/main/java/rushproxy/sidecar/ClientConnectionLimiter.java
@@ -0,0 +1,134 @@
+package rushproxy.sidecar;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayDeque;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.IntSupplier;
+
+/**
+ * Holds the open client connections and limits their number. When all slots are taken it frees one: by taking back a
+ * slot that upstream connections borrowed, else by closing an idle connection. It does not wait for another client to
+ * ask, since the listener may have stopped accepting.
+ */
+final class ClientConnectionLimiter {
+    /** How many idle connections are checked for a new request in search of one to close. */
+    private static final int MAX_IDLE_CHECKS = 3;
+    /** At most 1/8 of the connections may be lingering. */
+    private static final int LINGERING_DIVISOR = 8;
+
+    private static final long RETRY_INTERVAL_MS = 20;
+
+    private final EventLoop loop;
+    /** The current limit, which depends on the number of upstream connections. */
+    private final IntSupplier limit;
+    /** Raises the limit by one slot that upstreams have borrowed but do not use; false if there is none. */
+    private final BooleanSupplier reclaimUpstreamSlot;
+
+    private final Set<ClientConnection> connections = new HashSet<>();
+    /** The lingering connections, oldest first. */
+    private final ArrayDeque<ClientConnection> lingering = new ArrayDeque<>();
+    /** Whether another attempt to free a slot is scheduled. */
+    private boolean retryScheduled;
+
+    ClientConnectionLimiter(EventLoop loop, IntSupplier limit, BooleanSupplier reclaimUpstreamSlot) {
+        this.loop = loop;
+        this.limit = limit;
+        this.reclaimUpstreamSlot = reclaimUpstreamSlot;
+    }
+
+    void add(ClientConnection connection) {
+        connections.add(connection);
+    }
+
+    void remove(ClientConnection connection) {
+        connections.remove(connection);
+        lingering.remove(connection);
+    }
+
+    /** The open connections, in no particular order. */
+    Set<ClientConnection> all() {
+        return Set.copyOf(connections);
+    }
+
+    int openCount() {
+        return connections.size();
+    }
+
+    int limit() {
+        return limit.getAsInt();
+    }
+
+    boolean hasFreeSlot() {
+        return openCount() < limit();
+    }
+
+    boolean hasLingering() {
+        return !lingering.isEmpty();
+    }
+
+    /**
+     * Registers a connection that lingers: its output is shut down. Only some may linger at once, and none if all slots
+     * are taken.
+     */
+    void addLingering(ClientConnection connection) {
+        lingering.add(connection);
+        int maxLingering = hasFreeSlot() ? Math.max(1, limit() / LINGERING_DIVISOR) : 0;
+        while (lingering.size() > maxLingering) {
+            lingering.poll().close(CloseReason.ROOM_NEEDED);
+        }
+    }
+
+    /** Takes back or closes connections until a slot is free. If too few can be freed now it retries until one is. */
+    void evictUntilSlotFree() {
+        while (!hasFreeSlot()) {
+            if (!reclaimUpstreamSlot.getAsBoolean() && !evictOne()) {
+                scheduleRetry();
+                return;
+            }
+        }
+    }
+
+    private void scheduleRetry() {
+        if (!retryScheduled) {
+            retryScheduled = true;
+            loop.schedule(
+                    () -> {
+                        retryScheduled = false;
+                        evictUntilSlotFree();
+                    },
+                    RETRY_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /**
+     * Closes a lingering connection, else an idle one, whose client can open another when needed. A new connection is
+     * spared, since its first request may be on its way.
+     */
+    private boolean evictOne() {
+        int before = openCount();
+        ClientConnection oldestLingering = lingering.poll();
+        if (oldestLingering != null) {
+            oldestLingering.close(CloseReason.ROOM_NEEDED);
+        }
+        for (int checks = 0; openCount() >= before && checks < MAX_IDLE_CHECKS; checks++) {
+            Optional<ClientConnection> candidate = longestIdle();
+            if (candidate.isEmpty()) {
+                break;
+            }
+            candidate.get().closeUnlessRequestArrived(CloseReason.ROOM_NEEDED);
+        }
+        return openCount() < before;
+    }
+
+    private Optional<ClientConnection> longestIdle() {
+        return connections.stream()
+                .filter(connection -> connection.isIdle() && !connection.isNew())
+                .min(Comparator.comparingLong(ClientConnection::lastActiveUs));
+    }
+}
--- a/src/main/java/rushproxy/sidecar/ClientServer.java
+++ b/src/main/java/rushproxy/sidecar/ClientServer.java
@@ -21,127 +21,142 @@
 import rushproxy.Balancer.RequestClass;
 
 /**
- * The application's side: listens, and says goodbye without losing what clients have sent. It goodbyes in two ways: a
- * drain, which can be taken back and leaves the process as it is, and the stop, after which the process ends.
+ * Accepts connections from clients, and closes them without losing requests when the process leaves. There are two ways
+ * to leave: a drain, which can be cancelled and keeps the process running, and a stop, after which the process ends.
  */
 final class ClientServer {
-    /** The application opens connections for this long after the stop has been asked for, and a little longer. */
-    private static final long SERVE_ON_US = 600_000;
-    /** The end that is not asked for comes this long after the stop, and the longest deadline or this, no earlier. */
-    private static final long KILLED_AFTER_US = 700_000;
+    /** After a stop clients open new connections for this long, and a little longer. */
+    private static final long MIN_SERVE_AFTER_STOP_US = 600_000;
+    /**
+     * The process is assumed to be killed this long after a stop, plus the longest client deadline but at most {@code
+     * MAX_KILL_DELAY_US}.
+     */
+    private static final long KILL_MARGIN_US = 700_000;
 
-    private static final long KILLED_MOST_US = 3_000_000;
-    /** Before it: answers end their connections, nothing is left that could bring a request, all is answered, the end. */
-    private static final long GOODBYE_US = 800_000;
+    private static final long MAX_KILL_DELAY_US = 3_000_000;
+    /**
+     * The steps before the kill: idle connections close and responses close theirs, all connections without a request
+     * close, all responses are due, input ends, the process exits.
+     */
+    private static final long CLOSE_IDLE_BEFORE_KILL_US = 800_000;
 
-    private static final long LAST_CALL_US = 450_000;
-    /** A hold-up of the loop of 0.15 s just then must still leave time for the answers, and for the end. */
-    private static final long LEAVE_DUE_US = 250_000;
+    private static final long CLOSE_ALL_BEFORE_KILL_US = 450_000;
+    /** Leaves time for the responses and the exit even if the event loop is delayed by 0.15 s at that moment. */
+    private static final long RESPONSES_DUE_BEFORE_KILL_US = 250_000;
 
-    private static final long GONE_US = 180_000;
-    private static final long LAST_LOOK_US = 100_000;
-    /** Where the end that is not asked for does not come, an answer that still flows is waited for so much longer. */
-    private static final long STAY_US = 20_000_000;
-    /** A connection this young or this busy may have a request on its way. */
-    private static final long QUIET_US = 150_000;
-    /** A request that crosses such a close is sent once more, on a new connection: it is still listened for. */
-    private static final long CROSSED_US = 150_000;
+    private static final long INPUT_ENDS_BEFORE_KILL_US = 180_000;
+    private static final long EXIT_BEFORE_KILL_US = 100_000;
+    /** If the kill does not come, responses that are still being streamed get this much longer. */
+    private static final long MAX_STAY_AFTER_KILL_US = 20_000_000;
+    /** A connection that was active this recently may have a request on its way. */
+    private static final long STOP_IDLE_US = 150_000;
+    /** A client whose request crosses such a close retries on a new connection, which must still be accepted. */
+    private static final long RECONNECT_WAIT_US = 150_000;
 
-    private static final long LOOK_MS = 20;
+    private static final long CHECK_INTERVAL_MS = 20;
 
-    /** After the call to drain the front comes for some tenths of a second; then what has been quiet for long may go. */
-    private static final long DRAIN_ON_US = 600_000;
+    /**
+     * Clients keep sending for some tenths of a second after the call to drain; then connections that have been idle
+     * for long close.
+     */
+    private static final long DRAIN_CLOSE_IDLE_AFTER_US = 600_000;
 
-    private static final long DRAIN_QUIET_US = 500_000;
-    /** At 4 s no connection may be idle or hold a request younger than 2 s: from here on none is left to bring one. */
-    private static final long DRAIN_ALL_US = 1_600_000;
+    private static final long DRAIN_IDLE_US = 500_000;
+    /**
+     * 4 s after the call no connection may be idle or hold a request younger than 2 s, so all idle ones are closed from
+     * here on.
+     */
+    private static final long DRAIN_CLOSE_ALL_AFTER_US = 1_600_000;
 
-    private static final long DRAIN_DUE_US = 3_700_000;
-    private static final long DRAIN_CLOSED_US = 3_900_000;
+    private static final long DRAIN_RESPONSES_DUE_US = 3_700_000;
+    private static final long DRAIN_CLOSED_BY_US = 3_900_000;
 
-    /** A peer that has sent nothing, or not the rest of a request, for this long gets a close: due within 3 s. */
-    private static final long PATIENCE_US = 2_500_000;
-    /** A new one's time runs from its connection; the looks come late by up to their interval. */
-    private static final long FIRST_PATIENCE_US = 2_700_000;
+    /** A client that has not completed a request in this time is closed; it must be closed within 3 s. */
+    private static final long REQUEST_TIMEOUT_US = 2_500_000;
+    /** Counts from the accept on a new connection; the check itself is late by up to its interval. */
+    private static final long FIRST_REQUEST_TIMEOUT_US = 2_700_000;
 
-    private static final long SWEEP_MS = 200;
-    /** A connection that could not be accepted is tried again after this. */
-    private static final long ACCEPT_AGAIN_MS = 10;
+    private static final long SWEEP_INTERVAL_MS = 200;
+    /** Pause after a failed accept. */
+    private static final long ACCEPT_RETRY_MS = 10;
+    /** Connections that may wait in the kernel to be accepted. */
+    private static final int ACCEPT_BACKLOG = 256;
 
     private final EventLoop loop;
-    private final Requests requests;
+    private final RequestCoordinator coordinator;
     private final Clock clock;
     private final Set<String> classes;
     private final BooleanSupplier canServe;
 
-    private final Budget budget;
-    private final LoopDelay loopDelay;
-    private final AnswerDeadlines deadlines;
+    private final MemoryBudget memoryBudget;
+    private final EventLoopDelay loopDelay;
+    private final ResponseDeadlines deadlines;
     private final RequestGuard guard;
-    /** No client waits longer than this for an answer. */
-    private final long longestUs;
+    /** The longest deadline of any class. */
+    private final long longestDeadlineUs;
 
-    private final ClientPlaces places;
-    private final UnansweredConnections unanswered = new UnansweredConnections();
+    private final ClientConnectionLimiter limiter;
+    private final UnansweredConnectionStats unansweredStats = new UnansweredConnectionStats();
     private Channel listener;
-    /** The listener is another's too: leaving it is not closing it. */
-    private boolean shared;
-    /** When the stop was asked for; 0 before. */
-    private long stopAtUs;
-
-    private long killedAtUs;
-    private long acceptedUs;
-    /** When the stop last closed a connection between requests. */
-    private long closedUs;
-    /** The stop has ended all that could still bring a request. */
-    private boolean endedInputs;
+    /** Whether other processes share the listening socket. It is then left open. */
+    private boolean sharedListener;
+    /** When the stop was requested; 0 before. */
+    private long stopRequestedUs;
+
+    private long killUs;
+    private long lastAcceptUs;
+    /** When the stop last closed an idle connection. */
+    private long lastIdleCloseUs;
+    /** Whether the stop has closed everything that could bring another request. */
+    private boolean inputEnded;
 
     private boolean notReady;
-    /** Null where nothing warms up. */
+    /** Null if no warm-up is running. */
     private WarmUp warmUp;
-    /** The last that knocked could not be let in. */
-    private boolean stuck;
-    /** When the drain was asked for; 0 while there is none. */
-    private long drainAtUs;
+    /** Whether the last accept failed. */
+    private boolean acceptFailing;
+    /** When the drain was requested; 0 if there is none. */
+    private long drainRequestedUs;
 
-    private boolean drainLooked;
+    private boolean drainCheckScheduled;
 
     ClientServer(
             EventLoop loop,
             Clock clock,
-            Requests requests,
+            RequestCoordinator coordinator,
             List<RequestClass> classes,
             BooleanSupplier canServe,
-            ClientPlaces places,
-            Budget budget,
-            LoopDelay loopDelay,
-            AnswerDeadlines deadlines,
+            ClientConnectionLimiter limiter,
+            MemoryBudget memoryBudget,
+            EventLoopDelay loopDelay,
+            ResponseDeadlines deadlines,
             RequestGuard guard) {
         this.loop = loop;
         this.clock = clock;
-        this.requests = requests;
+        this.coordinator = coordinator;
         this.classes = classes.stream().map(RequestClass::name).collect(Collectors.toSet());
-        longestUs = classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
+        longestDeadlineUs =
+                classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
         this.canServe = canServe;
-        this.places = places;
-        this.budget = budget;
+        this.limiter = limiter;
+        this.memoryBudget = memoryBudget;
         this.loopDelay = loopDelay;
         this.deadlines = deadlines;
         this.guard = guard;
     }
 
     InetSocketAddress listen(InetSocketAddress address) throws InterruptedException {
-        listener = Listening.at(() -> accepting().channelFactory(TcpListener::new), address);
+        listener = ListenerBinder.bind(() -> newBootstrap().channelFactory(TcpListener::new), address);
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Takes clients from a socket that listens already, and that others may take them from too. */
-    void take(ServerSocketChannel socket) throws InterruptedException {
+    /** Accepts clients from a listening socket that other processes may share. */
+    void acceptFrom(ServerSocketChannel socket) throws InterruptedException {
         loop.submit(() -> {
-                    // A stop that came during the warm-up has left them to the others.
-                    if (stopAtUs == 0) {
-                        shared = true;
-                        listener = accepting()
+                    // A stop during the warm-up leaves all clients to the other processes.
+                    if (stopRequestedUs == 0) {
+                        sharedListener = true;
+                        listener = newBootstrap()
                                 .channelFactory(() -> new TcpListener(socket))
                                 .register()
                                 .channel();
@@ -150,284 +165,301 @@
                 .sync();
     }
 
-    /** No more clients from where they were taken until now. */
+    /** Closes the current listener. */
     void closeListener() throws InterruptedException {
         listener.close().sync();
     }
 
     void start() {
-        Recurring.every(loop, SWEEP_MS, this::closeUnfinished);
+        PeriodicTask.scheduleEvery(loop, SWEEP_INTERVAL_MS, this::closeTimedOut);
     }
 
-    private ServerBootstrap accepting() {
-        return Window.on(new ServerBootstrap())
+    private ServerBootstrap newBootstrap() {
+        return ConnectionBuffers.configure(new ServerBootstrap())
                 .group(loop)
-                .option(ChannelOption.SO_BACKLOG, 256)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                        unanswered.watch(Window.sized((TcpConnection) accepted));
+                        unansweredStats.watch(ConnectionBuffers.withSocketBuffers((TcpConnection) accepted));
                         ctx.fireChannelRead(accepted);
                     }
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        notAccepted(ctx.channel(), cause);
+                        onAcceptFailed(ctx.channel(), cause);
                     }
                 })
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted((TcpConnection) channel);
+                        onAccepted((TcpConnection) channel);
                     }
                 });
     }
 
-    /** For want of descriptors, or since a client has gone again: the others wait in the backlog for a moment. */
-    private void notAccepted(Channel from, Throwable cause) {
+    /**
+     * Pauses accepting after a failure, such as a lack of descriptors or a client that has already left. Other clients
+     * wait in the backlog.
+     */
+    private void onAcceptFailed(Channel from, Throwable cause) {
         from.config().setAutoRead(false);
-        loop.schedule(() -> from.config().setAutoRead(hasRoom()), ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
-        if (!stuck) {
-            stuck = true;
-            Log.warn("clients can't be let in: " + cause.getMessage());
+        loop.schedule(() -> from.config().setAutoRead(canAccept()), ACCEPT_RETRY_MS, TimeUnit.MILLISECONDS);
+        if (!acceptFailing) {
+            acceptFailing = true;
+            Log.warn("accepting a client connection failed: " + cause.getMessage());
         }
     }
 
-    private void accepted(TcpConnection channel) {
-        stuck = false;
-        acceptedUs = clock.now();
+    private void onAccepted(TcpConnection channel) {
+        acceptFailing = false;
+        lastAcceptUs = clock.nowUs();
         ClientConnection connection =
-                new ClientConnection(channel, clock, classes, this, budget, loopDelay, deadlines, guard);
-        // The listener as the connection knows it: the first one may come before the bind has been told here.
-        ChannelConfig accepting = channel.parent().config();
-        places.add(connection);
+                new ClientConnection(channel, clock, classes, this, memoryBudget, loopDelay, deadlines, guard);
+        // The parent channel, since the first connection may be accepted before {@code listener} is set.
+        ChannelConfig listenerConfig = channel.parent().config();
+        limiter.add(connection);
         channel.closeFuture().addListener(f -> {
-            places.remove(connection);
-            accepting.setAutoRead(hasRoom());
+            limiter.remove(connection);
+            listenerConfig.setAutoRead(canAccept());
         });
-        places.keepOneFree();
-        // Beyond the limit they wait in the backlog: descriptors are needed for upstreams too.
-        accepting.setAutoRead(hasRoom());
+        limiter.evictUntilSlotFree();
+        // Beyond the limit clients wait in the backlog, since upstream connections need descriptors too.
+        listenerConfig.setAutoRead(canAccept());
         channel.pipeline().addLast(connection.input(), new RequestDecoder(), new HttpResponseEncoder(), connection);
     }
 
-    /** When every connection has to be closed, whatever is still waited for. */
-    long openUntilUs() {
-        if (stopAtUs > 0) {
-            return killedAtUs + STAY_US;
+    /** When every connection must be closed, even if it is still in use. */
+    long closeDeadlineUs() {
+        if (stopRequestedUs > 0) {
+            return killUs + MAX_STAY_AFTER_KILL_US;
         }
-        return drainAtUs > 0 ? Math.max(clock.now(), drainAtUs + DRAIN_CLOSED_US) : Long.MAX_VALUE;
+        return drainRequestedUs > 0 ? Math.max(clock.nowUs(), drainRequestedUs + DRAIN_CLOSED_BY_US) : Long.MAX_VALUE;
     }
 
-    private boolean hasRoom() {
-        return places.isAnyFree() && !endedInputs;
+    private boolean canAccept() {
+        return limiter.hasFreeSlot() && !inputEnded;
     }
 
-    private void closeUnfinished() {
-        long now = clock.now();
-        // The limit follows what upstreams take: by now it may leave no place, or one.
-        places.keepOneFree();
-        listener.config().setAutoRead(hasRoom());
-        for (ClientConnection c : places.all()) {
-            c.closeIfUnfinished(now, PATIENCE_US, FIRST_PATIENCE_US);
+    private void closeTimedOut() {
+        long now = clock.nowUs();
+        // The limit depends on the number of upstream connections and may have changed since the last check.
+        limiter.evictUntilSlotFree();
+        listener.config().setAutoRead(canAccept());
+        for (ClientConnection connection : limiter.all()) {
+            connection.closeIfTimedOut(now, REQUEST_TIMEOUT_US, FIRST_REQUEST_TIMEOUT_US);
         }
     }
 
-    /** Not ready until {@link #warm}. */
-    void notReady() {
+    /** Reports not ready until {@link #finishWarmUp}. */
+    void markNotReady() {
         notReady = true;
     }
 
-    /** As {@link #notReady}; requests of the warm-up are served meanwhile. */
-    void warmsUp(WarmUp by) {
+    /** Like {@link #markNotReady}, but serves the requests of the warm-up. */
+    void beginWarmUp(WarmUp newWarmUp) {
         notReady = true;
-        warmUp = by;
+        warmUp = newWarmUp;
     }
 
-    void warm() {
+    void finishWarmUp() {
         notReady = false;
         warmUp = null;
     }
 
-    /** Where this request is carried through its attempts. */
-    Requests requestsFor(HttpRequest message) {
-        return warmUp != null && warmUp.owns(message) ? warmUp.requests() : requests;
+    /** The coordinator that handles this request. */
+    RequestCoordinator coordinatorFor(HttpRequest message) {
+        return warmUp != null && warmUp.isOwnMessage(message) ? warmUp.requests() : coordinator;
     }
 
-    boolean isAttemptOfWarmUp(HttpRequest message) {
+    boolean isWarmUpAttempt(HttpRequest message) {
         return warmUp != null && warmUp.isAttempt(message);
     }
 
-    /** Connections that ended with no answer by this program's doing or this machine's, since the last call. */
-    Map<String, Integer> unansweredSinceLast() {
-        return unanswered.sinceLast();
+    /** Counts, since the last call, of connections that this program or host ended without a response. */
+    Map<String, Integer> takeUnansweredCounts() {
+        return unansweredStats.takeCounts();
     }
 
-    /** Those that are open now, in no order. */
+    /** The open connections, in no particular order. */
     Set<ClientConnection> connections() {
-        return places.all();
+        return limiter.all();
     }
 
-    int open() {
-        return places.open();
+    int openCount() {
+        return limiter.openCount();
     }
 
-    /** As many may be open now. */
+    /** How many connections may be open now. */
     int limit() {
-        return places.limit();
+        return limiter.limit();
     }
 
-    /** Its output has ended, and its client's end is waited for. */
-    void lingers(ClientConnection connection) {
-        places.lingers(connection);
+    /** Registers a connection whose output is shut down and that waits for its client to close. */
+    void addLingering(ClientConnection connection) {
+        limiter.addLingering(connection);
     }
 
     TcpListener listener() {
         return (TcpListener) listener;
     }
 
-    boolean ready() {
-        return stopAtUs == 0 && drainAtUs == 0 && !notReady && canServe.getAsBoolean();
+    boolean isReady() {
+        return stopRequestedUs == 0 && drainRequestedUs == 0 && !notReady && canServe.getAsBoolean();
     }
 
-    boolean takesClients() {
-        return stopAtUs == 0 && !notReady;
+    boolean acceptsClients() {
+        return stopRequestedUs == 0 && !notReady;
     }
 
-    /** Whether connections outlive their answers. */
-    boolean goesOn() {
-        return drainAtUs == 0 && (stopAtUs == 0 || !shared && clock.now() < killedAtUs - GOODBYE_US);
+    /** Whether connections stay open after a response. */
+    boolean keepsConnectionsOpen() {
+        return drainRequestedUs == 0
+                && (stopRequestedUs == 0 || !sharedListener && clock.nowUs() < killUs - CLOSE_IDLE_BEFORE_KILL_US);
     }
 
-    /** When a request that is taken now has to be over at the latest, whatever its client allows. */
-    long dueUs() {
-        if (stopAtUs > 0) {
-            return killedAtUs - LEAVE_DUE_US;
+    /** Latest deadline of a request that is accepted now, whatever its client allows. */
+    long latestDeadlineUs() {
+        if (stopRequestedUs > 0) {
+            return killUs - RESPONSES_DUE_BEFORE_KILL_US;
         }
-        return drainAtUs > 0 && clock.now() >= drainAtUs + DRAIN_ALL_US ? drainAtUs + DRAIN_DUE_US : Long.MAX_VALUE;
+        return drainRequestedUs > 0 && clock.nowUs() >= drainRequestedUs + DRAIN_CLOSE_ALL_AFTER_US
+                ? drainRequestedUs + DRAIN_RESPONSES_DUE_US
+                : Long.MAX_VALUE;
     }
 
-    /** Told again it changes nothing: the time runs from the first call. */
+    /** Starts a drain. Repeated calls have no effect; its time counts from the first call. */
     void drain() {
-        if (drainAtUs == 0) {
-            drainAtUs = clock.now();
-            // One that was taken back just now may still have its look to come.
-            if (!drainLooked) {
-                drainLooked = true;
-                loop.schedule(this::lookDrained, LOOK_MS, TimeUnit.MILLISECONDS);
+        if (drainRequestedUs == 0) {
+            drainRequestedUs = clock.nowUs();
+            // The check of a drain that was just cancelled may still be scheduled.
+            if (!drainCheckScheduled) {
+                drainCheckScheduled = true;
+                loop.schedule(this::checkDrain, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
 
     void resume() {
-        drainAtUs = 0;
+        drainRequestedUs = 0;
     }
 
-    private void lookDrained() {
-        if (drainAtUs == 0 || stopAtUs > 0) {
-            drainLooked = false;
+    private void checkDrain() {
+        if (drainRequestedUs == 0 || stopRequestedUs > 0) {
+            drainCheckScheduled = false;
             return;
         }
-        long now = clock.now();
-        long age = now - drainAtUs;
-        if (age >= DRAIN_ON_US) {
-            long quietUs = age < DRAIN_ALL_US ? DRAIN_QUIET_US : 0;
-            for (ClientConnection c : places.all()) {
-                boolean due = age >= DRAIN_DUE_US;
-                c.closeIfQuiet(now - quietUs, due ? now : 0, !due, CloseReason.DRAINING);
+        long now = clock.nowUs();
+        long ageUs = now - drainRequestedUs;
+        if (ageUs >= DRAIN_CLOSE_IDLE_AFTER_US) {
+            long idleUs = ageUs < DRAIN_CLOSE_ALL_AFTER_US ? DRAIN_IDLE_US : 0;
+            for (ClientConnection connection : limiter.all()) {
+                boolean closeIncomplete = ageUs >= DRAIN_RESPONSES_DUE_US;
+                connection.closeIfIdle(now - idleUs, closeIncomplete ? now : 0, !closeIncomplete, CloseReason.DRAINING);
             }
         }
-        loop.schedule(this::lookDrained, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::checkDrain, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Serves on for as long as it may: clients that have no other sidecar use the connections they hold, and open new ones. Where the
-     * socket is another's too, a process that takes over may be ready or not be there yet: whoever comes is taken, and sent to the socket
-     * again as soon as it has been answered.
+     * Stops the server. It keeps serving as long as possible, since clients without another sidecar use their open
+     * connections and open new ones. On a shared socket the process that takes over may not be ready yet, so new
+     * clients are still accepted, and each connection closes after its response so that the client reconnects.
      */
-    void stop(long askedUs, Runnable stopped) {
-        stopAtUs = askedUs;
-        killedAtUs = stopAtUs + Math.min(longestUs, KILLED_MOST_US) + KILLED_AFTER_US;
-        // What was taken before the stop may have been given longer than there is.
-        requests.dueBy(dueUs());
-        look(stopped);
+    void stop(long requestedUs, Runnable onStopped) {
+        stopRequestedUs = requestedUs;
+        killUs = stopRequestedUs + Math.min(longestDeadlineUs, MAX_KILL_DELAY_US) + KILL_MARGIN_US;
+        // Requests accepted before the stop may have later deadlines than the time that is left.
+        coordinator.capDeadlines(latestDeadlineUs());
+        checkStop(onStopped);
     }
 
     /**
-     * From now on no request can come: whoever brings one now finds its connection ended or none, and has not been taken. A
-     * request that came until the process's end would be lost with it.
+     * Closes everything that could bring another request, since a request that arrived now would be lost when the
+     * process ends. Clients that send one find the connection closed and know that it was not accepted.
      */
-    private void endInputs() {
-        stopTaking();
-        for (ClientConnection c : places.all()) {
-            c.endUnlessItBrings(CloseReason.STOPPING);
+    private void endInput() {
+        stopAccepting();
+        for (ClientConnection connection : limiter.all()) {
+            connection.closeGracefullyUnlessRequestArrived(CloseReason.STOPPING);
         }
     }
 
-    /** What waits in a shared socket is the next process's. Closing an inherited descriptor 0 would end the log with it. */
-    private void stopTaking() {
-        if (shared) {
+    /**
+     * Connections in the queue of a shared socket are left to the next process. A listener inherited as descriptor 0
+     * stays open because closing it would also end the log.
+     */
+    private void stopAccepting() {
+        if (sharedListener) {
             listener.config().setAutoRead(false);
         } else {
             listener.close();
         }
     }
 
-    /** Since when nobody has come; who comes to a shared socket finds the next process there, and is not waited for. */
-    private long nobodyCameSinceUs() {
-        return shared ? stopAtUs : Math.max(stopAtUs, acceptedUs);
-    }
-
-    /** Clients that have not ended their side yet are waited for up to the last moment: the process's end may reset them. */
-    private boolean mayGo(long leftUs) {
-        return places.all().stream().noneMatch(ClientConnection::owes)
-                && (!places.isAnyLingering() || leftUs < LAST_LOOK_US);
+    /**
+     * When the last client arrived after the stop. New clients on a shared socket don't delay the stop, since the next
+     * process accepts them.
+     */
+    private long lastArrivalUs() {
+        return sharedListener ? stopRequestedUs : Math.max(stopRequestedUs, lastAcceptUs);
     }
 
-    private void look(Runnable stopped) {
-        long now = clock.now();
-        long left = killedAtUs - now;
-        if (places.open() == 0 && now - nobodyCameSinceUs() >= SERVE_ON_US && now - closedUs >= CROSSED_US) {
-            SocketLook.before(loop, () -> leaveUnlessSomebodyCame(stopped));
+    /**
+     * Whether the process can exit now. Lingering connections are kept until the last moment, since the exit may reset
+     * them.
+     */
+    private boolean canExit(long leftUs) {
+        return limiter.all().stream().noneMatch(ClientConnection::owesResponse)
+                && (!limiter.hasLingering() || leftUs < EXIT_BEFORE_KILL_US);
+    }
+
+    private void checkStop(Runnable onStopped) {
+        long now = clock.nowUs();
+        long leftUs = killUs - now;
+        if (limiter.openCount() == 0
+                && now - lastArrivalUs() >= MIN_SERVE_AFTER_STOP_US
+                && now - lastIdleCloseUs >= RECONNECT_WAIT_US) {
+            SocketPolling.runAfterNextPoll(loop, () -> exitUnlessClientArrived(onStopped));
             return;
         }
-        if (shared ? now - stopAtUs >= SERVE_ON_US : left < GOODBYE_US) {
-            for (ClientConnection c : places.all()) {
-                boolean lastCall = left < LAST_CALL_US;
-                if (c.closeIfQuiet(
-                        lastCall ? now : now - QUIET_US,
-                        lastCall ? now : now - longestUs,
+        if (sharedListener ? now - stopRequestedUs >= MIN_SERVE_AFTER_STOP_US : leftUs < CLOSE_IDLE_BEFORE_KILL_US) {
+            for (ClientConnection connection : limiter.all()) {
+                boolean closeAll = leftUs < CLOSE_ALL_BEFORE_KILL_US;
+                if (connection.closeIfIdle(
+                        closeAll ? now : now - STOP_IDLE_US,
+                        closeAll ? now : now - longestDeadlineUs,
                         true,
                         CloseReason.STOPPING)) {
-                    closedUs = now;
+                    lastIdleCloseUs = now;
                 }
             }
         }
-        // What ends by itself with an answer owed loses it; what is killed with one does not.
-        if (endedInputs && mayGo(left) || left < -STAY_US) {
-            leave(stopped);
+        // An exit with a request open loses its response; waiting to be killed may still deliver it.
+        if (inputEnded && canExit(leftUs) || leftUs < -MAX_STAY_AFTER_KILL_US) {
+            exit(onStopped);
             return;
         }
-        if (left < GONE_US && !endedInputs) {
-            endedInputs = true;
-            endInputs();
+        if (leftUs < INPUT_ENDS_BEFORE_KILL_US && !inputEnded) {
+            inputEnded = true;
+            endInput();
         }
-        loop.schedule(() -> look(stopped), LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> checkStop(onStopped), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void leaveUnlessSomebodyCame(Runnable stopped) {
-        // The look at the sockets passes over a listener whose registration is being made anew.
+    private void exitUnlessClientArrived(Runnable onStopped) {
+        // Reading the sockets skips a listener whose registration is being renewed.
         listener().acceptNow();
-        if (places.open() == 0) {
-            leave(stopped);
+        if (limiter.openCount() == 0) {
+            exit(onStopped);
         } else {
-            look(stopped);
+            checkStop(onStopped);
         }
     }
 
-    private void leave(Runnable stopped) {
-        endedInputs = true;
-        stopTaking();
-        stopped.run();
+    private void exit(Runnable onStopped) {
+        inputEnded = true;
+        stopAccepting();
+        onStopped.run();
     }
 }
--- a/src/main/java/rushproxy/sidecar/ConnectionHistory.java
+++ b/src/main/java/rushproxy/sidecar/ConnectionHistory.java
@@ -1,9 +1,9 @@
 package rushproxy.sidecar;
 
-/** What is known of one connection at its end, for the log: its age, what was read of it, and why it ended. */
+/** Records what the log reports when a connection closes: its age, the bytes read and the reason. */
 final class ConnectionHistory {
-    /** A call on a socket that can fail. */
-    enum Call {
+    /** An operation whose failure is recorded. */
+    enum SocketOperation {
         REGISTER,
         READ,
         WRITE,
@@ -12,36 +12,35 @@
 
     private final long openedNanos = System.nanoTime();
     private long readBytes;
-    /** The peer has ended its side. */
-    private boolean peerEnded;
+    private boolean peerClosed;
 
     private boolean answered;
-    private CloseReason reason;
-    private Call failedCall;
+    private CloseReason closeReason;
+    private SocketOperation failedOperation;
     private Throwable error;
 
-    void read(int bytes) {
+    void recordRead(int bytes) {
         readBytes += bytes;
     }
 
-    void peerEnded() {
-        peerEnded = true;
+    void recordPeerClosed() {
+        peerClosed = true;
     }
 
-    /** A part of an answer has been handed to the connection. */
-    void answered() {
+    /** At least a part of a response was written. */
+    void recordResponse() {
         answered = true;
     }
 
-    /** This program closes it; the first reason counts. */
-    void closes(CloseReason why) {
-        reason = reason == null ? why : reason;
+    /** Records why this process closes the connection. Only the first reason counts. */
+    void recordCloseReason(CloseReason reason) {
+        closeReason = closeReason == null ? reason : closeReason;
     }
 
-    /** The last call that failed is kept. */
-    void failed(Call call, Throwable why) {
-        failedCall = call;
-        error = why;
+    /** Records a failed operation, in place of an earlier one. */
+    void recordFailure(SocketOperation operation, Throwable cause) {
+        failedOperation = operation;
+        error = cause;
     }
 
     long readBytes() {
@@ -52,16 +51,16 @@
         return (System.nanoTime() - openedNanos) / 1000;
     }
 
-    /** Whether it ends by this program's doing, or this machine's, before its client had any part of an answer. */
-    boolean endsUnanswered() {
-        return !answered && !peerEnded && !SocketErrors.endsConnection(error);
+    /** Whether this process or machine, and not the peer, ended the connection before any part of a response was written. */
+    boolean isClosedLocallyUnanswered() {
+        return !answered && !peerClosed && !SocketErrors.isConnectionLost(error);
     }
 
-    /** Why it ended, as words without figures of its own, so that ends of one kind can be counted. */
-    String end() {
-        String words = reason == null ? "not taken" : reason.words();
-        return failedCall == null
-                ? words
-                : words + " (" + failedCall.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
+    /** Why the connection ended. The text contains nothing specific to the connection, so that equal ends can be counted. */
+    String describeEnd() {
+        String reason = closeReason == null ? "not taken" : closeReason.text();
+        return failedOperation == null
+                ? reason
+                : reason + " (" + failedOperation.name().toLowerCase(java.util.Locale.ROOT) + ": " + error + ")";
     }
 }
--- a/src/main/java/rushproxy/sidecar/Exchange.java
+++ b/src/main/java/rushproxy/sidecar/Exchange.java
@@ -7,68 +7,69 @@
 import java.util.List;
 import rushproxy.Balancer.Request;
 
-/** One request, from what the module is to know of it to its one final answer and the end of its last attempt. */
+/** One request, from its arrival to its final response and the end of its last attempt. */
 final class Exchange {
     /**
-     * Where the final answer goes. Each exchange calls one of the first four once, as {@link RequestGuard} allows; after {@code begins} the answer comes
-     * in pieces, and ends whole or does not.
+     * Writes the response to the client. Each exchange calls one of the first four methods once, as {@link
+     * RequestGuard} allows. After {@code beginStream} the response follows in parts and either ends or is aborted.
      */
-    interface Answer {
-        void served(ByteBuf body);
+    interface ResponseWriter {
+        void succeed(ByteBuf body);
 
-        void refused(long retryAfterUs);
+        void refuse(long retryAfterUs);
 
-        void failed();
+        void fail();
 
-        /** {@code length} is -1 where it is not known. {@code resume} runs when pieces are wanted again. */
-        void begins(long length, Runnable resume);
+        /** {@code length} is -1 if unknown. {@code resume} runs when more parts can be written. */
+        void beginStream(long length, Runnable resume);
 
-        /** False when no more is wanted for now. */
-        boolean piece(ByteBuf piece);
+        /** Returns false if no more parts should be written for now. */
+        boolean writePart(ByteBuf part);
 
-        void ends();
+        void endStream();
 
-        void breaks();
+        void abortStream();
 
-        /** False from the moment at which the client is seen to have ended its connection. */
-        boolean clientIsThere();
+        /** Returns false once the client is known to have closed its connection. */
+        boolean isClientConnected();
     }
 
     final Request request;
     final HttpMethod method;
     final String uri;
-    /** Null where the request carries no key. */
+    /** Null if the request has no key. */
     final String idempotencyKey;
 
-    final Body body;
-    /** When the client may have sent its last byte, and how long it waits from then on. */
+    final RequestBody body;
+    /** Earliest time at which the client may have sent its last byte. */
     long sentUs;
 
+    /** How long the client waits, counted from {@code sentUs}. */
     final long remainingUs;
-    /** Module time by which the final answer must be on its way; none while the request is still coming. */
+    /** When the final response must be written, on the {@link Clock}; not valid while the body is arriving. */
     long deadlineUs;
 
-    final Answer answer;
-    final RequestTimes times;
+    final ResponseWriter response;
+    final RequestTimestamps timestamps;
     final List<UpstreamCall> attempts = new ArrayList<>(1);
-    Future<?> overdue;
+    Future<?> timeout;
     RequestState state = RequestState.TAKEN;
-    /** Whether its client is still there can't be seen any more. */
-    boolean unwatched;
-    /** The attempt whose answer the client is getting in pieces. */
-    UpstreamCall passing;
+    /** Whether a disconnect of the client can no longer be detected. */
+    boolean disconnectUndetectable;
+    /** The attempt whose response is being streamed to the client. */
+    UpstreamCall streamingCall;
 
     Exchange(
             Request request,
             HttpMethod method,
             String uri,
             String idempotencyKey,
-            Body body,
+            RequestBody body,
             long sentUs,
             long remainingUs,
             long deadlineUs,
-            Answer answer,
-            RequestTimes times) {
+            ResponseWriter response,
+            RequestTimestamps timestamps) {
         this.request = request;
         this.method = method;
         this.uri = uri;
@@ -77,15 +78,15 @@
         this.sentUs = sentUs;
         this.remainingUs = remainingUs;
         this.deadlineUs = deadlineUs;
-        this.answer = answer;
-        this.times = times;
+        this.response = response;
+        this.timestamps = timestamps;
     }
 
-    boolean settled() {
-        return state.isOver() && noneOut();
+    boolean isSettled() {
+        return state.isDecided() && hasNoPendingAttempt();
     }
 
-    boolean noneOut() {
-        return attempts.stream().allMatch(UpstreamCall::ended);
+    boolean hasNoPendingAttempt() {
+        return attempts.stream().allMatch(UpstreamCall::isEnded);
     }
 }
--- a/src/main/java/rushproxy/sidecar/FleetPlane.java
+++ b/src/main/java/rushproxy/sidecar/FleetPlane.java
@@ -12,70 +12,75 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import rushproxy.Balancer;
-import rushproxy.PeerWord;
+import rushproxy.PeerMessage;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
 import rushproxy.fleet.member.Member;
 import rushproxy.fleet.member.Membership;
-import rushproxy.fleet.member.View;
-import rushproxy.fleet.release.Order;
-import rushproxy.fleet.release.Orders;
-import rushproxy.fleet.release.Watch;
-import rushproxy.fleet.shared.Limits;
-import rushproxy.fleet.shared.Store;
+import rushproxy.fleet.member.MembershipView;
+import rushproxy.fleet.release.ReleaseMonitor;
+import rushproxy.fleet.release.ReleaseOrder;
+import rushproxy.fleet.release.ReleaseOrders;
+import rushproxy.fleet.shared.FleetLimits;
+import rushproxy.fleet.shared.ReplicatedStore;
 import rushproxy.fleet.shared.Table;
 import rushproxy.fleet.shared.Verdicts;
 import rushproxy.fleet.shared.WarmStart;
 
 /**
- * Hosts the fleet plane on the event loop, which owns it, from {@link #start} to {@link #leave}: hands it the time and its
- * datagrams, and the module what it has found out.
+ * Runs the fleet plane (membership, shared verdicts and limits, releases) on the event loop from {@link #start} to {@link #leave}.
+ * Supplies it with the time and with datagrams, and reports its results to the module.
  */
-final class FleetPlane implements Host, Peers.Fleet {
-    private static final int VERSION = 1;
-    private static final int PART_MEMBERS = 1;
-    private static final int PART_SHARED = 2;
-    private static final long TELL_US = 1_000_000;
-    private static final long SNAPSHOT_US = 5_000_000;
-    /** What the module was told counts for so long: two tellings may be missed. */
-    private static final long COUNTS_US = 3_000_000;
+final class FleetPlane implements Environment, Peers.FleetListener {
+    private static final int PROTOCOL_VERSION = 1;
+    /** Flags of the features that a member announces. */
+    private static final int FEATURE_MEMBERS = 1;
+
+    private static final int FEATURE_SHARED = 2;
+    private static final long REPORT_INTERVAL_US = 1_000_000;
+    private static final long SNAPSHOT_INTERVAL_US = 5_000_000;
+    /** How long a report to the module is valid: two of them may be missed. */
+    private static final long REPORT_VALID_US = 3_000_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Peers peers;
-    private final Decisions decisions;
+    private final BalancerDispatcher decisions;
     private final Config config;
-    /** The servers that may be used now. */
+    /** The upstreams that are available now. */
     private final Supplier<List<Balancer.Upstream>> servers;
 
     private Membership members;
-    /** Null, with all that follows, where nothing is shared. */
-    private Store store;
+    /** This and the fields up to {@code warmStart} are null if state is not shared. */
+    private ReplicatedStore store;
 
     private Verdicts verdicts;
-    private Limits limits;
-    private Orders orders;
-    private Watch watch;
-    private boolean weighed;
-    private WarmStart warm;
-    private boolean warmed;
-    private Runnable whenWarm = () -> {};
-    /** Null where nothing outlives the process. */
-    private Snapshot snapshot;
-
-    private long snapshotUs;
-    private List<Verdicts.Case> cases = List.of();
-    private long sharedUs;
-    private long limitsUs;
-    private View told;
-    private long tellUs;
+    private FleetLimits limits;
+    private ReleaseOrders orders;
+    private ReleaseMonitor watch;
+    private WarmStart warmStart;
+
+    private boolean hasWeights;
+    private boolean isWarmStartOver;
+    private Runnable warmStartCallback = () -> {};
+    /** Null if there is no directory for state that outlives the process. */
+    private LearnedStateSnapshot snapshot;
+
+    private long nextSnapshotUs;
+    private List<Verdicts.Assessment> cases = List.of();
+    private long nextShareUs;
+    private long nextLimitsUs;
+    /** The view last reported to the module. */
+    private MembershipView reportedView;
+
+    private long nextReportUs;
     private Future<?> ticks;
 
     FleetPlane(
             EventLoop loop,
             Clock clock,
             Peers peers,
-            Decisions decisions,
+            BalancerDispatcher decisions,
             Config config,
             Supplier<List<Balancer.Upstream>> servers) {
         this.servers = servers;
@@ -87,222 +92,244 @@
     }
 
     void start() {
-        Balancer.Settings s = config.settings();
-        int taken = PeerWord.length(s.zones().size(), s.kinds().size());
+        Balancer.Settings settings = config.settings();
+        // Datagrams of this length belong to the module.
+        int reservedLength = PeerMessage.encodedLength(
+                settings.zones().size(), settings.kinds().size());
         members = new Membership(
                 new Membership.Self(
                         config.name(),
-                        s.me(),
+                        settings.sidecarIndex(),
                         config.peers().size(),
-                        Math.max(0, s.zones().indexOf(s.zone())),
-                        s.zones().size(),
-                        VERSION,
-                        PART_MEMBERS | (config.fleet().shared() ? PART_SHARED : 0),
-                        clock.now() / 1_000,
-                        taken),
-                clock.now(),
+                        Math.max(0, settings.zones().indexOf(settings.zone())),
+                        settings.zones().size(),
+                        PROTOCOL_VERSION,
+                        FEATURE_MEMBERS | (config.fleet().shared() ? FEATURE_SHARED : 0),
+                        clock.nowUs() / 1_000,
+                        reservedLength),
+                clock.nowUs(),
                 config.seed(),
                 this);
         if (config.fleet().shared()) {
             long me = members.self().id();
-            Host says = new Says("shared: ");
-            store = new Store(
+            Environment host = new ComponentHost("shared: ");
+            store = new ReplicatedStore(
                     me,
-                    PART_SHARED,
-                    taken,
+                    FEATURE_SHARED,
+                    reservedLength,
                     List.of(Table.VERDICTS, Table.LIMITS, Table.COUNTS, Table.ORDERS),
-                    clock.now(),
+                    clock.nowUs(),
                     config.seed() + 1,
                     members,
-                    says);
-            verdicts = new Verdicts(store, me, members.self().zone(), members, says);
-            limits = new Limits(
+                    host);
+            verdicts = new Verdicts(store, me, members.self().zone(), members, host);
+            limits = new FleetLimits(
                     me,
-                    s.balancers(),
-                    PART_SHARED,
-                    taken,
+                    settings.sidecarCount(),
+                    FEATURE_SHARED,
+                    reservedLength,
                     store,
                     config.fleet().limits(),
-                    clock.now(),
+                    clock.nowUs(),
                     config.seed() + 2,
                     members,
-                    says);
-            orders = new Orders(store, clock.now(), says);
-            watch = new Watch(orders, s.rules().rampUs());
-            warm = new WarmStart(me, PART_SHARED, taken, clock.now(), config.seed() + 3, members, says, this::known);
-            snapshot = config.kept() == null ? null : new Snapshot(config.kept());
-            snapshotUs = clock.now() + SNAPSHOT_US;
+                    host);
+            orders = new ReleaseOrders(store, clock.nowUs(), host);
+            watch = new ReleaseMonitor(orders, settings.rules().rampTimeUs());
+            warmStart = new WarmStart(
+                    me,
+                    FEATURE_SHARED,
+                    reservedLength,
+                    clock.nowUs(),
+                    config.seed() + 3,
+                    members,
+                    host,
+                    this::learnedState);
+            snapshot = config.stateDirectory() == null ? null : new LearnedStateSnapshot(config.stateDirectory());
+            nextSnapshotUs = clock.nowUs() + SNAPSHOT_INTERVAL_US;
         }
-        peers.hand(this, taken);
-        ticks = Recurring.every(loop, Membership.TICK_US / 1000, this::tick);
+        peers.attachFleet(this, reservedLength);
+        ticks = PeriodicTask.scheduleEvery(loop, Membership.TICK_INTERVAL_US / 1000, this::tick);
     }
 
     private void tick() {
-        long now = clock.now();
+        long now = clock.nowUs();
         members.onTick(now);
-        View view = members.view();
-        if (now >= tellUs || told == null || view.here() != told.here() || view.standing() != told.standing()) {
-            if (told == null || view.standing() != told.standing()) {
+        MembershipView view = members.view();
+        if (now >= nextReportUs
+                || reportedView == null
+                || view.liveCount() != reportedView.liveCount()
+                || view.standing() != reportedView.standing()) {
+            if (reportedView == null || view.standing() != reportedView.standing()) {
                 Log.event(
                         Log.Level.INFO,
-                        "sees a " + view.standing().name().toLowerCase(java.util.Locale.ROOT) + " of its fleet: "
-                                + view.here() + " of " + view.expected(),
+                        "fleet membership: " + view.standing().name().toLowerCase(java.util.Locale.ROOT) + ", "
+                                + view.liveCount() + " of " + view.expectedCount(),
                         "standing",
                         view.standing(),
                         "here",
-                        view.here(),
+                        view.liveCount(),
                         "expected",
-                        view.expected());
+                        view.expectedCount());
             }
-            told = view;
-            tellUs = now + TELL_US;
-            Balancer.Fleet fact = new Balancer.Fleet(
-                    view.here(),
-                    view.byZone(),
-                    Balancer.Standing.valueOf(view.standing().name()),
-                    now + COUNTS_US);
-            decisions.call(m -> m.onFleet(now, fact), () -> {});
+            reportedView = view;
+            nextReportUs = now + REPORT_INTERVAL_US;
+            Balancer.FleetStatus report = new Balancer.FleetStatus(
+                    view.liveCount(),
+                    view.liveByZone(),
+                    Balancer.QuorumState.valueOf(view.standing().name()),
+                    now + REPORT_VALID_US);
+            decisions.call(m -> m.onFleetStatus(now, report), () -> {});
         }
-        if (store != null && !members.isQuiet()) {
+        if (store != null && !members.isStopped()) {
             share(now);
-        } else if (store != null && !warmed) {
-            // Another process has the name: nothing comes any more, and nobody waits for it.
-            warmed = true;
-            whenWarm.run();
+        } else if (store != null && !isWarmStartOver) {
+            // Another process has taken over this member's name, so no warm start data will arrive.
+            isWarmStartOver = true;
+            warmStartCallback.run();
         }
     }
 
     private void share(long now) {
         long incarnation = members.self().incarnation();
         store.onTick(now, incarnation);
-        warmUp(now);
-        if (now >= sharedUs) {
-            sharedUs = now + TELL_US;
+        advanceWarmStart(now);
+        if (now >= nextShareUs) {
+            nextShareUs = now + REPORT_INTERVAL_US;
             Map<String, Integer> zones = new HashMap<>();
             servers.get()
                     .forEach(u -> zones.put(u.id(), config.settings().zones().indexOf(u.zone())));
-            verdicts.servers(zones);
-            judge(now);
-            weigh(now);
+            verdicts.setServers(zones);
+            reportVerdicts(now);
+            reportWeights(now);
         }
-        if (now >= limitsUs) {
-            long passed = limitsUs == 0 ? Limits.TICK_US : now - limitsUs + Limits.TICK_US;
-            limitsUs = now + Limits.TICK_US;
+        if (now >= nextLimitsUs) {
+            long elapsedUs = nextLimitsUs == 0
+                    ? FleetLimits.TICK_INTERVAL_US
+                    : now - nextLimitsUs + FleetLimits.TICK_INTERVAL_US;
+            nextLimitsUs = now + FleetLimits.TICK_INTERVAL_US;
             decisions.call(
-                    m -> m.demands(passed).forEach((name, demand) -> limits.demand(now, name, demand)), () -> {});
+                    m -> m.collectLimitDemands(elapsedUs)
+                            .forEach((name, demand) -> limits.recordDemand(now, name, demand)),
+                    () -> {});
             limits.onTick(now, incarnation);
-            List<Balancer.Share> shares = limits.shares(now, 2 * Limits.TICK_US);
-            decisions.call(m -> m.onShares(now, shares), () -> {});
+            List<Balancer.LimitShare> shares = limits.shares(now, 2 * FleetLimits.TICK_INTERVAL_US);
+            decisions.call(m -> m.onLimitShares(now, shares), () -> {});
         }
     }
 
-    private byte[] known() {
-        byte[][] known = new byte[1][];
-        decisions.call(m -> known[0] = m.know(), () -> {});
-        return known[0] == null ? new byte[0] : known[0];
+    /** What the module has learned, encoded; empty if it fails. */
+    private byte[] learnedState() {
+        byte[][] state = new byte[1][];
+        decisions.call(m -> state[0] = m.exportEstimates(), () -> {});
+        return state[0] == null ? new byte[0] : state[0];
     }
 
-    /** Runs once no more is waited for of what others know: at once where nothing is shared, within {@link WarmStart#MOST_US}. */
-    void whenWarm(Runnable run) {
-        if (store == null || warmed) {
-            run.run();
+    /** Runs the callback when the warm start is over: at once if state is not shared, within {@link WarmStart#MAX_WAIT_US} otherwise. */
+    void whenWarmStartEnds(Runnable callback) {
+        if (store == null || isWarmStartOver) {
+            callback.run();
         } else {
-            whenWarm = run;
+            warmStartCallback = callback;
         }
     }
 
-    private void warmUp(long now) {
-        if (!warmed) {
-            warm.onTick(now, members.self().incarnation());
-            if (warm.over()) {
-                warmed = true;
-                List<byte[]> told = warm.take();
-                byte[] kept = !told.isEmpty() || snapshot == null ? null : snapshot.read(now / 1_000);
-                List<byte[]> all = kept == null ? told : List.of(kept);
-                if (!all.isEmpty()) {
+    /** Drives the warm start, and afterwards writes the periodic snapshots. */
+    private void advanceWarmStart(long now) {
+        if (!isWarmStartOver) {
+            warmStart.onTick(now, members.self().incarnation());
+            if (warmStart.isFinished()) {
+                isWarmStartOver = true;
+                List<byte[]> fromPeers = warmStart.takeAnswers();
+                byte[] fromSnapshot = !fromPeers.isEmpty() || snapshot == null ? null : snapshot.read(now / 1_000);
+                List<byte[]> states = fromSnapshot == null ? fromPeers : List.of(fromSnapshot);
+                if (!states.isEmpty()) {
                     decisions.call(
                             m -> {
-                                int read = m.onKnow(now, all);
-                                Log.line("shared: begins with what "
-                                        + (kept != null ? "the process before" : told.size() + " others") + " knew"
-                                        + (read < all.size()
-                                                ? "; " + (all.size() - read) + " of another shape left aside"
+                                int read = m.importEstimates(now, states);
+                                Log.info("shared: warm start from "
+                                        + (fromSnapshot != null ? "the previous process" : fromPeers.size() + " peers")
+                                        + " complete"
+                                        + (read < states.size()
+                                                ? "; " + (states.size() - read) + " of an incompatible format ignored"
                                                 : ""));
                             },
                             () -> {});
                 }
-                whenWarm.run();
+                warmStartCallback.run();
             }
-        } else if (snapshot != null && now >= snapshotUs) {
-            snapshotUs = now + SNAPSHOT_US;
-            snapshot.write(known(), now / 1_000);
+        } else if (snapshot != null && now >= nextSnapshotUs) {
+            nextSnapshotUs = now + SNAPSHOT_INTERVAL_US;
+            snapshot.write(learnedState(), now / 1_000);
         }
     }
 
-    private void judge(long now) {
-        cases = verdicts.look(now);
-        List<Balancer.Verdict> said = cases.stream().map(Verdicts.Case::verdict).toList();
-        decisions.call(m -> m.onVerdicts(now, said), () -> {});
+    private void reportVerdicts(long now) {
+        cases = verdicts.evaluate(now);
+        List<Balancer.Verdict> current =
+                cases.stream().map(Verdicts.Assessment::verdict).toList();
+        decisions.call(m -> m.onVerdicts(now, current), () -> {});
     }
 
-    private void weigh(long now) {
-        orders.look(now, members.view().here() > 1);
-        watch.servers(servers.get());
+    private void reportWeights(long now) {
+        orders.refresh(now, members.view().liveCount() > 1);
+        watch.setServers(servers.get());
         Map<String, Double> weights = orders.weights(servers.get());
-        if (weighed || !weights.isEmpty()) {
-            weighed = !weights.isEmpty();
-            decisions.call(m -> m.onWeights(now, new Balancer.Weights(weights, now + COUNTS_US)), () -> {});
+        if (hasWeights || !weights.isEmpty()) {
+            hasWeights = !weights.isEmpty();
+            decisions.call(
+                    m -> m.onServerWeights(now, new Balancer.ServerWeights(weights, now + REPORT_VALID_US)), () -> {});
         }
     }
 
-    /** The module has seen this of an upstream itself. */
-    void evidence(String upstream, Balancer.Evidence kind, double factor) {
+    /** Shares the module's own observation of an upstream with the fleet. */
+    void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
         if (verdicts != null) {
-            verdicts.evidence(clock.now(), upstream, kind, factor);
-            // Soon, but not in the middle of what the module does.
-            sharedUs = Math.min(sharedUs, clock.now());
+            verdicts.recordEvidence(clock.nowUs(), upstream, kind, factor);
+            // On the next tick, as the module is in the middle of a call now.
+            nextShareUs = Math.min(nextShareUs, clock.nowUs());
         }
     }
 
-    /** The process is to leave: told at once, and nothing follows. */
+    /** Announces the departure of this process and stops the plane. */
     void leave() {
         if (ticks != null) {
             ticks.cancel(false);
-            members.leave(clock.now());
+            members.leave(clock.nowUs());
         }
     }
 
     @Override
-    public void letter(int from, byte[] message) {
-        Envelope.Letter letter = Envelope.read(message);
-        if (letter != null && members.onLetter(clock.now(), from, letter) && store != null) {
-            store.onLetter(clock.now(), from, letter);
-            limits.onLetter(clock.now(), from, letter);
-            warm.onLetter(clock.now(), from, letter, members.self().incarnation());
+    public void onFleetMessage(int from, byte[] message) {
+        Envelope.Message letter = Envelope.parse(message);
+        if (letter != null && members.onMessage(clock.nowUs(), from, letter) && store != null) {
+            store.onMessage(clock.nowUs(), from, letter);
+            limits.onMessage(clock.nowUs(), from, letter);
+            warmStart.onMessage(clock.nowUs(), from, letter, members.self().incarnation());
         }
     }
 
     @Override
-    public void word(int from) {
-        members.onOldWord(clock.now(), from);
+    public void onModuleMessage(int from) {
+        members.onLegacyDatagram(clock.nowUs(), from);
     }
 
     @Override
     public void send(int peer, byte[] datagram) {
-        peers.tell(peer, datagram);
+        peers.send(peer, datagram);
     }
 
     @Override
-    public void note(String event) {
-        Log.line("members: " + event);
+    public void logEvent(String event) {
+        Log.info("members: " + event);
     }
 
-    /** A part of the plane, by its name in the log. */
-    private final class Says implements Host {
-        private final String part;
+    /** Host of one component, whose log lines get a prefix. */
+    private final class ComponentHost implements Environment {
+        private final String logPrefix;
 
-        Says(String part) {
-            this.part = part;
+        ComponentHost(String logPrefix) {
+            this.logPrefix = logPrefix;
         }
 
         @Override
@@ -311,17 +338,17 @@
         }
 
         @Override
-        public void note(String event) {
-            Log.line(part + event);
+        public void logEvent(String event) {
+            Log.info(logPrefix + event);
         }
     }
 
-    boolean shares() {
+    boolean isSharing() {
         return store != null;
     }
 
-    /** What is said of servers, in one line of JSON. */
-    String verdicts() {
+    /** The verdicts on upstreams with the reports behind them, in one line of JSON. */
+    String verdictsJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
         view.put("servers", servers.get().size());
@@ -331,18 +358,18 @@
                         .map(c -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("server", c.server());
-                            one.put("kind", word(c.verdict().kind()));
+                            one.put("kind", lowerCase(c.verdict().evidence()));
                             one.put("factor", c.verdict().factor());
-                            one.put("holds", c.verdict().holds());
-                            one.put("why", c.why());
+                            one.put("holds", c.verdict().confirmed());
+                            one.put("why", c.reason());
                             one.put(
                                     "words",
-                                    c.words().stream()
+                                    c.reports().stream()
                                             .map(w -> Map.of(
                                                     "by",
-                                                    members.name(w.witness()),
+                                                    members.nameOf(w.witness()),
                                                     "kind",
-                                                    word(w.kind()),
+                                                    lowerCase(w.kind()),
                                                     "count",
                                                     w.count(),
                                                     "zone",
@@ -356,21 +383,21 @@
         return json(view);
     }
 
-    /** What is held of each limit, in one line of JSON. */
-    String limits() {
+    /** The shares of all limits, in one line of JSON. */
+    String limitsJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
         view.put(
                 "limits",
-                limits.held(clock.now()).stream()
+                limits.status(clock.nowUs()).stream()
                         .map(h -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("name", h.limit().name());
-                            one.put("of", LimitWords.words(h.limit()));
+                            one.put("of", LimitSyntax.formatScope(h.limit()));
                             one.put("per", h.limit().inFlight() ? "in_flight" : "per_second");
-                            one.put("most", h.limit().most());
+                            one.put("most", h.limit().max());
                             one.put("share", h.share());
-                            one.put("alone", h.alone());
+                            one.put("alone", h.equalShare());
                             one.put("lent", h.lent());
                             one.put("borrowed", h.borrowed());
                             one.put("demand", h.demand());
@@ -380,43 +407,46 @@
         return json(view);
     }
 
-    /** Null where the fleet is told it, else why not. */
-    String limit(String name, String of, String most, String per) {
+    /** Sets a limit for the fleet; returns null on success, otherwise the reason. */
+    String setLimit(String name, String scope, String maximum, String unit) {
         try {
-            limits.set(clock.now(), LimitWords.limit(name, of, per, Double.parseDouble(most), config.settings()));
+            limits.setLimit(
+                    clock.nowUs(),
+                    LimitSyntax.parse(name, scope, unit, Double.parseDouble(maximum), config.settings()));
             return null;
         } catch (NumberFormatException e) {
-            return "'" + most + "' is no number";
+            return "'" + maximum + "' is not a number";
         } catch (IllegalArgumentException e) {
             return e.getMessage();
         }
     }
 
-    String unlimit(String name) {
-        return limits.unset(clock.now(), name) ? null : "no limit of this name was set by a call";
+    /** Removes a limit set by {@link #setLimit}; returns null on success, otherwise the reason. */
+    String removeLimit(String name) {
+        return limits.removeLimit(clock.nowUs(), name) ? null : "no limit of this name was set by an operator";
     }
 
-    /** What releases order, in one line of JSON. */
-    String orders() {
+    /** The orders of releases and the resulting weights, in one line of JSON. */
+    String ordersJson() {
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
         Map<String, Double> weights = orders.weights(servers.get());
         view.put(
                 "orders",
-                orders.look(clock.now(), members.view().here() > 1).stream()
+                orders.refresh(clock.nowUs(), members.view().liveCount() > 1).stream()
                         .map(o -> {
                             Map<String, Object> one = new LinkedHashMap<>();
                             one.put("release", o.release());
                             one.put("epoch", o.epoch());
                             one.put("step", o.step());
-                            one.put("state", word(o.state()));
+                            one.put("state", lowerCase(o.state()));
                             one.put("weight", o.weight());
-                            one.put("safe", o.safe());
-                            one.put("whom", o.whom().words());
+                            one.put("safe", o.safeWeight());
+                            one.put("whom", o.selector().expression());
                             one.put(
                                     "servers",
                                     servers.get().stream()
-                                            .filter(o.whom()::takes)
+                                            .filter(o.selector()::matches)
                                             .count());
                             return one;
                         })
@@ -425,43 +455,44 @@
         return json(view);
     }
 
-    /** An attempt has ended. */
-    void ended(String upstream, String requestClass, Balancer.Outcome outcome, long tookUs) {
+    /** Counts the outcome of an attempt for the releases. */
+    void attemptEnded(String upstream, String requestClass, Balancer.Outcome outcome, long latencyUs) {
         if (watch != null) {
-            watch.seen(clock.now(), upstream, requestClass, outcome, tookUs);
+            watch.recordAttempt(clock.nowUs(), upstream, requestClass, outcome, latencyUs);
         }
     }
 
-    /** What was counted of a release's servers and their control, in one line of JSON. */
-    String tallies(String release) {
-        return json(Map.of("self", config.name(), "tallies", watch.view(release)));
+    /** The counts for a release's servers and their control group, in one line of JSON. */
+    String talliesJson(String release) {
+        return json(Map.of("self", config.name(), "tallies", watch.exportTallies(release)));
     }
 
-    /** Null where the fleet is told it, else why not. */
-    String order(String release, String epoch, String step, String state, String weight, String safe, String whom) {
+    /** Passes an order of a release controller to the fleet; returns null on success, otherwise the reason. */
+    String submitOrder(
+            String release, String epoch, String step, String state, String weight, String safe, String whom) {
         try {
-            Order.State is = Order.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
-            String no = orders.give(
-                    clock.now(),
-                    new Order(
+            ReleaseOrder.State parsedState = ReleaseOrder.State.valueOf(state.toUpperCase(java.util.Locale.ROOT));
+            String refusal = orders.submit(
+                    clock.nowUs(),
+                    new ReleaseOrder(
                             release,
                             Integer.parseInt(epoch),
                             Integer.parseInt(step),
-                            is,
+                            parsedState,
                             Double.parseDouble(weight),
                             Double.parseDouble(safe),
-                            Order.Selector.of(whom)));
-            if (no == null) {
-                weigh(clock.now());
+                            ReleaseOrder.Selector.parse(whom)));
+            if (refusal == null) {
+                reportWeights(clock.nowUs());
             }
-            return no;
+            return refusal;
         } catch (IllegalArgumentException e) {
-            return "no order: " + e.getMessage();
+            return "invalid order: " + e.getMessage();
         }
     }
 
-    private static String word(Enum<?> word) {
-        return word.name().toLowerCase(java.util.Locale.ROOT);
+    private static String lowerCase(Enum<?> constant) {
+        return constant.name().toLowerCase(java.util.Locale.ROOT);
     }
 
     private static String json(Map<String, Object> view) {
@@ -472,17 +503,17 @@
         }
     }
 
-    /** Its view in one line of JSON. */
-    String view() {
-        long now = clock.now();
-        View v = members.view();
+    /** This member's view of the fleet, in one line of JSON. */
+    String membersJson() {
+        long now = clock.nowUs();
+        MembershipView current = members.view();
         Map<String, Object> view = new LinkedHashMap<>();
         view.put("self", config.name());
-        view.put("here", v.here());
-        view.put("expected", v.expected());
-        view.put("standing", v.standing().name().toLowerCase(java.util.Locale.ROOT));
-        view.put("since_ms", (now - v.sinceUs()) / 1_000);
-        List<Map<String, Object>> all = new ArrayList<>();
+        view.put("here", current.liveCount());
+        view.put("expected", current.expectedCount());
+        view.put("standing", current.standing().name().toLowerCase(java.util.Locale.ROOT));
+        view.put("since_ms", (now - current.standingSinceUs()) / 1_000);
+        List<Map<String, Object>> memberViews = new ArrayList<>();
         members.members().stream().sorted(Comparator.comparing(Member::name)).forEach(m -> {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("name", m.name());
@@ -491,10 +522,10 @@
             one.put("zone", m.zone());
             one.put("version", m.version());
             one.put("since_ms", (now - m.sinceUs()) / 1_000);
-            one.put("why", m.why());
-            all.add(one);
+            one.put("why", m.reason());
+            memberViews.add(one);
         });
-        view.put("members", all);
+        view.put("members", memberViews);
         return json(view);
     }
 }
--- a/src/main/java/rushproxy/sidecar/LoadReports.java
+++ b/src/main/java/rushproxy/sidecar/LoadReportParser.java
@@ -3,19 +3,19 @@
 import rushproxy.Balancer.LoadReport;
 import rushproxy.wire.LoadValues;
 
-/** Reads a load report of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
-final class LoadReports {
-    private static final String FORM = "TEXT ";
+/** Parses load reports of the form {@code TEXT inflight=7, queue=2, util=0.61}. */
+final class LoadReportParser {
+    private static final String PREFIX = "TEXT ";
 
-    private LoadReports() {}
+    private LoadReportParser() {}
 
-    /** Null where the text is no such report: a malformed one says nothing of its upstream. */
-    static LoadReport read(String text) {
-        if (text == null || !text.startsWith(FORM)) {
+    /** Null if the text is missing or malformed; a malformed report is ignored. */
+    static LoadReport parse(String text) {
+        if (text == null || !text.startsWith(PREFIX)) {
             return null;
         }
         LoadValues values = new LoadValues();
-        for (String pair : text.substring(FORM.length()).split(",")) {
+        for (String pair : text.substring(PREFIX.length()).split(",")) {
             int equals = pair.indexOf('=');
             if (equals < 0) {
                 return null;
@@ -31,6 +31,6 @@
             }
             values.put(pair.substring(0, equals).trim(), value);
         }
-        return values.report();
+        return values.toLoadReport();
     }
 }
