--- /dev/null
+++ b/src/main/java/rushproxy/sidecar/MemoryBudget.java
@@ -0,0 +1,59 @@
+package rushproxy.sidecar;
+
+import java.util.ArrayDeque;
+
+/**
+ * Limits the bytes that are buffered at once over all requests and responses. Waiting reservations are granted in the
+ * order of their arrival.
+ */
+final class MemoryBudget {
+    private record Waiter(int bytes, Runnable onGranted) {}
+
+    private final ArrayDeque<Waiter> waiting = new ArrayDeque<>();
+    private long freeBytes;
+
+    MemoryBudget(long bytes) {
+        freeBytes = bytes;
+    }
+
+    /** Reserves the bytes at once, or returns false and reserves nothing. */
+    boolean tryReserve(int bytes) {
+        if (!waiting.isEmpty() || bytes > freeBytes) {
+            return false;
+        }
+        freeBytes -= bytes;
+        return true;
+    }
+
+    /**
+     * Reserves the bytes now or later; {@code onGranted} runs once they are reserved. The result withdraws a waiting
+     * reservation.
+     */
+    Runnable reserve(int bytes, Runnable onGranted) {
+        if (tryReserve(bytes)) {
+            onGranted.run();
+            return () -> {};
+        }
+        Waiter waiter = new Waiter(bytes, onGranted);
+        waiting.add(waiter);
+        return () -> {
+            // If it was the first, those behind it may fit now.
+            if (waiting.remove(waiter)) {
+                grantWaiting();
+            }
+        };
+    }
+
+    void release(int bytes) {
+        freeBytes += bytes;
+        grantWaiting();
+    }
+
+    private void grantWaiting() {
+        while (!waiting.isEmpty() && waiting.peek().bytes <= freeBytes) {
+            Waiter next = waiting.poll();
+            freeBytes -= next.bytes;
+            next.onGranted.run();
+        }
+    }
+}
--- a/src/main/java/rushproxy/sidecar/ProcessSignals.java
+++ b/src/main/java/rushproxy/sidecar/ProcessSignals.java
@@ -5,50 +5,49 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** What the platform asks of the process, from its first moment on. */
+/** Handles the signals sent to the process: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration. */
 final class ProcessSignals {
     private final Map<String, String> environment;
-    /** Null while there is none yet. */
+    /** Null until startup is complete. */
     private Sidecar sidecar;
 
-    private boolean reload;
+    private boolean reloadPending;
 
     ProcessSignals(Map<String, String> environment) {
         this.environment = environment;
     }
 
-    /** False where a reload can't be asked for: the runtime leaves a signal ignored that was so at its start. */
-    boolean take() {
-        // Not a hook of the runtime's end: by then its logging has been taken down, and the last lines with it.
-        for (String end : List.of("TERM", "INT")) {
-            Signal.handle(new Signal(end), s -> end());
+    /** Returns false if reloads are impossible, since the JVM keeps ignoring a SIGHUP that was ignored when it started. */
+    boolean installHandlers() {
+        // Not a shutdown hook: java.util.logging may already be reset when hooks run, which would lose the last lines.
+        for (String name : List.of("TERM", "INT")) {
+            Signal.handle(new Signal(name), s -> onStopSignal());
         }
-        return Signal.handle(new Signal("HUP"), s -> reload()) != SignalHandler.SIG_IGN;
+        return Signal.handle(new Signal("HUP"), s -> onReloadSignal()) != SignalHandler.SIG_IGN;
     }
 
-    synchronized void started(Sidecar now) {
-        sidecar = now;
-        if (reload) {
-            now.reload(environment);
+    synchronized void sidecarStarted(Sidecar started) {
+        sidecar = started;
+        if (reloadPending) {
+            started.reload(environment);
         }
     }
 
-    private synchronized void end() {
-        // A stop that was asked for and went well is no failure, whatever signal asked; before the start nothing is
-        // held.
+    private synchronized void onStopSignal() {
+        // A requested stop exits with status 0 for either signal, and at once if startup is not complete.
         if (sidecar == null) {
-            leave();
+            exit();
         }
-        sidecar.stop(ProcessSignals::leave);
+        sidecar.stop(ProcessSignals::exit);
     }
 
-    private static void leave() {
-        Log.writeLastLines();
+    private static void exit() {
+        Log.flush();
         Runtime.getRuntime().halt(0);
     }
 
-    private synchronized void reload() {
-        reload = true;
+    private synchronized void onReloadSignal() {
+        reloadPending = true;
         if (sidecar != null) {
             sidecar.reload(environment);
         }
--- a/src/main/java/rushproxy/sidecar/RequestLog.java
+++ b/src/main/java/rushproxy/sidecar/RequestLog.java
@@ -5,14 +5,14 @@
 import rushproxy.Balancer.Outcome;
 
 /**
- * What happens to single requests and connections, at the debug level: each attempt, outcome, refusal and answer by the
- * request's id, and the reason of each close. Costs one comparison a line where that level is off.
+ * Logs the events of single requests and connections at the debug level: each attempt, outcome, refusal and response
+ * with the request's id, and the reason of each close. If that level is off each call costs one comparison.
  */
 final class RequestLog {
     private RequestLog() {}
 
-    static void taken(String id, String requestClass, long leftUs) {
-        if (Log.debugs()) {
+    static void logTaken(String id, String requestClass, long leftUs) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " taken, class " + requestClass + ", " + leftUs / 1000 + " ms left",
@@ -25,8 +25,8 @@
         }
     }
 
-    static void attempt(String id, int number, String upstream, long leftUs) {
-        if (Log.debugs()) {
+    static void logAttempt(String id, int number, String upstream, long leftUs) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " attempt " + number + " to " + upstream + ", " + leftUs / 1000 + " ms left",
@@ -41,12 +41,12 @@
         }
     }
 
-    /** {@code why}: what forbids an attempt that was asked for. */
-    static void notAttempted(String id, int number, String upstream, String why) {
-        if (Log.debugs()) {
+    /** {@code reason}: why an attempt that the balancer asked for was not made. */
+    static void logNotAttempted(String id, int number, String upstream, String reason) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
-                    "request " + id + " attempt " + number + " to " + upstream + " not begun: " + why,
+                    "request " + id + " attempt " + number + " to " + upstream + " not started: " + reason,
                     "request",
                     id,
                     "attempt",
@@ -54,12 +54,12 @@
                     "upstream",
                     upstream,
                     "why",
-                    why);
+                    reason);
         }
     }
 
-    static void outcome(String id, int number, String upstream, Outcome outcome, long tookUs) {
-        if (Log.debugs()) {
+    static void logOutcome(String id, int number, String upstream, Outcome outcome, long tookUs) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
                     "request " + id + " attempt " + number + " to " + upstream + " ended " + outcome + " after "
@@ -77,19 +77,19 @@
         }
     }
 
-    /** {@code state}: what the request has become, such as refused, failed, passing on, overdue or left by its client. */
-    static void state(String id, String state) {
-        if (Log.debugs()) {
+    /** {@code logState}: what the request has become, such as refused, failed, passing on, overdue or left by its client. */
+    static void logState(String id, String state) {
+        if (Log.isDebugEnabled()) {
             Log.event(Log.Level.DEBUG, "request " + id + " " + state, "request", id, "state", state);
         }
     }
 
-    /** A message of a client that is answered here, before it became a request. */
-    static void rejected(Channel client, int status) {
-        if (Log.debugs()) {
+    /** Logs a message that is answered without becoming a request. */
+    static void logRejected(Channel client, int status) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
-                    "connection " + client.remoteAddress() + " is answered " + status,
+                    "connection " + client.remoteAddress() + " rejected with status " + status,
                     "peer",
                     client.remoteAddress(),
                     "status",
@@ -97,13 +97,13 @@
         }
     }
 
-    /** The client had no part of an answer, and did not end the connection itself. */
-    static void endsUnanswered(SocketAddress client, ConnectionHistory history) {
-        if (Log.debugs()) {
+    /** Logs a connection that ends without a response and was not ended by its client. */
+    static void logUnansweredEnd(SocketAddress client, ConnectionHistory history) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
-                    "connection " + client + " ends with no answer after " + history.ageUs() / 1000 + " ms, "
-                            + history.readBytes() + " bytes read of it: " + history.end(),
+                    "connection " + client + " ends without a response after " + history.ageUs() / 1000 + " ms, "
+                            + history.readBytes() + " bytes read: " + history.describeEnd(),
                     "peer",
                     client,
                     "age_ms",
@@ -111,22 +111,23 @@
                     "read_bytes",
                     history.readBytes(),
                     "reason",
-                    history.end());
+                    history.describeEnd());
         }
     }
 
-    static void closes(Channel channel, CloseReason reason) {
+    /** Records the reason in the connection's history and logs it. */
+    static void recordClose(Channel channel, CloseReason reason) {
         if (channel instanceof TcpConnection connection) {
-            connection.history().closes(reason);
+            connection.history().recordCloseReason(reason);
         }
-        if (Log.debugs()) {
+        if (Log.isDebugEnabled()) {
             Log.event(
                     Log.Level.DEBUG,
-                    "connection " + channel.remoteAddress() + " closed: " + reason.words(),
+                    "connection " + channel.remoteAddress() + " closed: " + reason.text(),
                     "peer",
                     channel.remoteAddress(),
                     "reason",
-                    reason.words());
+                    reason.text());
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/Sidecar.java
+++ b/src/main/java/rushproxy/sidecar/Sidecar.java
@@ -19,328 +19,344 @@
 import rushproxy.Balancer.ListKind;
 import rushproxy.Policy;
 
-/** One sidecar: starts its parts on one event loop, which owns them all, and ends them in good order. */
+/** A sidecar process: wires up the components, which all run on one event loop, and starts and stops them in order. */
 public final class Sidecar {
-    /** Descriptors for the program itself: some 15 files, listeners and selectors, and all that operators may hold. */
-    private static final int OWN_DESCRIPTORS = 32 + AdminServer.MOST_CALLERS;
+    /** File descriptors not available to connections: about 15 files, listeners and selectors, and the admin connections. */
+    private static final int RESERVED_DESCRIPTORS = 32 + AdminServer.MAX_CONNECTIONS;
 
-    private static final int LEAST_PER_SIDE = 16;
-    /** A sixteenth of the memory may hold bodies and answers: the runtime's own parts take a third and more. */
-    private static final int KEPT_SHIFT = 4;
-    /** An answer to a probe that takes longer tells nothing of now. */
-    private static final long PROBE_US = 50_000;
+    private static final int MIN_SOCKETS_PER_SIDE = 16;
+    /** Buffered bodies and responses get 1/16 of the memory limit, since the JVM itself needs more than a third of it. */
+    private static final int BUFFER_BUDGET_SHIFT = 4;
+    /** A probe response that takes longer no longer reflects the current state of the server. */
+    private static final long PROBE_TIMEOUT_US = 50_000;
 
-    private static final long BEAT_MS = LoopDelay.BEAT_US / 1000;
-    private static final int BEATS = 100;
-    /** A lag worth a line in the log: more than the margin by which answers precede their deadlines. */
-    private static final long LAG_US = 15_000;
+    private static final long HEARTBEAT_INTERVAL_MS = EventLoopDelay.HEARTBEAT_INTERVAL_US / 1000;
+    private static final int HEARTBEATS_PER_REPORT = 100;
+    /** Lag from which a warning is logged: the smallest margin kept between a response and its deadline. */
+    private static final long MIN_REPORTED_LAG_US = 15_000;
 
     private final Config config;
-    private final ServerSocketChannel inherited;
-    private final Module module;
+    private final ServerSocketChannel inheritedListener;
+    private final BalancerFactory balancerFactory;
     private final Clock clock;
-    private final LoopDelay loopDelay = new LoopDelay();
+    private final EventLoopDelay loopDelay = new EventLoopDelay();
     private final EventLoopGroup group;
     private final EventLoop loop;
-    private final Decisions decisions = new Decisions();
-    private final Upstreams upstreams;
+    private final BalancerDispatcher decisions = new BalancerDispatcher();
+    private final UpstreamPool upstreams;
     private final Invariants invariants = new Invariants();
     private final RequestGuard guard;
-    private final Requests requests;
-    private final StartTimes starts;
-    /** The list that the process was started with. */
-    private final UpstreamList known;
+    private final RequestCoordinator requests;
+    private final StartTimes startTimes;
+    /** The upstream list from the configuration, used until discovery delivers one. */
+    private final UpstreamList knownUpstreams;
 
     private final Discovery discovery;
-    private final Reload reload;
+    private final ConfigReloader configReloader;
     private final Peers peers;
-    /** Null where no part of it is on. */
-    private final FleetPlane fleet;
+    /** Null if the fleet plane is disabled. */
+    private final FleetPlane fleetPlane;
 
     private final ClientServer clients;
-    /** Null where no second address is named: nobody could call anything out, or back. */
-    private final CordonStore cordons;
+    /** Null if there is no admin address, without which nothing can be cordoned. */
+    private final CordonStore cordonStore;
 
-    private Map<String, CordonStore.Mark> marks = Map.of();
-    private InetSocketAddress listening;
-    /** Null where no second address is named. */
-    private InetSocketAddress administered;
+    private Map<String, CordonStore.CordonState> cordonMarks = Map.of();
+    private InetSocketAddress listenAddress;
+    /** Null if there is no admin address. */
+    private InetSocketAddress adminAddress;
 
-    private final AnswerDeadlines deadlines;
-    private long worstLagUs;
-    /** At the last line of the log; null where the kernel does not tell. */
-    private ThreadFigures figures;
+    private final ResponseDeadlines deadlines;
+    private long maxLagUs;
+    /** As of the last periodic report; null if the kernel does not provide them. */
+    private ThreadSchedStats lastSchedStats;
 
-    private long beats;
-    private boolean leaving;
+    private long heartbeats;
+    private boolean stopping;
 
-    /** Makes the module that decides; its actions may be used from then on. */
-    interface Module {
-        Balancer create(Config config, long now, Balancer.Actions actions);
+    /** Creates the load balancer. It may use {@code actions} as soon as it exists. */
+    interface BalancerFactory {
+        Balancer create(Config config, long nowUs, Balancer.Actions actions);
     }
 
-    /** {@code inherited} listens for clients already; null where the sidecar is to listen itself. */
-    Sidecar(Config config, ServerSocketChannel inherited, Module module) {
-        this(config, inherited, module, new Clock(), handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
+    /** {@code inheritedListener}: a listening socket passed in by the parent process; null if the sidecar opens its own. */
+    Sidecar(Config config, ServerSocketChannel inheritedListener, BalancerFactory balancerFactory) {
+        this(
+                config,
+                inheritedListener,
+                balancerFactory,
+                new Clock(),
+                handlers -> new MultiThreadIoEventLoopGroup(1, handlers));
     }
 
-    /** {@code loops} makes a group of one loop, whose timers go by {@code clock}. */
+    /** {@code groupFactory} creates a group of one event loop, whose timers must use {@code clock}. */
     Sidecar(
             Config config,
-            ServerSocketChannel inherited,
-            Module module,
+            ServerSocketChannel inheritedListener,
+            BalancerFactory balancerFactory,
             Clock clock,
-            Function<IoHandlerFactory, EventLoopGroup> loops) {
+            Function<IoHandlerFactory, EventLoopGroup> groupFactory) {
         this.clock = clock;
-        group = loops.apply(TimedIoHandler.factory(SocketLook.handlers(), clock, loopDelay));
+        group = groupFactory.apply(TimedIoHandler.wrap(SocketPolling.ioHandlerFactory(), clock, loopDelay));
         loop = group.next();
         this.config = config;
-        this.inherited = inherited;
-        this.module = module;
+        this.inheritedListener = inheritedListener;
+        this.balancerFactory = balancerFactory;
         Balancer.Settings settings = config.settings();
-        Budget budget = new Budget((long) config.memoryMb() << 20 >> KEPT_SHIFT);
-        // Those who only come to stay are on the clients' side. What that does not use upstreams may have.
-        int free = Math.max(2 * LEAST_PER_SIDE, config.sockets() - OWN_DESCRIPTORS);
-        int ofClients = free - Math.max(LEAST_PER_SIDE, free / 4);
-        RunningTime time = new RunningTime(clock, loopDelay);
-        upstreams = new Upstreams(
+        MemoryBudget budget = new MemoryBudget((long) config.memoryMb() << 20 >> BUFFER_BUDGET_SHIFT);
+        // Idle connections come from clients, so their share is capped; upstreams may borrow what clients don't use.
+        int availableSockets = Math.max(2 * MIN_SOCKETS_PER_SIDE, config.maxSockets() - RESERVED_DESCRIPTORS);
+        int maxClientSockets = availableSockets - Math.max(MIN_SOCKETS_PER_SIDE, availableSockets / 4);
+        StallAwareClock time = new StallAwareClock(clock, loopDelay);
+        upstreams = new UpstreamPool(
                 loop,
                 time,
-                settings.limits().connIdleUs(),
-                Upstreams.REST_US,
+                settings.limits().connectionIdleUs(),
+                UpstreamPool.REUSE_DELAY_US,
                 config.dialTimeoutUs(),
-                // A place for the next client is none of those that clients do not use.
-                () -> free - Math.min(ofClients, clients().open() + 1),
+                // One socket is always kept for the next client.
+                () -> availableSockets - Math.min(maxClientSockets, clients().openCount() + 1),
                 budget);
         guard = new RequestGuard(clock, settings.classes(), invariants);
-        requests = new Requests(
+        requests = new RequestCoordinator(
                 loop, time, decisions, upstreams, guard, settings.limits().maxAttempts());
-        starts = new StartTimes(clock, System::currentTimeMillis);
-        known = starts.known(config.known());
+        startTimes = new StartTimes(clock, System::currentTimeMillis);
+        knownUpstreams = startTimes.fromInitialList(config.knownUpstreams());
         discovery = new Discovery(
                 loop,
                 clock,
                 decisions,
                 upstreams,
-                starts,
+                startTimes,
                 config.discovery(),
-                config.known().generation(),
-                settings.rules().askEveryUs(),
+                config.knownUpstreams().generation(),
+                settings.rules().discoveryRetryUs(),
                 !settings.discoveryOnRequest());
-        reload = new Reload(address -> loop.execute(() -> discovery.moveTo(address)));
-        peers = new Peers(clock, decisions, config.peers(), config.peersAll());
-        fleet = config.fleet().members()
-                ? new FleetPlane(loop, clock, peers, decisions, config, upstreams::ready)
+        configReloader = new ConfigReloader(address -> loop.execute(() -> discovery.changeAddress(address)));
+        peers = new Peers(clock, decisions, config.peers(), config.allPeersAddress());
+        fleetPlane = config.fleet().members()
+                ? new FleetPlane(loop, clock, peers, decisions, config, upstreams::available)
                 : null;
-        if (fleet != null) {
-            requests.watch(fleet::ended);
+        if (fleetPlane != null) {
+            requests.setAttemptListener(fleetPlane::attemptEnded);
         }
-        cordons = config.admin() == null
+        cordonStore = config.adminAddress() == null
                 ? null
                 : new CordonStore(
-                        config.kept(), settings.rules().rampUs() / 1000, now -> loop.execute(() -> mark(now)));
-        deadlines = new AnswerDeadlines(settings.classes(), loopDelay);
+                        config.stateDirectory(),
+                        settings.rules().rampTimeUs() / 1000,
+                        marks -> loop.execute(() -> applyCordonMarks(marks)));
+        deadlines = new ResponseDeadlines(settings.classes(), loopDelay);
         clients = new ClientServer(
                 loop,
                 clock,
                 requests,
                 settings.classes(),
-                upstreams::anyReady,
-                new ClientPlaces(
+                upstreams::hasAvailable,
+                new ClientConnectionLimiter(
                         loop,
-                        () -> Math.min(ofClients, free - upstreams.open()),
-                        () -> clients().open() < ofClients && upstreams.closeOldestIdle()),
+                        () -> Math.min(maxClientSockets, availableSockets - upstreams.openConnections()),
+                        () -> clients().openCount() < maxClientSockets && upstreams.closeOldestIdle()),
                 budget,
                 loopDelay,
                 deadlines,
                 guard);
     }
 
-    /** Runs one sidecar until it is asked to end; only a start that fails returns. */
+    /** Runs a sidecar until a signal stops the process. Returns an exit code only if startup fails. */
     public static int serve(Map<String, String> environment) throws InterruptedException {
-        // Before all else: without handlers of its own the Java runtime ends on these, and a reload that comes now is
-        // meant.
+        // Installed first: without handlers the JVM exits on these signals, and a reload signal during startup must
+        // not be lost.
         ProcessSignals signals = new ProcessSignals(environment);
-        boolean reloads = signals.take();
+        boolean canReload = signals.installHandlers();
         Config config;
         try {
             config = Config.read(environment);
-        } catch (Config.Broken e) {
+        } catch (Config.InvalidConfigException e) {
             Log.event(Log.Level.ERROR, e.getMessage());
-            Log.writeLastLines();
+            Log.flush();
             return 2;
         }
-        Log.style(config.log());
-        TcpInfo.load();
+        Log.configure(config.logOptions());
+        TcpInfo.loadEagerly();
         Sidecar sidecar;
         try {
-            ServerSocketChannel inherited = config.inherits() ? InheritedListener.open() : null;
+            ServerSocketChannel inheritedListener = config.inheritsListener() ? InheritedListener.open() : null;
             sidecar = new Sidecar(
-                    config, inherited, (c, now, actions) -> new Policy(c.settings(), c.seed(), now, actions));
-            // Before anybody can ask.
-            sidecar.clients.notReady();
-            LoopWatch.begin(sidecar.loop, Sidecar::endWithoutLoop);
+                    config,
+                    inheritedListener,
+                    (c, nowUs, actions) -> new Policy(c.settings(), c.seed(), nowUs, actions));
+            // Before the listeners open, so that no health check succeeds early.
+            sidecar.clients.markNotReady();
+            EventLoopWatchdog.start(sidecar.loop, Sidecar::haltAfterLoopExit);
             sidecar.start();
         } catch (Exception e) {
-            Log.event(Log.Level.ERROR, "can't start: " + e);
-            Log.writeLastLines();
+            Log.event(Log.Level.ERROR, "failed to start: " + e);
+            Log.flush();
             return 1;
         }
-        if (!reloads) {
-            Log.warn("was started with SIGHUP ignored: it will not reload");
+        if (!canReload) {
+            Log.warn("was started with SIGHUP ignored: configuration reload is disabled");
         }
-        signals.started(sidecar);
+        signals.sidecarStarted(sidecar);
         sidecar.warmUp();
-        Log.line(config.name() + " serves on " + sidecar.listening());
+        Log.info(config.name() + " serves on " + sidecar.listenAddress());
         new CountDownLatch(1).await();
         return 0;
     }
 
-    /** Whoever supervises the process starts another. */
-    private static void endWithoutLoop() {
+    /** Ends a process whose event loop has died, so that its supervisor restarts it. */
+    private static void haltAfterLoopExit() {
         try {
-            Log.event(Log.Level.ERROR, "the event loop has ended, and the process with it");
-            Log.writeLastLines();
+            Log.event(Log.Level.ERROR, "the event loop thread has died, halting the process");
+            Log.flush();
         } finally {
             Runtime.getRuntime().halt(1);
         }
     }
 
-    /** The configuration file was replaced. */
+    /** Reloads the configuration file. */
     void reload(Map<String, String> environment) {
-        reload.begin(environment);
+        configReloader.reloadAsync(environment);
     }
 
     void start() throws InterruptedException {
-        // Where the selector's own wake-up could not be registered, a loop without timers would never see what is
-        // handed to it.
-        Future<?> wakes = Recurring.every(loop, BEAT_MS, () -> {});
-        upstreams.update(known);
+        // If the selector's wake-up descriptor could not be registered, a loop without timers would never run the
+        // tasks submitted to it.
+        Future<?> wakeUps = PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, () -> {});
+        upstreams.update(knownUpstreams);
         loop.submit(() -> decisions.start(
                         actions -> {
-                            Balancer made = module.create(config, clock.now(), actions);
-                            made.onList(
-                                    clock.now(),
+                            Balancer balancer = balancerFactory.create(config, clock.nowUs(), actions);
+                            balancer.onUpstreamList(
+                                    clock.nowUs(),
                                     ListKind.CACHED,
-                                    known.entries().stream()
+                                    knownUpstreams.entries().stream()
                                             .map(UpstreamList.Entry::upstream)
                                             .toList());
-                            return made;
+                            return balancer;
                         },
-                        new Hands()))
+                        new ModuleActions()))
                 .sync();
-        if (cordons != null) {
-            cordons.start();
+        if (cordonStore != null) {
+            cordonStore.start();
         }
         loop.execute(discovery::start);
-        if (config.peerListen() != null) {
-            peers.listen(loop, config.peerListen());
+        if (config.peerListenAddress() != null) {
+            peers.listen(loop, config.peerListenAddress());
         }
-        if (fleet != null) {
-            loop.execute(fleet::start);
+        if (fleetPlane != null) {
+            loop.execute(fleetPlane::start);
         }
-        if (inherited == null) {
-            listening = clients.listen(config.listen());
+        if (inheritedListener == null) {
+            listenAddress = clients.listen(config.listen());
         } else {
-            // Until it has warmed up: a call to the shared address could land in the other process.
-            listening = clients.listen(new InetSocketAddress(config.listen().getAddress(), 0));
+            // A private port for the warm-up: a connection to the shared address could reach the other process.
+            listenAddress = clients.listen(new InetSocketAddress(config.listen().getAddress(), 0));
         }
         clients.start();
-        if (config.admin() != null) {
-            OperatorCalls calls =
-                    new OperatorCalls(loop, clients, upstreams, fleet, cordons, id -> marks.containsKey(id));
-            administered = new AdminServer(loop, calls).listen(config.admin());
+        if (config.adminAddress() != null) {
+            AdminCommandHandler operatorCalls = new AdminCommandHandler(
+                    loop, clients, upstreams, fleetPlane, cordonStore, id -> cordonMarks.containsKey(id));
+            adminAddress = new AdminServer(loop, operatorCalls).listen(config.adminAddress());
         }
-        Recurring.every(loop, BEAT_MS, this::beat);
-        wakes.cancel(false);
+        PeriodicTask.scheduleEvery(loop, HEARTBEAT_INTERVAL_MS, this::onHeartbeat);
+        wakeUps.cancel(false);
     }
 
-    /** What makes the event loop late makes every answer late: too little of the core, a pause, or a fault here. */
-    private void beat() {
-        long now = clock.now();
-        long behindUs = loopDelay.behindUs(now);
-        worstLagUs = Math.max(worstLagUs, behindUs);
-        // The turn that this beat is part of is told only when it is over.
-        loopDelay.delayed(now, behindUs);
-        if (loopDelay.recentUs() >= Requests.LEAST_GAIN_US) {
-            requests.tighten(deadlines);
+    /** Measures how late the event loop runs (CPU shortage, GC pause, blocking code), since that delays every response. */
+    private void onHeartbeat() {
+        long nowUs = clock.nowUs();
+        long lagUs = loopDelay.heartbeatLagUs(nowUs);
+        maxLagUs = Math.max(maxLagUs, lagUs);
+        // The loop iteration in progress is recorded only when it ends.
+        loopDelay.recordDelay(nowUs, lagUs);
+        if (loopDelay.recentDelayUs() >= RequestCoordinator.MIN_DEADLINE_CHANGE_US) {
+            requests.tightenDeadlines(deadlines);
         }
-        if (behindUs < LoopDelay.LATE_US) {
-            loopDelay.beat(now);
+        if (lagUs < EventLoopDelay.STALL_THRESHOLD_US) {
+            loopDelay.recordHeartbeat(nowUs);
         } else {
-            // What lay in the sockets meanwhile is read only now, and is as old as the hold-up.
-            loop.schedule(() -> loopDelay.beat(clock.now()), LoopDelay.LOOK_MS, TimeUnit.MILLISECONDS);
+            // Data that arrived during the stall is read only now: the stall lasts until the sockets were polled again.
+            loop.schedule(
+                    () -> loopDelay.recordHeartbeat(clock.nowUs()),
+                    EventLoopDelay.EXTRA_POLL_DELAY_MS,
+                    TimeUnit.MILLISECONDS);
         }
-        if (++beats % BEATS == 0) {
-            tellUnanswered();
-            requests.tally((words, fields) -> Log.event(
-                    Log.Level.INFO, "in " + BEATS * BEAT_MS / 1000 + " s " + words + "; " + held() + broken(), fields));
-            tellLag();
+        if (++heartbeats % HEARTBEATS_PER_REPORT == 0) {
+            reportUnansweredConnections();
+            requests.reportStats((summary, fields) -> Log.event(
+                    Log.Level.INFO,
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s " + summary + "; "
+                            + describeConnections() + describeInvariantViolations(),
+                    fields));
+            reportLag();
         }
     }
 
-    /** Whether it worked then or waited for a processor says whose the delay was. */
-    private void tellLag() {
-        ThreadFigures before = figures;
-        figures = ThreadFigures.ofCallingThread().orElse(null);
-        if (worstLagUs >= LAG_US) {
-            String words =
-                    "the event loop was late by up to " + worstLagUs / 1000 + " ms in " + BEATS * BEAT_MS / 1000 + " s";
-            if (before == null || figures == null) {
-                Log.event(Log.Level.WARN, words, "late_ms", worstLagUs / 1000);
+    /** Run time and run queue wait show whether the delay came from this process or from a lack of CPU. */
+    private void reportLag() {
+        ThreadSchedStats before = lastSchedStats;
+        lastSchedStats = ThreadSchedStats.ofCurrentThread().orElse(null);
+        if (maxLagUs >= MIN_REPORTED_LAG_US) {
+            String text = "the event loop was late by up to " + maxLagUs / 1000 + " ms in "
+                    + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000 + " s";
+            if (before == null || lastSchedStats == null) {
+                Log.event(Log.Level.WARN, text, "late_ms", maxLagUs / 1000);
             } else {
-                ThreadFigures since = figures.since(before);
+                ThreadSchedStats since = lastSchedStats.since(before);
                 Log.event(
                         Log.Level.WARN,
-                        words + ", in which it ran for " + since.ranMs() + " ms and waited for a processor for "
-                                + since.waitedMs() + " ms",
+                        text + "; its thread ran for " + since.cpuMs() + " ms and was runnable without a CPU for "
+                                + since.runQueueWaitMs() + " ms",
                         "late_ms",
-                        worstLagUs / 1000,
+                        maxLagUs / 1000,
                         "ran_ms",
-                        since.ranMs(),
+                        since.cpuMs(),
                         "waited_ms",
-                        since.waitedMs());
+                        since.runQueueWaitMs());
             }
         }
-        worstLagUs = 0;
+        maxLagUs = 0;
     }
 
-    private void tellUnanswered() {
-        Map<String, Integer> ends = clients.unansweredSinceLast();
-        if (!ends.isEmpty()) {
+    private void reportUnansweredConnections() {
+        Map<String, Integer> countsByReason = clients.takeUnansweredCounts();
+        if (!countsByReason.isEmpty()) {
             Log.event(
                     Log.Level.WARN,
-                    "in " + BEATS * BEAT_MS / 1000 + " s clients' connections ended with no answer: " + ends,
+                    "in " + HEARTBEATS_PER_REPORT * HEARTBEAT_INTERVAL_MS / 1000
+                            + " s client connections were closed without a response: " + countsByReason,
                     "unanswered",
-                    ends);
+                    countsByReason);
         }
     }
 
-    /** Readies the program's own code before {@link ClientServer} tells the application that it may come. */
+    /** Warms up the JVM before the readiness check of {@link ClientServer} succeeds, and takes over an inherited listener. */
     void warmUp() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        long sinceUs = clock.now();
+        long startUs = clock.nowUs();
         loop.execute(() -> {
             WarmUp warmUp = new WarmUp(loop, clock, config.settings());
-            clients.warmsUp(warmUp);
-            warmUp.begin(listening, () -> {
-                Log.line("warmed up with " + warmUp.served() + " requests in " + (clock.now() - sinceUs) / 1_000
+            clients.beginWarmUp(warmUp);
+            warmUp.start(listenAddress, () -> {
+                Log.info("warm-up served " + warmUp.successCount() + " requests in " + (clock.nowUs() - startUs) / 1_000
                         + " ms");
                 done.countDown();
             });
         });
         done.await();
-        if (inherited != null) {
+        if (inheritedListener != null) {
             clients.closeListener();
-            clients.take(inherited);
-            listening = config.listen();
+            clients.acceptFrom(inheritedListener);
+            listenAddress = config.listen();
         }
-        // What discovery has counts as told from the first moment: its first answer goes before the first client.
-        loop.execute(() -> discovery.whenHeard(() -> {
-            if (fleet == null) {
-                clients.warm();
+        // Ready only after discovery's first response, so that the first clients are served from a current list.
+        loop.execute(() -> discovery.whenFirstPollCompletes(() -> {
+            if (fleetPlane == null) {
+                clients.finishWarmUp();
             } else {
-                fleet.whenWarm(clients::warm);
+                fleetPlane.whenWarmStartEnds(clients::finishWarmUp);
             }
         }));
     }
@@ -349,30 +365,30 @@
         return loop;
     }
 
-    InetSocketAddress listening() {
-        return listening;
+    InetSocketAddress listenAddress() {
+        return listenAddress;
     }
 
-    InetSocketAddress administered() {
-        return administered;
+    InetSocketAddress adminAddress() {
+        return adminAddress;
     }
 
-    /** {@code stopped} runs when all that was taken has been answered and all connections are closed. */
+    /** Stops gracefully. {@code stopped} runs once all accepted requests are answered and all connections are closed. */
     void stop(Runnable stopped) {
-        // The kill is counted from the signal, however late the loop comes to it.
-        long sinceUs = clock.now();
+        // Taken here and not on the loop: the time until SIGKILL runs from the signal, even if the loop is late.
+        long stopRequestedUs = clock.nowUs();
         loop.execute(() -> {
-            // Told again it changes nothing: the time runs from the first call.
-            if (leaving) {
+            // A second call must not restart the shutdown deadline.
+            if (stopping) {
                 return;
             }
-            leaving = true;
-            Log.line("is to leave; " + held());
-            if (fleet != null) {
-                fleet.leave();
+            stopping = true;
+            Log.info("is to leave; " + describeConnections());
+            if (fleetPlane != null) {
+                fleetPlane.leave();
             }
-            clients.stop(sinceUs, () -> {
-                long afterMs = (clock.now() - sinceUs) / 1000;
+            clients.stop(stopRequestedUs, () -> {
+                long afterMs = (clock.nowUs() - stopRequestedUs) / 1000;
                 Log.event(Log.Level.INFO, "leaves after " + afterMs + " ms", "after_ms", afterMs);
                 stopped.run();
             });
@@ -383,7 +399,7 @@
         return clients;
     }
 
-    Requests requests() {
+    RequestCoordinator requests() {
         return requests;
     }
 
@@ -391,50 +407,49 @@
         return invariants;
     }
 
-    private String broken() {
+    private String describeInvariantViolations() {
         return invariants.total() == 0 ? "" : "; broken invariants " + invariants.counts();
     }
 
-    private String held() {
-        return clients.open() + " of " + clients.limit() + " connections of clients, " + upstreams.open()
-                + " to upstreams";
+    private String describeConnections() {
+        return clients.openCount() + " of " + clients.limit() + " connections of clients, "
+                + upstreams.openConnections() + " to upstreams";
     }
 
-    /** The operators have called upstreams out or back, here or at the other process of an upgrade. */
-    private void mark(Map<String, CordonStore.Mark> now) {
-        Map<String, CordonStore.Mark> before = marks;
-        marks = now;
-        for (Map.Entry<String, CordonStore.Mark> e : now.entrySet()) {
-            CordonStore.Mark mark = e.getValue();
-            if (!mark.equals(before.get(e.getKey()))) {
+    /** Applies cordons set or lifted by operators, here or at the other process during an upgrade. */
+    private void applyCordonMarks(Map<String, CordonStore.CordonState> marks) {
+        Map<String, CordonStore.CordonState> previous = cordonMarks;
+        cordonMarks = marks;
+        for (Map.Entry<String, CordonStore.CordonState> e : marks.entrySet()) {
+            CordonStore.CordonState mark = e.getValue();
+            if (!mark.equals(previous.get(e.getKey()))) {
                 Log.event(
                         Log.Level.INFO,
-                        (mark.out() ? "leaves out " : "has back ") + e.getKey() + ", as the operators ask",
+                        (mark.isCordoned() ? "cordoned " : "uncordoned ") + e.getKey() + " by operator request",
                         "upstream",
                         e.getKey(),
                         "out",
-                        mark.out());
-                upstreams.cordon(e.getKey(), mark.out());
-                // Told here, it is news of now: the wall clock by which the mark was written may have been stepped
-                // since.
-                decisions.call(m -> m.onCordon(clock.now(), e.getKey(), mark.out(), clock.now()), () -> {});
+                        mark.isCordoned());
+                upstreams.setCordoned(e.getKey(), mark.isCordoned());
+                // Uses the current time, since the wall clock that stamped the mark may have been stepped since.
+                decisions.call(m -> m.onCordon(clock.nowUs(), e.getKey(), mark.isCordoned(), clock.nowUs()), () -> {});
             }
         }
     }
 
-    /** Ends at once, whatever is held. */
-    void end() {
-        if (cordons != null) {
-            cordons.close();
+    /** Closes everything at once, including requests in progress. */
+    void shutdownNow() {
+        if (cordonStore != null) {
+            cordonStore.close();
         }
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Carries out what the module decides. */
-    private final class Hands implements Balancer.Actions {
+    /** Carries out the load balancer's decisions. */
+    private final class ModuleActions implements Balancer.Actions {
         @Override
-        public void send(String request, String upstream, long untilUs) {
-            requests.send(request, upstream, untilUs);
+        public void send(String request, String upstream, long attemptUntilUs) {
+            requests.send(request, upstream, attemptUntilUs);
         }
 
         @Override
@@ -456,15 +471,16 @@
         public void probe(String upstream) {
             upstreams.start(new UpstreamCall(
                     upstream,
-                    clock.now() + PROBE_US,
+                    clock.nowUs() + PROBE_TIMEOUT_US,
                     true,
-                    left -> probe(),
+                    left -> probeRequest(),
                     null,
                     (call, outcome, report, body) -> decisions.call(
-                            m -> m.onProbe(clock.now(), upstream, outcome, upstreams.tookUs(call), report), () -> {})));
+                            m -> m.onProbeResult(clock.nowUs(), upstream, outcome, upstreams.latencyUs(call), report),
+                            () -> {})));
         }
 
-        private static HttpRequest probe() {
+        private static HttpRequest probeRequest() {
             return new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/stats");
         }
 
@@ -474,32 +490,32 @@
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
-            peers.tell(peer, message);
+        public void sendToPeer(int peer, byte[] message) {
+            peers.send(peer, message);
         }
 
         @Override
-        public void close(String upstream) {
-            upstreams.close(upstream);
+        public void closeIdleConnections(String upstream) {
+            upstreams.closeIdle(upstream);
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             loop.schedule(
-                    () -> decisions.call(m -> m.onTimer(clock.now(), mark), requests::failHeld),
+                    () -> decisions.call(m -> m.onTimer(clock.nowUs(), mark), requests::failPending),
                     delayUs,
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void log(String text) {
-            Log.line(text);
+            Log.info(text);
         }
 
         @Override
-        public void evidence(String upstream, Balancer.Evidence kind, double factor) {
-            if (fleet != null) {
-                fleet.evidence(upstream, kind, factor);
+        public void reportEvidence(String upstream, Balancer.Evidence kind, double factor) {
+            if (fleetPlane != null) {
+                fleetPlane.reportEvidence(upstream, kind, factor);
             }
         }
     }
--- a/src/main/java/rushproxy/sidecar/SocketOptions.java
+++ b/src/main/java/rushproxy/sidecar/SocketOptions.java
@@ -9,82 +9,80 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The options that one socket is to have. One that can't be set for a moment is tried again, so it costs the option for as long and
- * never the connection.
+ * Sets options on a socket, with retries. A transient failure to set an option delays that option and never costs the connection.
  */
 final class SocketOptions {
-    private static final long AGAIN_MS = 3;
-    /** A second of tries. */
-    private static final int MOST_TRIES = 330;
+    private static final long RETRY_DELAY_MS = 3;
+    /** About a second of retries. */
+    private static final int MAX_ATTEMPTS = 330;
 
     private final NetworkChannel socket;
-    /** Those that are not set yet. */
     private final Map<SocketOption<?>, Object> pending = new LinkedHashMap<>();
-    /** Null until the socket belongs to one. */
+    /** Null until the socket is registered with an event loop. */
     private EventLoop loop;
 
-    private int tries;
-    private boolean scheduled;
-    /** Runs once nothing is pending, or no more is tried; null where nobody waits. */
-    private Runnable whenSet;
+    private int attempts;
+    private boolean retryScheduled;
+    /** Null if there is no callback. */
+    private Runnable whenApplied;
 
     SocketOptions(NetworkChannel socket) {
         this.socket = socket;
     }
 
-    /** A value that is still pending for this option is forgotten. */
+    /** Sets an option. Replaces a value still pending for it. */
     <T> void set(SocketOption<T> option, T value) {
         pending.put(option, value);
-        tries = 0;
-        apply();
+        attempts = 0;
+        applyPending();
     }
 
-    /** What could not be set yet is tried again on this loop. */
-    void tryAgainOn(EventLoop of) {
-        loop = of;
-        scheduleIfPending();
+    /** Sets the event loop on which failed options are retried. */
+    void retryOn(EventLoop eventLoop) {
+        loop = eventLoop;
+        scheduleRetryIfPending();
     }
 
-    /** {@code then} runs at once where nothing is pending, and no later than a second from now. */
-    void whenSet(Runnable then) {
-        whenSet = then;
-        tellIfSet();
+    /** Runs {@code callback} once no option is pending, at the latest after the last retry about a second from now. */
+    void whenApplied(Runnable callback) {
+        whenApplied = callback;
+        notifyIfDone();
     }
 
-    private void apply() {
-        pending.entrySet().removeIf(e -> isSet(e.getKey(), e.getValue()));
-        tellIfSet();
-        scheduleIfPending();
+    private void applyPending() {
+        pending.entrySet().removeIf(e -> trySet(e.getKey(), e.getValue()));
+        notifyIfDone();
+        scheduleRetryIfPending();
     }
 
-    private void scheduleIfPending() {
-        if (!pending.isEmpty() && loop != null && !scheduled && tries < MOST_TRIES) {
-            scheduled = true;
-            loop.schedule(this::again, AGAIN_MS, TimeUnit.MILLISECONDS);
+    private void scheduleRetryIfPending() {
+        if (!pending.isEmpty() && loop != null && !retryScheduled && attempts < MAX_ATTEMPTS) {
+            retryScheduled = true;
+            loop.schedule(this::retry, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void again() {
-        scheduled = false;
-        tries++;
+    private void retry() {
+        retryScheduled = false;
+        attempts++;
         if (socket.isOpen()) {
-            apply();
+            applyPending();
         } else {
             pending.clear();
-            tellIfSet();
+            notifyIfDone();
         }
     }
 
-    private void tellIfSet() {
-        if (whenSet != null && (pending.isEmpty() || tries >= MOST_TRIES)) {
-            Runnable then = whenSet;
-            whenSet = null;
-            then.run();
+    private void notifyIfDone() {
+        if (whenApplied != null && (pending.isEmpty() || attempts >= MAX_ATTEMPTS)) {
+            Runnable callback = whenApplied;
+            whenApplied = null;
+            callback.run();
         }
     }
 
     @SuppressWarnings("unchecked")
-    private <T> boolean isSet(SocketOption<T> option, Object value) {
+    private <T> boolean trySet(SocketOption<T> option, Object value) {
         try {
             socket.setOption(option, (T) value);
             return true;
--- a/src/main/java/rushproxy/sidecar/TcpConnection.java
+++ b/src/main/java/rushproxy/sidecar/TcpConnection.java
@@ -14,40 +14,40 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A TCP connection, opened or accepted, to which only the peer's end is an end: any other error of a call is this machine's own, and
- * the call is tried again ({@link SocketErrors}), a few milliseconds later: what keeps failing must not keep the loop from waiting.
- * Netty closes a connection at each error of a read or write. The JDK returns a negative number other than -1 for a read that a
- * signal interrupted (EINTR); Netty takes every negative number for the peer's end.
+ * A TCP connection, opened or accepted, that survives transient errors of socket calls. Netty closes a connection on every read or
+ * write error; here only errors that mean the connection is lost do so ({@link SocketErrors}), and other calls are retried. Retries
+ * wait a few milliseconds, so that a call that keeps failing does not make the event loop spin. Interrupted reads (EINTR) need care:
+ * the JDK returns a negative number other than -1 for them, and Netty takes every negative number for the end of the stream.
  */
-final class TcpConnection extends NioSocketChannel implements RegistrationRetry.Registered {
-    /** Told to the handlers where it could not be read for so long that its peer may have gone unseen. */
-    enum ReadsFail {
+final class TcpConnection extends NioSocketChannel implements RegistrationRetry.RegisteredChannel {
+    /** User event, fired when reads have failed for so long that the peer may have closed the connection unnoticed. */
+    enum ReadFailure {
         FOR_LONG
     }
 
-    private static final int END = -1;
+    private static final int END_OF_STREAM = -1;
 
     private final ConnectionHistory history = new ConnectionHistory();
     private final SocketOptions options = new SocketOptions(javaChannel());
     private final RegistrationRetry registration = new RegistrationRetry(this);
-    private final FailureSpell reads = new FailureSpell(System::nanoTime);
-    private BooleanSupplier ageWanted = () -> false;
-    private long lastReceivedAgoUs = TcpInfo.UNKNOWN;
-    /** Not asked for readiness to read until the next try. */
+    private final TransientFailureTracker readFailures = new TransientFailureTracker(System::nanoTime);
+    private BooleanSupplier dataAgeWanted = () -> false;
+    private long sinceLastReceiveUs = TcpInfo.UNKNOWN;
+    /** Read readiness is not requested until the next retry. */
     private boolean readPaused;
 
-    private boolean toldUnwatched;
-    private final FailureSpell writes = new FailureSpell(System::nanoTime);
+    private boolean readFailureReported;
+    private final TransientFailureTracker writeFailures = new TransientFailureTracker(System::nanoTime);
     private boolean writePaused;
-    /** Asked before each write, as long as no byte of what it writes has left; null where nobody asks. */
-    private BooleanSupplier mayBegin;
+    /** Consulted before each attempt until the first byte of a write is sent; null if there is no condition. */
+    private BooleanSupplier mayStartWrite;
 
-    /** One that is to be opened. */
+    /** Creates a connection to be opened. */
     TcpConnection() {
         options.set(StandardSocketOptions.TCP_NODELAY, true);
     }
 
-    /** One that was accepted. */
+    /** Wraps an accepted connection. */
     TcpConnection(Channel parent, SocketChannel socket) {
         super(parent, socket);
         options.set(StandardSocketOptions.TCP_NODELAY, true);
@@ -65,7 +65,7 @@
 
     @Override
     protected void doBeginRead() throws Exception {
-        options.tryAgainOn(eventLoop());
+        options.retryOn(eventLoop());
         if (readPaused) {
             setReadPending(true);
         } else {
@@ -73,80 +73,80 @@
         }
     }
 
-    /** From now on {@code wanted} is asked before each read whether {@link #lastReceivedAgoUs} is needed after it. */
-    void tellsAgeIf(BooleanSupplier wanted) {
-        ageWanted = wanted;
+    /** Measures {@link #sinceLastReceiveUs} before each read for which {@code wanted} is true. */
+    void measureDataAgeIf(BooleanSupplier wanted) {
+        dataAgeWanted = wanted;
     }
 
-    /** By the kernel, before the last read: how long ago data came last. {@link TcpInfo#UNKNOWN} where it was not wanted or does not tell. */
-    long lastReceivedAgoUs() {
-        return lastReceivedAgoUs;
+    /** The kernel's time since the last receipt of data, as of the last read; {@link TcpInfo#UNKNOWN} if not measured or not available. */
+    long sinceLastReceiveUs() {
+        return sinceLastReceiveUs;
     }
 
     @Override
     protected int doReadBytes(ByteBuf to) throws Exception {
-        // Before it: what comes between the two is taken for older than it is, never for younger.
-        lastReceivedAgoUs = ageWanted.getAsBoolean() ? TcpInfo.lastReceivedAgoUs(javaChannel()) : TcpInfo.UNKNOWN;
+        // Before the read: data that arrives in between may then be taken for older than it is, but never for younger.
+        sinceLastReceiveUs = dataAgeWanted.getAsBoolean() ? TcpInfo.sinceLastReceiveUs(javaChannel()) : TcpInfo.UNKNOWN;
         int n;
         try {
-            n = readInterruptible(to);
+            n = readRetryingInterrupt(to);
         } catch (IOException e) {
-            history.failed(ConnectionHistory.Call.READ, e);
-            if (!reads.mayTryAgain(e)) {
+            history.recordFailure(ConnectionHistory.SocketOperation.READ, e);
+            if (!readFailures.shouldRetry(e)) {
                 throw e;
             }
-            readAgainLater();
+            scheduleReadRetry();
             return 0;
         }
-        reads.over();
-        toldUnwatched = false;
-        if (n == END) {
-            history.peerEnded();
+        readFailures.succeeded();
+        readFailureReported = false;
+        if (n == END_OF_STREAM) {
+            history.recordPeerClosed();
         } else if (n > 0) {
-            history.read(n);
+            history.recordRead(n);
             if (interestOps() == SelectionKey.OP_READ) {
-                registration.proven();
+                registration.readinessObserved();
             }
         }
         return n;
     }
 
-    /** A read that a signal interrupts is made once more at once; one that is interrupted again has failed for a moment. */
-    private int readInterruptible(ByteBuf to) throws Exception {
+    /** Repeats a read interrupted by a signal once; a second interruption counts as a transient failure. */
+    private int readRetryingInterrupt(ByteBuf to) throws Exception {
         int n = super.doReadBytes(to);
-        if (n < END) {
+        if (n < END_OF_STREAM) {
             n = super.doReadBytes(to);
         }
-        if (n < END) {
+        if (n < END_OF_STREAM) {
             throw new InterruptedIOException("interrupted");
         }
         return n;
     }
 
-    /** Whether what comes is read as soon as it comes. */
-    boolean reads() {
+    /** Whether incoming data is read as soon as it arrives. */
+    boolean isReading() {
         return isActive() && isRegistered() && config().isAutoRead() && !readPaused;
     }
 
-    /** Reads what lies in the socket by now, without waiting to be told of it; nothing where reading waits. */
+    /** Reads the available data without waiting for a readiness event. Does nothing while reading is paused. */
     void readNow() {
-        if (reads()) {
+        if (isReading()) {
             unsafe().read();
         }
     }
 
-    /** The socket may stay readable all the while: until the next try it is not asked for. */
-    private void readAgainLater() {
+    /** Drops the read interest until the retry, since the socket may stay readable and would make the loop spin. */
+    private void scheduleReadRetry() {
         readPaused = true;
         removeAndSubmit(NioIoOps.READ);
-        eventLoop().schedule(this::readAgain, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
-        if (reads.lastsMs() >= ClientInput.UNWATCHED_MS && !toldUnwatched) {
-            toldUnwatched = true;
-            pipeline().fireUserEventTriggered(ReadsFail.FOR_LONG);
+        eventLoop().schedule(this::retryRead, TransientFailureTracker.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
+        if (readFailures.failingForMs() >= ClientInput.MAX_UNREAD_MS && !readFailureReported) {
+            readFailureReported = true;
+            pipeline().fireUserEventTriggered(ReadFailure.FOR_LONG);
         }
     }
 
-    private void readAgain() {
+    private void retryRead() {
         readPaused = false;
         if (isActive() && wantsRead()) {
             read();
@@ -159,72 +159,73 @@
 
     // ---- writing
 
-    /**
-     * {@code now} is asked right before each try of a write of which no byte has left: false, and it is not tried. It is forgotten with
-     * the first byte.
-     */
-    void beginsIf(BooleanSupplier now) {
-        mayBegin = now;
+    /** Attempts the next write only while {@code condition} is true. The condition is dropped once the first byte is sent. */
+    void startWriteIf(BooleanSupplier condition) {
+        mayStartWrite = condition;
     }
 
-    /** Whether such a write has not begun to leave. */
-    boolean waitsToBegin() {
-        return mayBegin != null;
+    /** Whether a conditional write has not sent its first byte yet. */
+    boolean isWriteNotStarted() {
+        return mayStartWrite != null;
     }
 
-    /** Whether the last write failed for a moment. */
-    boolean writesFail() {
-        return writes.failing();
+    /** Whether the last write failed with a transient error. */
+    boolean isWriteFailing() {
+        return writeFailures.isFailing();
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-        if (mayBegin != null && !mayBegin.getAsBoolean()) {
+        if (mayStartWrite != null && !mayStartWrite.getAsBoolean()) {
             return;
         }
         long pendingBefore = out.totalPendingWriteBytes();
         try {
             super.doWrite(out);
-            writes.over();
+            writeFailures.succeeded();
         } catch (IOException e) {
-            history.failed(ConnectionHistory.Call.WRITE, e);
-            if (!writes.mayTryAgain(e)) {
+            history.recordFailure(ConnectionHistory.SocketOperation.WRITE, e);
+            if (!writeFailures.shouldRetry(e)) {
                 throw e;
             }
-            writeAgainLater();
+            scheduleWriteRetry();
         } finally {
             if (out.isEmpty() || out.currentProgress() > 0 || out.totalPendingWriteBytes() < pendingBefore) {
-                mayBegin = null;
+                mayStartWrite = null;
             }
         }
     }
 
-    /** The socket may stay writable all the while: until the next try it is not asked for. */
-    private void writeAgainLater() {
+    /** Drops the write interest until the retry, since the socket may stay writable and would make the loop spin. */
+    private void scheduleWriteRetry() {
         clearOpWrite();
         if (!writePaused) {
             writePaused = true;
-            eventLoop().schedule(this::writeAgain, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::retryWrite, TransientFailureTracker.RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void writeAgain() {
+    private void retryWrite() {
         writePaused = false;
         if (isOpen()) {
             unsafe().forceFlush();
         }
     }
 
-    /** Ends the output where the transport could not for a moment; it counts as ended there. Nothing may wait to be written. */
-    void endOutput() {
+    /** Repeats a shutdown of the output that failed in Netty, which considers it done. No writes may be pending. */
+    void shutdownOutputWithRetry() {
         if (!isOpen()) {
             return;
         }
         try {
             javaChannel().shutdownOutput();
         } catch (IOException e) {
-            if (!SocketErrors.endsConnection(e)) {
-                eventLoop().schedule(this::endOutput, FailureSpell.AGAIN_MS, TimeUnit.MILLISECONDS);
+            if (!SocketErrors.isConnectionLost(e)) {
+                eventLoop()
+                        .schedule(
+                                this::shutdownOutputWithRetry,
+                                TransientFailureTracker.RETRY_DELAY_MS,
+                                TimeUnit.MILLISECONDS);
             }
         }
     }
@@ -235,14 +236,14 @@
     protected void addAndSubmit(NioIoOps ops) {
         int before = interestOps();
         super.addAndSubmit(ops);
-        registration.changedFrom(before);
+        registration.interestChanged(before);
     }
 
     @Override
     protected void removeAndSubmit(NioIoOps ops) {
         int before = interestOps();
         super.removeAndSubmit(ops);
-        registration.changedFrom(before);
+        registration.interestChanged(before);
     }
 
     @Override
--- a/src/main/java/rushproxy/sidecar/TcpInfo.java
+++ b/src/main/java/rushproxy/sidecar/TcpInfo.java
@@ -9,57 +9,56 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * What the kernel knows of a connection (TCP_INFO): when it last received data, also while nobody had accepted the connection or read
- * from it. It takes a call of Netty's native library and a part of the runtime that are not public; where either is missing nothing is
- * known.
+ * Reads from the kernel (TCP_INFO) when a connection last received data, even if the data has not been read or the connection not been
+ * accepted since. Relies on non-public parts of Netty's native library and of the JDK; if either is missing, the result is unknown.
  */
 final class TcpInfo {
-    /** The kernel does not tell. */
+    /** The result if the kernel's figures are not available. */
     static final long UNKNOWN = -1;
 
-    /** Null where a part is missing. */
-    private static final TcpInfo KERNEL;
-    /** Why nothing is known; null where it is. */
-    private static final String MISSING;
+    /** Null if a required part is missing. */
+    private static final TcpInfo INSTANCE;
+    /** Null if the figures are available. */
+    private static final String UNAVAILABLE_REASON;
 
     static {
-        TcpInfo found = null;
-        String missing = null;
+        TcpInfo instance = null;
+        String reason = null;
         try {
-            found = find();
+            instance = lookUp();
         } catch (ReflectiveOperationException | RuntimeException | LinkageError e) {
-            missing = rootOf(e).toString();
+            reason = rootCause(e).toString();
         }
-        KERNEL = found;
-        MISSING = missing;
+        INSTANCE = instance;
+        UNAVAILABLE_REASON = reason;
     }
 
-    private static final long US_A_MS = 1_000;
+    private static final long US_PER_MS = 1_000;
 
-    private final Field descriptor;
-    private final Constructor<?> socket;
-    private final Method read;
+    private final Field descriptorField;
+    private final Constructor<?> socketConstructor;
+    private final Method getTcpInfo;
     private final EpollTcpInfo info = new EpollTcpInfo();
 
-    private TcpInfo(Field descriptor, Constructor<?> socket, Method read) {
-        this.descriptor = descriptor;
-        this.socket = socket;
-        this.read = read;
+    private TcpInfo(Field descriptorField, Constructor<?> socketConstructor, Method getTcpInfo) {
+        this.descriptorField = descriptorField;
+        this.socketConstructor = socketConstructor;
+        this.getTcpInfo = getTcpInfo;
     }
 
-    private static TcpInfo find() throws ReflectiveOperationException {
+    private static TcpInfo lookUp() throws ReflectiveOperationException {
         Epoll.ensureAvailability();
         Class<?> linuxSocket = Class.forName("io.netty.channel.epoll.LinuxSocket");
-        Field descriptor = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
-        Constructor<?> socket = linuxSocket.getDeclaredConstructor(int.class);
-        Method read = linuxSocket.getDeclaredMethod("getTcpInfo", EpollTcpInfo.class);
-        for (AccessibleObject part : new AccessibleObject[] {descriptor, socket, read}) {
+        Field descriptorField = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
+        Constructor<?> socketConstructor = linuxSocket.getDeclaredConstructor(int.class);
+        Method getTcpInfo = linuxSocket.getDeclaredMethod("getTcpInfo", EpollTcpInfo.class);
+        for (AccessibleObject part : new AccessibleObject[] {descriptorField, socketConstructor, getTcpInfo}) {
             part.setAccessible(true);
         }
-        return new TcpInfo(descriptor, socket, read);
+        return new TcpInfo(descriptorField, socketConstructor, getTcpInfo);
     }
 
-    private static Throwable rootOf(Throwable e) {
+    private static Throwable rootCause(Throwable e) {
         Throwable root = e;
         while (root.getCause() != null) {
             root = root.getCause();
@@ -67,28 +66,28 @@
         return root;
     }
 
-    /** Loads all that the call takes, which reads files and may unpack one: not for the event loop. What is missing is told once. */
-    static void load() {
-        if (MISSING != null) {
-            Log.warn("the kernel's figures for connections are unknown: " + MISSING);
+    /** Loads the native library ahead of use, since that reads files and must not block the event loop. Logs if it is unavailable. */
+    static void loadEagerly() {
+        if (UNAVAILABLE_REASON != null) {
+            Log.warn("TCP_INFO is unavailable: " + UNAVAILABLE_REASON);
         }
     }
 
-    /** How long ago the connection last received data, or was established, where it has received none; {@link #UNKNOWN} else. */
-    static synchronized long lastReceivedAgoUs(SocketChannel connection) {
-        if (KERNEL == null || !connection.isOpen()) {
+    /** The time since the connection last received data, or since it was established if it has received none; or {@link #UNKNOWN}. */
+    static synchronized long sinceLastReceiveUs(SocketChannel connection) {
+        if (INSTANCE == null || !connection.isOpen()) {
             return UNKNOWN;
         }
         try {
-            return KERNEL.readLastReceivedAgoUs(connection);
+            return INSTANCE.readSinceLastReceiveUs(connection);
         } catch (ReflectiveOperationException | RuntimeException e) {
             return UNKNOWN;
         }
     }
 
-    private long readLastReceivedAgoUs(SocketChannel connection) throws ReflectiveOperationException {
-        read.invoke(socket.newInstance(descriptor.getInt(connection)), info);
-        // A kernel has a segment size for each connection; what stands in for one may fill in nothing.
-        return info.rcvMss() == 0 ? UNKNOWN : info.lastDataRecv() * US_A_MS;
+    private long readSinceLastReceiveUs(SocketChannel connection) throws ReflectiveOperationException {
+        getTcpInfo.invoke(socketConstructor.newInstance(descriptorField.getInt(connection)), info);
+        // The kernel always reports a segment size; emulations of Linux may leave the structure empty.
+        return info.rcvMss() == 0 ? UNKNOWN : info.lastDataRecv() * US_PER_MS;
     }
 }
--- a/src/main/java/rushproxy/sidecar/UpstreamCall.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamCall.java
@@ -9,161 +9,163 @@
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Upstream;
 
-/** One message to an upstream, until its outcome. */
+/** One request message to an upstream, attempt or probe, up to its outcome. */
 final class UpstreamCall {
-    final String upstream;
-    long untilUs;
-    /** When the process may be killed; an answer that has stopped by then is broken off. */
-    long endUs = Long.MAX_VALUE;
-    /** Makes the message's head, told how long an answer is waited for. */
-    final LongFunction<HttpRequest> message;
-    /** Null where there is none. */
-    final Body body;
-
-    final CallResult result;
-    private final boolean reportInBody;
-    RunningTime.Mark sent;
-    /** When its upstream was given something to act on: a connection to accept, or a message on an old one; null before. */
-    RunningTime.Mark offered;
+    final String upstreamId;
+    long deadlineUs;
+    /** When the process may be killed; a response that stalls beyond this is aborted. */
+    long processEndUs = Long.MAX_VALUE;
+    /** Makes the request head; its argument is the time left for the response, in microseconds. */
+    final LongFunction<HttpRequest> headFactory;
+    /** Null if the request has none. */
+    final RequestBody body;
+
+    final CallListener listener;
+    private final boolean isReportInBody;
+    /** Start of the latency measurement. */
+    StallAwareClock.Timestamp sent;
+    /** When the upstream was first given work: a connection to accept, or a request on an open one; null before. */
+    StallAwareClock.Timestamp dispatched;
 
     UpstreamTarget target;
     Channel channel;
     Future<?> timeout;
-    /** Connections that this machine has failed to open for it. */
-    int dials;
-    /** It waits for its connection's rest to be over: its upstream has no part in that. */
-    boolean awaitsRest;
-    /** Its first byte has been handed to a connection. */
-    boolean started;
-
-    long startedUs;
-    boolean written;
-    boolean ended;
+    /** Connects that failed locally. */
+    int failedConnects;
+    /** Waiting for its connection's reuse delay to end; the upstream is not involved yet. */
+    boolean awaitsReuseDelay;
+    /** The request has been passed to the connection; its first byte may not have been sent yet. */
+    boolean isWriteStarted;
+
+    long writeStartedUs;
+    /** The last byte of the request has been written. */
+    boolean isWritten;
+
+    boolean isEnded;
     private boolean mayHaveRun;
     private Outcome outcome;
-    /** Its body goes on coming while it is sent. */
-    boolean flowing;
-    /** Its answer is being passed on. */
-    boolean begun;
+    /** The request body is forwarded while it is received. */
+    boolean isBodyStreaming;
+    /** The response is being forwarded to the client. */
+    boolean isResponseStreaming;
 
     UpstreamCall(
-            String upstream,
-            long untilUs,
-            boolean reportInBody,
-            LongFunction<HttpRequest> message,
-            Body body,
-            CallResult result) {
-        this.upstream = upstream;
-        this.untilUs = untilUs;
-        this.message = message;
+            String upstreamId,
+            long deadlineUs,
+            boolean isReportInBody,
+            LongFunction<HttpRequest> headFactory,
+            RequestBody body,
+            CallListener listener) {
+        this.upstreamId = upstreamId;
+        this.deadlineUs = deadlineUs;
+        this.headFactory = headFactory;
         this.body = body;
-        this.reportInBody = reportInBody;
-        this.result = result;
+        this.isReportInBody = isReportInBody;
+        this.listener = listener;
     }
 
-    /** True for a probe, whose answer's body is the load report. */
-    boolean reportInBody() {
-        return reportInBody;
+    /** Whether the response body is the load report, as for a probe. */
+    boolean isReportInBody() {
+        return isReportInBody;
     }
 
-    boolean ended() {
-        return ended;
+    boolean isEnded() {
+        return isEnded;
     }
 
-    /** Null while it is out. */
+    /** Null until the call has ended. */
     Outcome outcome() {
         return outcome;
     }
 
-    long untilUs() {
-        return untilUs;
+    long deadlineUs() {
+        return deadlineUs;
     }
 
     long sentUs() {
         return sent.atUs();
     }
 
-    void sentAt(RunningTime.Mark mark) {
+    void setSent(StallAwareClock.Timestamp mark) {
         sent = mark;
     }
 
-    boolean written() {
-        return written;
+    boolean isWritten() {
+        return isWritten;
     }
 
-    /** Its first byte is handed to its connection. */
-    void startsNow() {
-        started = true;
+    void markWriteStarted() {
+        isWriteStarted = true;
     }
 
-    /** Whether a byte of it has left: the write of the first one may be failing for a moment. */
-    private boolean hasLeft() {
-        return started && !((TcpConnection) channel).waitsToBegin();
+    /** Whether any byte has been sent; the write of the first one may be failing temporarily. */
+    private boolean hasSentBytes() {
+        return isWriteStarted && !((TcpConnection) channel).isWriteNotStarted();
     }
 
-    /** Whether its upstream may work on it, or has. */
-    boolean mayRun() {
-        return started && !neverRan();
+    /** Whether the upstream may be processing the request or have processed it. */
+    boolean mayHaveReachedUpstream() {
+        return isWriteStarted && !isProvenNotRun();
     }
 
-    /** The upstream as the list had it when the call was begun; null before. */
-    Upstream target() {
+    /** The upstream as listed when the call was started; null before. */
+    Upstream listedUpstream() {
         return target == null ? null : target.upstream;
     }
 
-    /** Whether it has ended in a way that proves that its upstream did nothing for it. */
-    boolean neverRan() {
-        return ended && !mayHaveRun;
+    /** Whether the call's outcome proves that the upstream did not process the request. */
+    boolean isProvenNotRun() {
+        return isEnded && !mayHaveRun;
     }
 
-    long endUs() {
-        return endUs;
+    long processEndUs() {
+        return processEndUs;
     }
 
-    /** From now on its connection watches the deadline: the client has the answer as it comes. */
-    boolean begins(long length, Runnable resume) {
-        if (ended || !result.begins(this, length, resume)) {
+    /** Starts forwarding the response; from now on the connection enforces the deadline. False if the response is not wanted. */
+    boolean startResponseStreaming(long length, Runnable resume) {
+        if (isEnded || !listener.onResponseStart(this, length, resume)) {
             return false;
         }
         if (timeout != null) {
             timeout.cancel(false);
         }
-        begun = true;
+        isResponseStreaming = true;
         return true;
     }
 
-    boolean piece(ByteBuf piece) {
-        return ended || result.piece(piece);
+    /** False to pause reading. */
+    boolean passResponsePart(ByteBuf part) {
+        return isEnded || listener.onResponsePart(part);
     }
 
-    /** The connection takes more, or takes no more for now. */
-    void writable() {
-        if (flowing && !ended) {
-            body.look();
+    void writabilityChanged() {
+        if (isBodyStreaming && !isEnded) {
+            body.updateFlow();
         }
     }
 
     void end(Outcome outcome, LoadReport report, ByteBuf body) {
-        if (ended) {
+        if (isEnded) {
             return;
         }
-        ended = true;
+        isEnded = true;
         this.outcome = outcome;
         mayHaveRun = outcome.mayHaveRun;
-        if (flowing) {
-            this.body.stop();
+        if (isBodyStreaming) {
+            this.body.discard();
         }
         if (timeout != null) {
             timeout.cancel(false);
         }
-        result.ended(this, outcome, report, body);
+        listener.onEnd(this, outcome, report, body);
     }
 
-    /** Ends a call that gets no answer any more: a late one must find nobody, so its connection goes. */
+    /** Ends the call and closes its connection, so that a late response is not taken for that of another call. */
     void abandon(Outcome outcome) {
-        if (!ended) {
+        if (!isEnded) {
             if (channel != null) {
-                Upstreams.close(channel, CloseReason.CALL_ABANDONED);
+                UpstreamPool.close(channel, CloseReason.CALL_ABANDONED);
             }
             end(outcome, null, null);
         }
@@ -173,27 +175,27 @@
         abandon(Outcome.CANCELLED);
     }
 
-    /** Nobody wants its answer any more: what has not begun to be sent is not sent. */
-    void withdraw() {
-        if (!ended && !hasLeft()) {
-            // Told first: the end of a connection that is still coming up would be told as the upstream's failure.
+    /** Ends the call as {@code NOT_SENT} unless part of the request has been sent. */
+    void cancelIfUnsent() {
+        if (!isEnded && !hasSentBytes()) {
+            // End the call before closing: closing a pending connection would be reported as a failure of the upstream.
             end(Outcome.NOT_SENT, null, null);
             if (channel != null) {
-                Upstreams.close(channel, CloseReason.CALL_ABANDONED);
+                UpstreamPool.close(channel, CloseReason.CALL_ABANDONED);
             }
         }
     }
 
-    /** The hinge of all outcomes: without its last byte written a request has never run. */
-    void broke() {
-        end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
+    /** Ends the call on a connection failure. An upstream does not process a request before its last byte, so only then is it a reset. */
+    void connectionFailed() {
+        end(isWritten ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
     }
 
-    /** Its time is over, and its upstream had too little of it to be judged by. */
-    void endUnjudged() {
-        end(written ? Outcome.CANCELLED : Outcome.NOT_SENT, null, null);
+    /** Ends a call that has timed out without the upstream having had enough time for the timeout to count against it. */
+    void endInconclusively() {
+        end(isWritten ? Outcome.CANCELLED : Outcome.NOT_SENT, null, null);
         if (channel != null) {
-            Upstreams.close(channel, CloseReason.CALL_ABANDONED);
+            UpstreamPool.close(channel, CloseReason.CALL_ABANDONED);
         }
     }
 }
--- a/src/main/java/rushproxy/sidecar/UpstreamTarget.java
+++ b/src/main/java/rushproxy/sidecar/UpstreamTarget.java
@@ -4,22 +4,22 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** An upstream as the list has it now; another address or start makes it another one. */
+/** A listed upstream and its idle connections; an entry with another address or start time is a different target. */
 final class UpstreamTarget {
     final InetSocketAddress address;
-    final IdleConnections idle;
+    final IdleConnectionPool idleConnections;
     Upstream upstream;
     UpstreamState state;
     private final long startedUs;
 
-    UpstreamTarget(UpstreamList.Entry entry, IdleConnections idle) {
+    UpstreamTarget(UpstreamList.Entry entry, IdleConnectionPool idleConnections) {
         address = entry.address();
-        this.idle = idle;
+        this.idleConnections = idleConnections;
         startedUs = entry.upstream().startedUs();
         upstream = entry.upstream();
     }
 
-    boolean is(UpstreamList.Entry entry) {
+    boolean matches(UpstreamList.Entry entry) {
         return address.equals(entry.address()) && startedUs == entry.upstream().startedUs();
     }
 }
--- a/src/main/java/rushproxy/sidecar/WarmUp.java
+++ b/src/main/java/rushproxy/sidecar/WarmUp.java
@@ -26,23 +26,24 @@
 import rushproxy.Policy;
 
 /**
- * Serves requests before the sidecar says that it is ready: from a client's connection, by a decision module and connections of its
- * own, to the sidecar itself as the upstream. Code that has never run costs a core ten times what it does later: without this the
- * first seconds of requests get it loaded and compiled, and where processes share busy cores most of those requests are late.
+ * Warms up the JVM before the sidecar reports that it is ready. Sends requests to the sidecar itself, which acts as client, proxy and
+ * upstream, with a load balancer and connection pools used for nothing else. Code that has never run costs ten times the CPU time:
+ * without the warm-up, class loading and compilation take place during the first seconds of real traffic, and on shared busy cores
+ * most of those requests miss their deadlines.
  */
 final class WarmUp {
-    /** The compiler takes a method up after some hundred calls; a request makes several of most. */
-    static final int REQUESTS = 400;
+    /** The JIT compiles a method after a few hundred calls, and one request calls most methods several times. */
+    static final int REQUEST_COUNT = 400;
 
-    private static final int AT_ONCE = 4;
-    /** However little of a core there is, a start is not held up for longer. */
-    private static final long MOST_US = 5_000_000;
+    private static final int CONCURRENCY = 4;
+    /** Upper bound for the delay of startup on a machine that is short of CPU. */
+    private static final long MAX_DURATION_US = 5_000_000;
 
-    private static final long REMAINING_US = 1_000_000;
-    /** As many as a choice of two needs, and one more. */
-    private static final List<String> UPSTREAMS = List.of("self-0", "self-1", "self-2");
+    private static final long REQUEST_TIMEOUT_US = 1_000_000;
+    /** One more than power-of-two-choices balancing needs. */
+    private static final List<String> UPSTREAM_IDS = List.of("self-0", "self-1", "self-2");
 
-    private static final String CLIENTS = "clients";
+    private static final String CLIENT_SIDE_ID = "clients";
     private static final Path KERNEL_RANDOM = Path.of("/dev/urandom");
     private static final int TOKEN_BYTES = 16;
     private static final int SEED = 1;
@@ -51,31 +52,31 @@
     private final Clock clock;
     private final Settings settings;
     private final List<RequestClass> classes;
-    /** Nobody else can guess it. */
-    private final String uri = "/api/warm-up?" + token();
-
-    private final Decisions decisions = new Decisions();
-    private final Upstreams upstreams;
-    private final Requests requests;
-    /** The clients' side: connections on which requests come. */
-    private final Upstreams clients;
-
-    private Runnable done;
-    private long untilUs;
-    private int begun;
-    private int out;
-    private int served;
-    private boolean over;
+    /** Unguessable, so that no client's request is taken for one of the warm-up's. */
+    private final String uri = "/api/warm-up?" + randomToken();
+
+    private final BalancerDispatcher decisions = new BalancerDispatcher();
+    private final UpstreamPool upstreams;
+    private final RequestCoordinator requests;
+    /** The connections on which the warm-up acts as a client. */
+    private final UpstreamPool clients;
+
+    private Runnable onDone;
+    private long deadlineUs;
+    private int startedCount;
+    private int inFlight;
+    private int successCount;
+    private boolean finished;
 
     WarmUp(EventLoop loop, Clock clock, Settings settings) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
         classes = settings.classes();
-        RunningTime time = new RunningTime(clock, new LoopDelay());
-        upstreams = connections(time);
-        clients = connections(time);
-        requests = new Requests(
+        StallAwareClock time = new StallAwareClock(clock, new EventLoopDelay());
+        upstreams = connectionPool(time);
+        clients = connectionPool(time);
+        requests = new RequestCoordinator(
                 loop,
                 time,
                 decisions,
@@ -84,12 +85,19 @@
                 settings.limits().maxAttempts());
     }
 
-    private Upstreams connections(RunningTime time) {
-        return new Upstreams(loop, time, MOST_US, 0, MOST_US, () -> AT_ONCE, new Budget(AT_ONCE * Body.KEPT));
+    private UpstreamPool connectionPool(StallAwareClock time) {
+        return new UpstreamPool(
+                loop,
+                time,
+                MAX_DURATION_US,
+                0,
+                MAX_DURATION_US,
+                () -> CONCURRENCY,
+                new MemoryBudget(CONCURRENCY * RequestBody.MAX_KEPT_BYTES));
     }
 
-    /** The runtime's own generator loads the security providers, of which a sidecar needs nothing else. */
-    private static String token() {
+    /** Reads the kernel's generator, since {@code SecureRandom} would load security providers that nothing else needs. */
+    private static String randomToken() {
         try (InputStream random = Files.newInputStream(KERNEL_RANDOM)) {
             return HexFormat.of().formatHex(random.readNBytes(TOKEN_BYTES));
         } catch (IOException e) {
@@ -104,97 +112,97 @@
         return new Upstream(id, settings.zone(), kind, 0, 0, 1, UpstreamState.READY);
     }
 
-    /** Whether the message is one of the warm-up's own requests or attempts. */
-    boolean owns(HttpRequest message) {
+    /** Whether this is a request or an attempt sent by the warm-up. */
+    boolean isOwnMessage(HttpRequest message) {
         return message.uri().equals(uri);
     }
 
-    /** Whether it is an attempt, which has come to its upstream and is answered. */
+    /** Whether this is an attempt, which the sidecar answers in the role of the upstream. */
     boolean isAttempt(HttpRequest message) {
-        return owns(message) && !message.headers().contains(Headers.CLASS);
+        return isOwnMessage(message) && !message.headers().contains(Headers.CLASS);
     }
 
-    /** Where the warm-up's requests are carried through their attempts. */
-    Requests requests() {
+    /** Executes the warm-up's requests, apart from those of real clients. */
+    RequestCoordinator requests() {
         return requests;
     }
 
-    /** {@code self}: where the sidecar listens. {@code whenDone} runs once, on the loop, also if no request is served. */
-    void begin(InetSocketAddress self, Runnable whenDone) {
-        done = whenDone;
-        untilUs = clock.now() + MOST_US;
+    /** {@code self} is the sidecar's own listen address. {@code whenDone} runs once, on the event loop, even if no request succeeds. */
+    void start(InetSocketAddress self, Runnable whenDone) {
+        onDone = whenDone;
+        deadlineUs = clock.nowUs() + MAX_DURATION_US;
         if (classes.isEmpty()) {
-            end();
+            finish();
             return;
         }
-        List<Upstream> list = UPSTREAMS.stream().map(this::upstream).toList();
+        List<Upstream> list = UPSTREAM_IDS.stream().map(this::upstream).toList();
         upstreams.update(new UpstreamList(
                 0, true, list.stream().map(u -> new UpstreamList.Entry(u, self)).toList()));
-        clients.update(new UpstreamList(0, true, List.of(new UpstreamList.Entry(upstream(CLIENTS), self))));
+        clients.update(new UpstreamList(0, true, List.of(new UpstreamList.Entry(upstream(CLIENT_SIDE_ID), self))));
         decisions.start(
                 actions -> {
-                    Balancer module = new Policy(settings, SEED, clock.now(), actions);
-                    module.onList(clock.now(), ListKind.FULL, list);
-                    return module;
+                    Balancer balancer = new Policy(settings, SEED, clock.nowUs(), actions);
+                    balancer.onUpstreamList(clock.nowUs(), ListKind.FULL, list);
+                    return balancer;
                 },
-                new Hands());
-        for (int i = 0; i < AT_ONCE; i++) {
-            request();
+                new ModuleActions());
+        for (int i = 0; i < CONCURRENCY; i++) {
+            sendRequest();
         }
     }
 
-    /** Requests that were answered with success so far. */
-    int served() {
-        return served;
+    /** The number of requests answered successfully so far. */
+    int successCount() {
+        return successCount;
     }
 
-    private void request() {
-        out++;
-        int number = begun++;
+    private void sendRequest() {
+        inFlight++;
+        int number = startedCount++;
         clients.start(new UpstreamCall(
-                CLIENTS,
-                untilUs + REMAINING_US,
+                CLIENT_SIDE_ID,
+                deadlineUs + REQUEST_TIMEOUT_US,
                 false,
-                left -> message(number),
+                left -> createRequest(number),
                 null,
                 (call, outcome, report, body) -> {
-                    out--;
-                    served += outcome == Outcome.OK ? 1 : 0;
-                    // Not from within: requests that end at once must not pile up on the stack.
-                    loop.execute(this::next);
+                    inFlight--;
+                    successCount += outcome == Outcome.OK ? 1 : 0;
+                    // Not called directly: requests that complete at once would recurse until the stack overflows.
+                    loop.execute(this::continueOrFinish);
                 }));
     }
 
-    private HttpRequest message(int number) {
+    private HttpRequest createRequest(int number) {
         HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
         message.headers()
-                .set(Headers.TXN, "warm-up-" + number)
+                .set(Headers.REQUEST_ID, "warm-up-" + number)
                 .set(Headers.CLASS, classes.get(number % classes.size()).name())
-                .set(Headers.REMAINING, REMAINING_US / 1_000)
+                .set(Headers.REMAINING_MS, REQUEST_TIMEOUT_US / 1_000)
                 .set(HttpHeaderNames.COOKIE, Headers.KEY_COOKIE + "=" + number);
         return message;
     }
 
-    private void next() {
-        if (over) {
+    private void continueOrFinish() {
+        if (finished) {
             return;
         }
-        if (begun < REQUESTS && clock.now() < untilUs) {
-            request();
-        } else if (out == 0) {
-            end();
+        if (startedCount < REQUEST_COUNT && clock.nowUs() < deadlineUs) {
+            sendRequest();
+        } else if (inFlight == 0) {
+            finish();
         }
     }
 
-    private void end() {
-        over = true;
-        upstreams.end();
-        clients.end();
-        done.run();
+    private void finish() {
+        finished = true;
+        upstreams.shutDown();
+        clients.shutDown();
+        onDone.run();
     }
 
-    /** Carries out what the module decides here; peers, discovery and the fleet hear nothing of it. */
-    private final class Hands implements Balancer.Actions {
+    /** Carries out the load balancer's decisions without involving peers, discovery or the fleet plane. */
+    private final class ModuleActions implements Balancer.Actions {
         @Override
         public void send(String request, String upstream, long attemptUntilUs) {
             requests.send(request, upstream, attemptUntilUs);
@@ -217,26 +225,27 @@
 
         @Override
         public void probe(String upstream) {
-            decisions.call(m -> m.onProbe(clock.now(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
+            decisions.call(
+                    m -> m.onProbeResult(clock.nowUs(), upstream, Outcome.OK, 0, new LoadReport(0, 0, 0)), () -> {});
         }
 
         @Override
         public void subscribe() {}
 
         @Override
-        public void tell(int peer, byte[] message) {}
+        public void sendToPeer(int peer, byte[] message) {}
 
         @Override
-        public void close(String upstream) {
-            upstreams.close(upstream);
+        public void closeIdleConnections(String upstream) {
+            upstreams.closeIdle(upstream);
         }
 
         @Override
-        public void timer(String mark, long delayUs) {
+        public void startTimer(String mark, long delayUs) {
             loop.schedule(
                     () -> {
-                        if (!over) {
-                            decisions.call(m -> m.onTimer(clock.now(), mark), requests::failHeld);
+                        if (!finished) {
+                            decisions.call(m -> m.onTimer(clock.nowUs(), mark), requests::failPending);
                         }
                     },
                     delayUs,
--- a/src/main/java/rushproxy/wire/SettingsReader.java
+++ b/src/main/java/rushproxy/wire/SettingsReader.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Limits;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.RequestClass;
 import rushproxy.Balancer.Rules;
 import rushproxy.Balancer.Semantics;
@@ -16,21 +16,21 @@
 import rushproxy.Balancer.Tenant;
 
 /**
- * Turns path=value pairs, those of {@code ENLIST} or of a sidecar's configuration, into settings. Unknown paths are
- * skipped.
+ * Reads settings from path=value pairs, which come from an {@code ENLIST} message or a sidecar's configuration. Unknown paths
+ * are ignored.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
 
-    /** Settings already taken apart: lists of plain values joined with commas, lists of objects counted. */
+    /** {@code values} by path: lists of plain values are joined by commas, lists of objects have a {@code count} and indexed elements. */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
     SettingsReader(Fields fields) {
         this(new HashMap<>());
-        while (fields.more()) {
-            String pair = fields.text();
+        while (fields.hasMore()) {
+            String pair = fields.nextText();
             int equals = pair.indexOf('=');
             if (equals <= 0) {
                 throw new WireException("setting '" + pair + "' is not of the form path=value");
@@ -41,78 +41,79 @@
 
     public Settings read() {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < (int) need("profiles.count"); i++) {
-            String p = "profiles." + i + ".";
+        for (int i = 0; i < (int) requiredNumber("profiles.count"); i++) {
+            String prefix = "profiles." + i + ".";
             classes.add(new RequestClass(
-                    word(p + "name"),
-                    semantics(word(p + "semantics")),
-                    group(values.getOrDefault(p + "group", "all")),
-                    (long) real(p + "window_us", 0),
-                    (long) need(p + "objective_us"),
-                    real(p + "aim_stretch", 0),
-                    (long) need(p + "give_up_us"),
-                    real(p + "importance", 1),
-                    real(p + "late_worth", 0),
-                    flag(p + "stream", false)));
+                    requiredText(prefix + "name"),
+                    semantics(requiredText(prefix + "semantics")),
+                    dedupScope(values.getOrDefault(prefix + "group", "all")),
+                    (long) numberOr(prefix + "window_us", 0),
+                    (long) requiredNumber(prefix + "objective_us"),
+                    numberOr(prefix + "aim_stretch", 0),
+                    (long) requiredNumber(prefix + "give_up_us"),
+                    numberOr(prefix + "importance", 1),
+                    numberOr(prefix + "late_worth", 0),
+                    booleanOr(prefix + "stream", false)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < (int) real("accounts.count", 0); i++) {
-            String p = "accounts." + i + ".";
-            tenants.add(new Tenant(word(p + "name"), real(p + "share", 0), real(p + "quota_rps", 0)));
+        for (int i = 0; i < (int) numberOr("accounts.count", 0); i++) {
+            String prefix = "accounts." + i + ".";
+            tenants.add(new Tenant(
+                    requiredText(prefix + "name"), numberOr(prefix + "share", 0), numberOr(prefix + "quota_rps", 0)));
         }
         Limits limits = new Limits(
-                (int) real("limits.max_attempts", 1),
-                flag("limits.second_copies", false),
-                flag("limits.cancelling", false),
-                flag("limits.probing", false),
-                flag("limits.peers", false),
-                flag("limits.retry_after", false),
-                (long) real("limits.max_retry_after_us", 0),
-                (long) real("limits.conn_idle_us", 15_000_000),
-                real("limits.cpu_us_per_request", 0));
+                (int) numberOr("limits.max_attempts", 1),
+                booleanOr("limits.second_copies", false),
+                booleanOr("limits.cancelling", false),
+                booleanOr("limits.probing", false),
+                booleanOr("limits.peers", false),
+                booleanOr("limits.retry_after", false),
+                (long) numberOr("limits.max_retry_after_us", 0),
+                (long) numberOr("limits.conn_idle_us", 15_000_000),
+                numberOr("limits.cpu_us_per_request", 0));
         Rules rules = new Rules(
-                (long) need("rules.drain_grace_us"),
-                need("rules.cold_share"),
-                (long) need("rules.ramp_time_us"),
-                need("rules.fall_multiple"),
-                (long) need("rules.fall_us"),
-                (long) real("rules.ask_every_us", 0),
-                (long) real("rules.answer_slack_us", 0),
-                (long) real("rules.close_on_drain_within_us", 0));
+                (long) requiredNumber("rules.drain_grace_us"),
+                requiredNumber("rules.cold_share"),
+                (long) requiredNumber("rules.ramp_time_us"),
+                requiredNumber("rules.fall_multiple"),
+                (long) requiredNumber("rules.fall_us"),
+                (long) numberOr("rules.ask_every_us", 0),
+                (long) numberOr("rules.answer_slack_us", 0),
+                (long) numberOr("rules.close_on_drain_within_us", 0));
         Prices prices = new Prices(
-                real("tariffs.cross_zone", 0),
-                real("tariffs.peer", 0),
-                real("tariffs.probe", 0),
-                real("tariffs.connection", 0),
-                real("tariffs.handshake", 0));
+                numberOr("tariffs.cross_zone", 0),
+                numberOr("tariffs.peer", 0),
+                numberOr("tariffs.probe", 0),
+                numberOr("tariffs.connection", 0),
+                numberOr("tariffs.handshake", 0));
         return new Settings(
-                (int) need("me"),
-                (int) need("balancers"),
-                word("zone"),
-                Arrays.asList(values.getOrDefault("azs", word("zone")).split(",")),
+                (int) requiredNumber("me"),
+                (int) requiredNumber("balancers"),
+                requiredText("zone"),
+                Arrays.asList(values.getOrDefault("azs", requiredText("zone")).split(",")),
                 Arrays.asList(values.getOrDefault("kinds", "").split(",")),
                 classes,
                 tenants,
                 limits,
                 rules,
-                reports(values.getOrDefault("load_info.how", "off")),
+                loadReporting(values.getOrDefault("load_info.how", "off")),
                 values.getOrDefault("discovery", "pushed").equals("on_request"),
                 values.getOrDefault("counted_by", "request").equals("work"),
-                real("over_share_worth", 1),
+                numberOr("over_share_worth", 1),
                 prices,
-                (long) real("period_us", 1000));
+                (long) numberOr("period_us", 1000));
     }
 
-    /** A connection that is not up within this time never comes up. */
+    /** Timeout of connection setup. */
     public long dialTimeoutUs() {
-        return (long) real("limits.dial_timeout_us", 250_000);
+        return (long) numberOr("limits.dial_timeout_us", 250_000);
     }
 
-    List<String> reportFields() {
+    List<String> loadReportFields() {
         return Arrays.asList(values.getOrDefault("load_info.fields", "").split(","));
     }
 
-    private String word(String path) {
+    private String requiredText(String path) {
         String value = values.get(path);
         if (value == null) {
             throw new WireException("setting '" + path + "' is missing");
@@ -120,51 +121,51 @@
         return value;
     }
 
-    private double need(String path) {
-        word(path);
-        return real(path, 0);
+    private double requiredNumber(String path) {
+        requiredText(path);
+        return numberOr(path, 0);
     }
 
-    private double real(String path, double absent) {
+    private double numberOr(String path, double defaultValue) {
         String value = values.get(path);
         if (value == null || value.equals("-")) {
-            return absent;
+            return defaultValue;
         }
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new WireException("setting '" + path + "' is no number: '" + value + "'");
+            throw new WireException("setting '" + path + "' is not a number: '" + value + "'");
         }
     }
 
-    private boolean flag(String path, boolean absent) {
+    private boolean booleanOr(String path, boolean defaultValue) {
         String value = values.get(path);
-        return value == null ? absent : value.equals("true") || value.equals("1");
+        return value == null ? defaultValue : value.equals("true") || value.equals("1");
     }
 
-    private static Semantics semantics(String word) {
-        return switch (word) {
+    private static Semantics semantics(String name) {
+        return switch (name) {
             case "safe" -> Semantics.SAFE;
             case "keyed" -> Semantics.KEYED;
             case "unsafe" -> Semantics.UNSAFE;
-            default -> throw new WireException("semantics '" + word + "' is unknown");
+            default -> throw new WireException("semantics '" + name + "' is unknown");
         };
     }
 
-    private static Group group(String word) {
-        return switch (word) {
-            case "all", "-" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
-            default -> throw new WireException("group '" + word + "' is unknown");
+    private static DedupScope dedupScope(String name) {
+        return switch (name) {
+            case "all", "-" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
+            default -> throw new WireException("group '" + name + "' is unknown");
         };
     }
 
-    private static Reports reports(String word) {
-        return switch (word) {
-            case "inline" -> Reports.INLINE;
-            case "on_probe" -> Reports.ON_PROBE;
-            default -> Reports.NONE;
+    private static LoadReporting loadReporting(String name) {
+        return switch (name) {
+            case "inline" -> LoadReporting.INLINE;
+            case "on_probe" -> LoadReporting.ON_PROBE;
+            default -> LoadReporting.NONE;
         };
     }
 }
--- a/src/test/java/rushproxy/Rig.java
+++ b/src/test/java/rushproxy/PolicyHarness.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import rushproxy.Balancer.Group;
+import rushproxy.Balancer.DedupScope;
 import rushproxy.Balancer.Limits;
 import rushproxy.Balancer.ListKind;
+import rushproxy.Balancer.LoadReporting;
 import rushproxy.Balancer.Outcome;
 import rushproxy.Balancer.Prices;
-import rushproxy.Balancer.Reports;
 import rushproxy.Balancer.Request;
 import rushproxy.Balancer.RequestClass;
 import rushproxy.Balancer.Rules;
@@ -17,48 +17,49 @@
 import rushproxy.Balancer.Upstream;
 import rushproxy.Balancer.UpstreamState;
 
-/** One instance of the module under test, its actions written down as lines. */
-final class Rig implements Balancer.Actions {
+/** A policy under test; its actions are recorded as lines of text. */
+final class PolicyHarness implements Balancer.Actions {
     final List<String> actions = new ArrayList<>();
     long now = 1_000_000_000L;
     Policy policy;
 
     Semantics semantics = Semantics.SAFE;
-    Group group = Group.ALL;
-    long windowUs = 4_000_000;
+    DedupScope dedupScope = DedupScope.ALL;
+    long dedupWindowUs = 4_000_000;
     long aimUs = 300_000;
     boolean stream;
     int maxAttempts = 4;
     boolean secondCopies;
     boolean peers = true;
     boolean probing;
-    long closeOnDrainUs;
-    int me;
+    long closeOnDrainWithinUs;
+    int sidecarIndex;
     double connectionPrice;
-    boolean onRequest;
-    int balancers = 2;
+    boolean discoveryOnRequest;
+    int sidecarCount = 2;
     long seed = 7;
     double crossZonePrice;
-    Reports reports = Reports.INLINE;
+    LoadReporting loadReporting = LoadReporting.INLINE;
     List<Tenant> tenants = List.of();
     List<RequestClass> otherClasses = List.of();
 
-    Rig start() {
-        RequestClass c = new RequestClass("c", semantics, group, windowUs, aimUs, 0, 800_000, 3, 0, stream);
+    PolicyHarness start() {
+        RequestClass requestClass =
+                new RequestClass("c", semantics, dedupScope, dedupWindowUs, aimUs, 0, 800_000, 3, 0, stream);
         List<RequestClass> classes = new ArrayList<>(otherClasses);
-        classes.add(c);
+        classes.add(requestClass);
         Settings settings = new Settings(
-                me,
-                balancers,
+                sidecarIndex,
+                sidecarCount,
                 "za",
                 List.of("za", "zb", "zc"),
                 List.of("k"),
                 classes,
                 tenants,
                 new Limits(maxAttempts, secondCopies, true, probing, peers, true, 1_000_000, 15_000_000, 0),
-                new Rules(500_000, 0.13, 24_000_000, 3, 1_000_000, 10_000_000, 5_000, closeOnDrainUs),
-                reports,
-                onRequest,
+                new Rules(500_000, 0.13, 24_000_000, 3, 1_000_000, 10_000_000, 5_000, closeOnDrainWithinUs),
+                loadReporting,
+                discoveryOnRequest,
                 false,
                 0.1,
                 new Prices(crossZonePrice, 0.01, 0.002, connectionPrice, connectionPrice),
@@ -67,47 +68,47 @@
         return this;
     }
 
-    static Upstream up(String id, String zone, int cell) {
+    static Upstream upstream(String id, String zone, int cell) {
         return new Upstream(id, zone, "k", cell, 0, 1, UpstreamState.READY);
     }
 
-    Rig list(Upstream... entries) {
-        policy.onList(now, ListKind.FULL, List.of(entries));
+    PolicyHarness receiveList(Upstream... entries) {
+        policy.onUpstreamList(now, ListKind.FULL, List.of(entries));
         return this;
     }
 
-    Rig request(String id) {
+    PolicyHarness request(String id) {
         return request(id, 800_000);
     }
 
-    Rig request(String id, long remainingUs) {
+    PolicyHarness request(String id, long remainingUs) {
         policy.onRequest(now, new Request(id, -1, false, false, 0, remainingUs, null, "c"));
         return this;
     }
 
-    Rig outcome(String id, int attempt, String upstream, Outcome outcome, long latencyUs) {
+    PolicyHarness outcome(String id, int attempt, String upstream, Outcome outcome, long latencyUs) {
         policy.onOutcome(now, id, attempt, upstream, outcome, latencyUs, outcome == Outcome.OK, null);
         return this;
     }
 
-    Rig after(long us) {
+    PolicyHarness advance(long us) {
         now += us;
         return this;
     }
 
-    /** Fires the timer, as the host would. */
-    Rig fire(String mark) {
+    /** Fires a timer as the host does. */
+    PolicyHarness fireTimer(String mark) {
         policy.onTimer(now, mark);
         return this;
     }
 
-    List<String> take(String verb) {
+    List<String> actionsWith(String verb) {
         return actions.stream().filter(a -> a.startsWith(verb)).toList();
     }
 
-    /** Where the attempt of this number of the request went, or null. */
+    /** The server to which the given attempt of a request was sent, or null. */
     String sentTo(String id, int attempt) {
-        List<String> sends = take("send " + id + " ");
+        List<String> sends = actionsWith("send " + id + " ");
         return attempt < sends.size() ? sends.get(attempt).split(" ")[2] : null;
     }
 
@@ -127,8 +128,8 @@
     }
 
     @Override
-    public void evidence(String upstream, Balancer.Evidence kind, double factor) {
-        actions.add("evidence " + upstream + " " + kind);
+    public void reportEvidence(String upstream, Balancer.Evidence evidence, double factor) {
+        actions.add("evidence " + upstream + " " + evidence);
     }
 
     @Override
@@ -147,17 +148,17 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer + " " + message.length);
     }
 
     @Override
-    public void close(String upstream) {
+    public void closeIdleConnections(String upstream) {
         actions.add("close " + upstream);
     }
 
     @Override
-    public void timer(String mark, long delayUs) {
+    public void startTimer(String mark, long delayUs) {
         actions.add("timer " + mark + " " + delayUs);
     }
 
--- a/src/test/java/rushproxy/fleet/release/GateTest.java
+++ b/src/test/java/rushproxy/fleet/release/GateTest.java
@@ -9,139 +9,152 @@
 import rushproxy.lab.sim.GateFigures.Judged;
 import rushproxy.lab.sim.GateFigures.Release;
 
-/** Which stages of a release go on, wait, are halted and taken back. */
+/** Decisions on the stages of a release. */
 class GateTest {
-    private static final long S = 1_000_000;
-    private static final Gate.Rule RULE = Gate.Rule.USUAL;
+    private static final long SECOND_US = 1_000_000;
+    private static final Gate.Criteria CRITERIA = Gate.Criteria.DEFAULT;
 
-    private static Tally tally(int good, long us, int failed, int silent) {
-        Tally t = new Tally();
-        for (int i = 0; i < good; i++) {
-            t.good(us + i % 10 * us / 100);
+    private static Tally tally(int successes, long latencyUs, int failures, int timeouts) {
+        Tally tally = new Tally();
+        for (int i = 0; i < successes; i++) {
+            tally.addSuccess(latencyUs + i % 10 * latencyUs / 100);
         }
-        for (int i = 0; i < failed; i++) {
-            t.failed();
+        for (int i = 0; i < failures; i++) {
+            tally.addFailure();
         }
-        for (int i = 0; i < silent; i++) {
-            t.silent();
+        for (int i = 0; i < timeouts; i++) {
+            tally.addTimeout();
         }
-        return t;
+        return tally;
     }
 
-    /** Batches of a second until a verdict other than to wait; null where there is none in the time. */
-    private static Gate.Ruling play(
+    /** Adds one batch per second until a verdict other than WAIT; null if there is none. */
+    private static Gate.Decision run(
             Gate gate,
             int seconds,
-            java.util.function.IntFunction<Tally> fresh,
+            java.util.function.IntFunction<Tally> candidate,
             java.util.function.IntFunction<Tally> control) {
-        for (int s = 0; s < seconds; s++) {
-            gate.add("read in a", fresh.apply(s), control.apply(s));
-            Gate.Ruling r = gate.rule(s * S);
-            if (r.verdict() != Verdict.WAIT) {
-                return r;
+        for (int second = 0; second < seconds; second++) {
+            gate.addBatch("read in a", candidate.apply(second), control.apply(second));
+            Gate.Decision decision = gate.decide(second * SECOND_US);
+            if (decision.verdict() != Verdict.WAIT) {
+                return decision;
             }
         }
         return null;
     }
 
-    /** A thousand good releases, with faults that hit both groups: the stated chance is one in a hundred. */
+    /** Good releases with faults in both groups must not be halted more often than the configured probability of 1%. */
     @Test
-    void goodReleasesAreHaltedNoMoreOftenThanStated() {
+    void falseHaltRateStaysWithinTheBound() {
         int halted = 0;
         for (long seed = 1; seed <= 1_000; seed++) {
-            Judged j = GateFigures.judge(Release.GOOD, 60, 0.2, RULE, seed);
-            halted += j.verdict() == Verdict.ON ? 0 : 1;
+            Judged judged = GateFigures.judge(Release.GOOD, 60, 0.2, CRITERIA, seed);
+            halted += judged.verdict() == Verdict.ON ? 0 : 1;
         }
-        assertTrue(halted <= RULE.falseHalts() * 1_000, halted + " of 1000");
+        assertTrue(halted <= CRITERIA.falseHaltProbability() * 1_000, halted + " of 1000");
     }
 
     @Test
-    void badOnesAreHalted() {
+    void badReleasesAreHalted() {
         for (long seed = 1; seed <= 20; seed++) {
             for (Release bad : new Release[] {new Release(0.2, 1, false, 0, true), new Release(0, 3, false, 0, true)}) {
-                Judged j = GateFigures.judge(bad, 200, 0.2, RULE, seed);
+                Judged judged = GateFigures.judge(bad, 200, 0.2, CRITERIA, seed);
                 assertTrue(
-                        j.verdict() == Verdict.HALT || j.verdict() == Verdict.BACK, bad + ", seed " + seed + ": " + j);
-                assertTrue(j.afterS() < RULE.leastUs() / S, "before it would have gone on: " + j);
+                        judged.verdict() == Verdict.HALT || judged.verdict() == Verdict.BACK,
+                        bad + ", seed " + seed + ": " + judged);
+                assertTrue(
+                        judged.afterS() < CRITERIA.minDurationUs() / SECOND_US,
+                        "halted only after the minimum duration: " + judged);
             }
         }
     }
 
     @Test
-    void whatIsBadInOneStratumAloneIsFound() {
-        Gate gate = new Gate(RULE);
-        Gate.Ruling r = null;
-        for (int s = 0; s < 60 && (r == null || r.verdict() == Verdict.WAIT); s++) {
+    void regressionInOneStratumIsDetected() {
+        Gate gate = new Gate(CRITERIA);
+        Gate.Decision decision = null;
+        for (int second = 0; second < 60 && (decision == null || decision.verdict() == Verdict.WAIT); second++) {
             for (int zone = 0; zone < 5; zone++) {
-                gate.add("read in z" + zone, tally(20, 10_000, zone == 3 ? 6 : 0, 0), tally(60, 10_000, 0, 0));
+                gate.addBatch("read in z" + zone, tally(20, 10_000, zone == 3 ? 6 : 0, 0), tally(60, 10_000, 0, 0));
             }
-            r = gate.rule(s * S);
+            decision = gate.decide(second * SECOND_US);
         }
-        assertTrue(r.verdict() != Verdict.ON && r.why().contains("most in read in z3"), r.toString());
+        assertTrue(
+                decision.verdict() != Verdict.ON && decision.reason().contains("strongest in read in z3"),
+                decision.toString());
     }
 
     @Test
-    void errorsThatComeFastAreNoGoodLatency() {
-        Gate.Ruling r = play(new Gate(RULE), 60, s -> tally(5, 1_000, 10, 0), s -> tally(60, 10_000, 0, 0));
-        assertTrue(r.verdict() == Verdict.HALT || r.verdict() == Verdict.BACK);
-        assertTrue(r.why().startsWith("failures"), r.why());
+    void fastErrorsCountAsFailures() {
+        Gate.Decision decision = run(new Gate(CRITERIA), 60, s -> tally(5, 1_000, 10, 0), s -> tally(60, 10_000, 0, 0));
+        assertTrue(decision.verdict() == Verdict.HALT || decision.verdict() == Verdict.BACK);
+        assertTrue(decision.reason().startsWith("failures"), decision.reason());
     }
 
     @Test
-    void goodForAMinuteAndThenBadIsFoundWhileTheStageLasts() {
-        Gate.Rule slow = new Gate.Rule(120 * S, 600 * S, 200, 0.01, 0.02, 1.25, 0.3);
-        Gate.Ruling r =
-                play(new Gate(slow), 115, s -> tally(20, 10_000, s < 60 ? 0 : 4, 0), s -> tally(60, 10_000, 0, 0));
-        assertTrue(r.verdict() != Verdict.ON, r.toString());
+    void lateRegressionIsDetectedWithinTheStage() {
+        Gate.Criteria slow = new Gate.Criteria(120 * SECOND_US, 600 * SECOND_US, 200, 0.01, 0.02, 1.25, 0.3);
+        Gate.Decision decision =
+                run(new Gate(slow), 115, s -> tally(20, 10_000, s < 60 ? 0 : 4, 0), s -> tally(60, 10_000, 0, 0));
+        assertTrue(decision.verdict() != Verdict.ON, decision.toString());
     }
 
     @Test
-    void aFaultThatHitsBothTellsNothing() {
-        Gate gate = new Gate(RULE);
-        assertEquals(null, play(gate, 60, s -> tally(10, 10_000, 10, 0), s -> tally(30, 10_000, 30, 0)));
+    void faultInBothGroupsIsInconclusive() {
+        Gate gate = new Gate(CRITERIA);
+        assertEquals(null, run(gate, 60, s -> tally(10, 10_000, 10, 0), s -> tally(30, 10_000, 30, 0)));
         assertEquals(
-                "control servers fail too: nothing can be told",
-                gate.rule(60 * S).why());
-        // And slowness of both is none of the new ones'.
-        Gate other = new Gate(RULE);
-        Gate.Ruling r = play(
+                "control servers fail too: inconclusive",
+                gate.decide(60 * SECOND_US).reason());
+        // Slowness of both groups is not held against the candidate either.
+        Gate other = new Gate(CRITERIA);
+        Gate.Decision decision = run(
                 other,
                 60,
                 s -> tally(20, s < 10 ? 10_000 : 40_000, 0, 0),
                 s -> tally(60, s < 10 ? 10_000 : 40_000, 0, 0));
-        assertEquals(Verdict.ON, r.verdict(), r.why());
+        assertEquals(Verdict.ON, decision.verdict(), decision.reason());
     }
 
     @Test
-    void withTooLittleTrafficItWaitsAndSaysWhatIsMissingAndEndsInAHalt() {
-        Gate gate = new Gate(RULE);
+    void tooLittleTrafficWaitsAndThenHalts() {
+        Gate gate = new Gate(CRITERIA);
         for (int minute = 0; minute < 9; minute++) {
-            gate.add("read in a", tally(1, 10_000, 0, 0), tally(2, 10_000, 0, 0));
-            Gate.Ruling r = gate.rule(minute * 60 * S);
-            assertEquals(Verdict.WAIT, r.verdict());
+            gate.addBatch("read in a", tally(1, 10_000, 0, 0), tally(2, 10_000, 0, 0));
+            Gate.Decision decision = gate.decide(minute * 60 * SECOND_US);
+            assertEquals(Verdict.WAIT, decision.verdict());
             assertEquals(
                     (minute + 1) + " answers of new and " + 2 * (minute + 1)
-                            + " of control servers, 200 of each are wanted",
-                    r.why());
+                            + " of control servers, 200 of each are needed",
+                    decision.reason());
         }
-        Gate.Ruling r = gate.rule(600 * S);
-        assertTrue(r.verdict() == Verdict.HALT && r.why().startsWith("it can't be told in time"), r.toString());
+        Gate.Decision decision = gate.decide(600 * SECOND_US);
+        assertTrue(
+                decision.verdict() == Verdict.HALT
+                        && decision.reason().startsWith("inconclusive at the end of the stage"),
+                decision.toString());
     }
 
     @Test
-    void withoutControlNothingIsToldFor() {
-        Gate.Ruling r = play(new Gate(RULE), 700, s -> tally(20, 10_000, 10, 0), s -> new Tally());
-        assertEquals(Verdict.HALT, r.verdict());
-        assertTrue(r.why().contains("0 of control"), r.why());
+    void missingControlEndsInAHalt() {
+        Gate.Decision decision = run(new Gate(CRITERIA), 700, s -> tally(20, 10_000, 10, 0), s -> new Tally());
+        assertEquals(Verdict.HALT, decision.verdict());
+        assertTrue(decision.reason().contains("0 of control"), decision.reason());
     }
 
     @Test
-    void talliesOfAProcessThatStartedAnewCountFromItsStart() {
+    void deltaOfARestartedProcessCountsFromItsStart() {
         Tally before = tally(10, 10_000, 2, 1);
         Tally after = tally(15, 10_000, 2, 4);
-        Tally d = after.since(before);
-        assertEquals("8 0 3 5", d.asked() + " " + d.failures() + " " + d.silences() + " " + d.answered());
-        Tally anew = tally(3, 10_000, 0, 0).since(before);
-        assertEquals("3 0 0 3", anew.asked() + " " + anew.failures() + " " + anew.silences() + " " + anew.answered());
+        Tally delta = after.deltaSince(before);
+        assertEquals(
+                "8 0 3 5",
+                delta.attempts() + " " + delta.failures() + " " + delta.timeouts() + " " + delta.successes());
+        Tally restarted = tally(3, 10_000, 0, 0).deltaSince(before);
+        assertEquals(
+                "3 0 0 3",
+                restarted.attempts() + " " + restarted.failures() + " " + restarted.timeouts() + " "
+                        + restarted.successes());
     }
 }
--- a/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
+++ b/src/test/java/rushproxy/fleet/shared/WarmStartTest.java
@@ -10,138 +10,143 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import rushproxy.fleet.Envelope;
-import rushproxy.fleet.Group;
-import rushproxy.fleet.Host;
+import rushproxy.fleet.Environment;
+import rushproxy.fleet.PeerDirectory;
 
-/** A start that asks those who are here what they know. */
+/** Transfer of learned state from live members to a process that starts. */
 class WarmStartTest {
-    private static final long T = 1_700_000_000_000_000L;
-    private static final long OLD = 60_000_000;
+    private static final long START_US = 1_700_000_000_000_000L;
+    private static final long LONG_UPTIME_US = 60_000_000;
+    /** Section type of state chunks. */
+    private static final int STATE_CHUNK = 41;
 
-    private record Sent(int to, byte[] bytes) {}
+    private record Sent(int peerIndex, byte[] datagram) {}
 
-    /** Six places; who is asked is drawn by the store's own random source. */
-    private static final class Net implements Host, Group {
+    /** Six peers, drawn by the random source of the component. */
+    private static final class FakePeers implements Environment, PeerDirectory {
         private final List<Sent> sent = new ArrayList<>();
-        private int others = 6;
+        private int otherPeers = 6;
 
         @Override
         public void send(int peer, byte[] datagram) {
-            assertTrue(datagram.length <= Envelope.MOST);
+            assertTrue(datagram.length <= Envelope.MAX_BYTES);
             sent.add(new Sent(peer, datagram));
         }
 
         @Override
-        public void note(String event) {}
+        public void logEvent(String event) {}
 
         @Override
         public int size() {
-            return others + 1;
+            return otherPeers + 1;
         }
 
         @Override
-        public int one(int part, SplittableRandom random) {
-            return others == 0 ? -1 : 1 + random.nextInt(others);
+        public int randomPeer(int part, SplittableRandom random) {
+            return otherPeers == 0 ? -1 : 1 + random.nextInt(otherPeers);
         }
 
         @Override
-        public boolean here(long member) {
+        public boolean isLive(long member) {
             return true;
         }
 
         @Override
-        public String name(long member) {
+        public String nameOf(long member) {
             return "" + member;
         }
     }
 
-    private final Net net = new Net();
+    private final FakePeers peers = new FakePeers();
 
-    private WarmStart fresh() {
-        return new WarmStart(1, 2, -1, T, 5, net, net, () -> new byte[0]);
+    private WarmStart newWarmStart() {
+        return new WarmStart(1, 2, -1, START_US, 5, peers, peers, () -> new byte[0]);
     }
 
-    /** What one that knows this much for so long answers to all that was sent. */
-    private List<byte[]> answers(long sinceUs, byte[] knows, int place) {
-        Net out = new Net();
-        WarmStart old = new WarmStart(100 + place, 2, -1, T - sinceUs, 6, out, out, () -> knows);
-        net.sent.stream()
-                .filter(s -> s.to == place)
+    /** Answers of a peer with this uptime and state to the first request that was sent to it. */
+    private List<byte[]> answersOf(long uptimeUs, byte[] state, int peerIndex) {
+        FakePeers answered = new FakePeers();
+        WarmStart peer = new WarmStart(100 + peerIndex, 2, -1, START_US - uptimeUs, 6, answered, answered, () -> state);
+        peers.sent.stream()
+                .filter(s -> s.peerIndex == peerIndex)
                 .limit(1)
-                .forEach(s -> old.onLetter(T, 0, Envelope.read(s.bytes), 7));
-        return out.sent.stream().map(Sent::bytes).toList();
+                .forEach(s -> peer.onMessage(START_US, 0, Envelope.parse(s.datagram), 7));
+        return answered.sent.stream().map(Sent::datagram).toList();
     }
 
-    private static byte[] known(int length, int fill) {
+    private static byte[] state(int length, int fill) {
         byte[] b = new byte[length];
         java.util.Arrays.fill(b, (byte) fill);
         return b;
     }
 
     @Test
-    void endsWithThreeAnswersHoweverManyDatagramsEachTakes() {
-        WarmStart w = fresh();
-        w.onTick(T, 1);
-        int told = 0;
-        for (int place = 1; place <= 6; place++) {
-            List<byte[]> parts = new ArrayList<>(answers(OLD, known(450, place), place));
-            java.util.Collections.reverse(parts);
-            for (byte[] part : parts) {
-                w.onLetter(T + 1_000, place, Envelope.read(part), 1);
-                w.onLetter(T + 1_000, place, Envelope.read(part), 1);
+    void finishesWithThreeMultiDatagramAnswers() {
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
+        int answers = 0;
+        for (int peerIndex = 1; peerIndex <= 6; peerIndex++) {
+            List<byte[]> chunks = new ArrayList<>(answersOf(LONG_UPTIME_US, state(450, peerIndex), peerIndex));
+            java.util.Collections.reverse(chunks);
+            for (byte[] chunk : chunks) {
+                warmStart.onMessage(START_US + 1_000, peerIndex, Envelope.parse(chunk), 1);
+                warmStart.onMessage(START_US + 1_000, peerIndex, Envelope.parse(chunk), 1);
             }
-            told += parts.isEmpty() ? 0 : 1;
+            answers += chunks.isEmpty() ? 0 : 1;
         }
-        w.onTick(T + 2_000, 1);
-        assertEquals(told >= 3, w.over());
-        assertTrue(told >= 3, "the seed asks three at least at once");
-        List<byte[]> all = w.take();
-        assertEquals(told, all.size());
-        all.forEach(k -> assertArrayEquals(known(450, k[0]), k));
-        assertTrue(w.take().isEmpty());
+        warmStart.onTick(START_US + 2_000, 1);
+        assertEquals(answers >= 3, warmStart.isFinished());
+        assertTrue(answers >= 3, "the seed must send requests to at least three peers");
+        List<byte[]> states = warmStart.takeAnswers();
+        assertEquals(answers, states.size());
+        states.forEach(k -> assertArrayEquals(state(450, k[0]), k));
+        assertTrue(warmStart.takeAnswers().isEmpty());
     }
 
     @Test
-    void asksAgainAndEndsWithItsTimeWhereNobodyAnswers() {
-        WarmStart w = fresh();
-        for (long us = 0; us < WarmStart.MOST_US; us += 100_000) {
-            w.onTick(T + us, 1);
-            assertFalse(w.over());
+    void retriesUntilTheTimeLimit() {
+        WarmStart warmStart = newWarmStart();
+        for (long us = 0; us < WarmStart.MAX_WAIT_US; us += 100_000) {
+            warmStart.onTick(START_US + us, 1);
+            assertFalse(warmStart.isFinished());
         }
-        assertEquals(36, net.sent.size());
-        w.onTick(T + WarmStart.MOST_US, 1);
-        assertTrue(w.over() && w.take().isEmpty());
-        net.others = 0;
-        WarmStart alone = fresh();
-        alone.onTick(T, 1);
-        alone.onTick(T + WarmStart.MOST_US, 1);
-        assertTrue(alone.over());
-        assertEquals(36, net.sent.size());
+        assertEquals(36, peers.sent.size());
+        warmStart.onTick(START_US + WarmStart.MAX_WAIT_US, 1);
+        assertTrue(warmStart.isFinished() && warmStart.takeAnswers().isEmpty());
+        peers.otherPeers = 0;
+        WarmStart alone = newWarmStart();
+        alone.onTick(START_US, 1);
+        alone.onTick(START_US + WarmStart.MAX_WAIT_US, 1);
+        assertTrue(alone.isFinished());
+        assertEquals(36, peers.sent.size());
     }
 
     @Test
-    void whoHasJustStartedItselfGivesNoAnswer() {
-        WarmStart w = fresh();
-        w.onTick(T, 1);
-        int place = net.sent.get(0).to;
-        assertTrue(answers(5_000_000, known(10, 1), place).isEmpty());
-        assertEquals(1, answers(OLD, known(10, 1), place).size());
-        assertTrue(answers(OLD, known(5_000, 1), place).isEmpty(), "more than fits");
+    void recentlyStartedPeerDoesNotAnswer() {
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
+        int peerIndex = peers.sent.get(0).peerIndex;
+        assertTrue(answersOf(5_000_000, state(10, 1), peerIndex).isEmpty());
+        assertEquals(1, answersOf(LONG_UPTIME_US, state(10, 1), peerIndex).size());
+        assertTrue(
+                answersOf(LONG_UPTIME_US, state(5_000, 1), peerIndex).isEmpty(),
+                "a state that is too large is not sent");
     }
 
     @Test
-    void partsThatCantBeAreLeftOut() {
-        WarmStart w = fresh();
-        w.onTick(T, 1);
+    void invalidChunksAreIgnored() {
+        WarmStart warmStart = newWarmStart();
+        warmStart.onTick(START_US, 1);
         for (byte[] section : new byte[][] {{0, 0, 1}, {3, 2, 1}, {-1, 2, 1}, {0, 99, 1}, {0}}) {
-            w.onLetter(
-                    T,
+            warmStart.onMessage(
+                    START_US,
                     1,
-                    Envelope.read(Envelope.from(9, 1)
-                            .add(41, java.nio.ByteBuffer.allocate(8).put(section))
-                            .bytes(-1)),
+                    Envelope.parse(Envelope.from(9, 1)
+                            .addSection(
+                                    STATE_CHUNK, java.nio.ByteBuffer.allocate(8).put(section))
+                            .toBytes(-1)),
                     1);
         }
-        assertTrue(w.take().isEmpty());
+        assertTrue(warmStart.takeAnswers().isEmpty());
     }
 }
--- a/src/test/java/rushproxy/sidecar/AdminServerTest.java
+++ b/src/test/java/rushproxy/sidecar/AdminServerTest.java
@@ -8,46 +8,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The operators' address answers every line, and nobody there holds up another. */
+/** The administrative port replies to every line, and no connection can block another. */
 @Timeout(60)
 class AdminServerTest {
     @Test
-    void healthIsYesOnceClientsAreTaken() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            assertEquals("ACK\n", rig.call("health"));
-            assertEquals("ACK\n", rig.call("health\r"));
+    void healthIsAcknowledgedOnceClientsAreAccepted() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            assertEquals("ACK\n", rig.callAdmin("health"));
+            assertEquals("ACK\n", rig.callAdmin("health\r"));
         }
     }
 
     @Test
-    void whatIsNoCallIsRefused() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
+    void invalidCommandsAreRefused() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
             for (String line : List.of(
                     "", "reboot", "HEALTH", "health now", "cordon", "cordon ", "cordon a b", "x".repeat(9_000))) {
-                String answer = rig.call(line);
+                String answer = rig.callAdmin(line);
                 assertTrue(answer.startsWith("NAK"), line + ": " + answer);
             }
         }
     }
 
     @Test
-    void oneLineToAConnection() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start();
-                Peer.Client c = rig.operator()) {
+    void onlyTheFirstLineOfAConnectionIsExecuted() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start();
+                TestServer.Client c = rig.adminClient()) {
             assertEquals("ACK\n", c.send("health\nquiesce\n").rest());
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertEquals(null, client.answer().header("Connection"), "a second call was carried out");
+                assertEquals(null, client.answer().header("Connection"), "the second command was executed");
             }
         }
     }
 
     @Test
-    void halfACallGetsItsNoAndSoDoesSilence() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            try (Peer.Client ended = rig.operator();
-                    Peer.Client half = rig.operator();
-                    Peer.Client silent = rig.operator()) {
+    void incompleteAndMissingCommandsAreRefused() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            try (TestServer.Client ended = rig.adminClient();
+                    TestServer.Client half = rig.adminClient();
+                    TestServer.Client silent = rig.adminClient()) {
                 ended.send("quies");
                 ended.socket.shutdownOutput();
                 assertTrue(ended.rest().startsWith("NAK"));
@@ -55,7 +55,7 @@
                 assertTrue(half.rest().startsWith("NAK"));
                 assertTrue(silent.rest().startsWith("NAK"));
             }
-            try (Peer.Client ended = rig.operator()) {
+            try (TestServer.Client ended = rig.adminClient()) {
                 ended.send("health\n");
                 ended.socket.shutdownOutput();
                 assertEquals("ACK\n", ended.rest());
@@ -64,23 +64,23 @@
     }
 
     @Test
-    void callersThatStayKeepNobodyOut() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            List<Peer.Client> silent = new ArrayList<>();
-            for (int i = 0; i < 3 * AdminServer.MOST_CALLERS; i++) {
-                silent.add(rig.operator());
-                assertEquals("ACK\n", rig.call("health"));
+    void idleConnectionsDoNotBlockOthers() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            List<TestServer.Client> silent = new ArrayList<>();
+            for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
+                silent.add(rig.adminClient());
+                assertEquals("ACK\n", rig.callAdmin("health"));
             }
-            for (Peer.Client c : silent) {
+            for (TestServer.Client c : silent) {
                 c.close();
             }
         }
     }
 
     @Test
-    void withoutAnAddressNothingListens() throws Exception {
-        try (Rig rig = new Rig().start()) {
-            assertEquals(null, rig.sidecar.administered());
+    void nothingListensWithoutAnAddress() throws Exception {
+        try (SidecarRig rig = new SidecarRig().start()) {
+            assertEquals(null, rig.sidecar.adminAddress());
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/CordonTest.java
+++ b/src/test/java/rushproxy/sidecar/CordonTest.java
@@ -11,118 +11,118 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the operators call out stays out until they call it back, over lists, restarts and spoilt files. */
+/** A cordoned upstream stays cordoned until it is uncordoned, across list updates, restarts and damaged files. */
 @Timeout(60)
 class CordonTest {
     @TempDir
-    Path folder;
+    Path directory;
 
-    private Rig rig() throws Exception {
-        Rig rig = new Rig().withAdmin();
-        rig.kept = folder;
-        rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+    private SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
+        rig.stateDirectory = directory;
+        rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
         return rig;
     }
 
-    private static int serve(Rig rig, String id) throws Exception {
-        try (Peer.Client c = rig.client()) {
-            return c.send(Rig.get(id, 20_000)).status();
+    private static int serve(SidecarRig rig, String id) throws Exception {
+        try (TestServer.Client c = rig.client()) {
+            return c.send(SidecarRig.getRequest(id, 20_000)).status();
         }
     }
 
     private List<Path> files() throws Exception {
-        try (var all = Files.walk(folder)) {
+        try (var all = Files.walk(directory)) {
             return all.filter(Files::isRegularFile).toList();
         }
     }
 
-    /** The module of the test goes on sending: the sockets' side must not let it. */
+    /** The test's module keeps sending to the upstream; the connection pool must refuse. */
     @Test
-    void nothingIsSentToWhatWasCalledOut() throws Exception {
-        try (Rig rig = rig().start()) {
+    void nothingIsSentToACordonedUpstream() throws Exception {
+        try (SidecarRig rig = rig().start()) {
             assertEquals(200, serve(rig, "a1"));
-            assertEquals("ACK\n", rig.call("cordon u0"));
-            rig.await("cordon u0 true");
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
+            rig.awaitEvent("cordon u0 true");
             assertEquals(502, serve(rig, "a2"));
-            assertEquals("outcome a2 0 NOT_SENT false -", rig.await("outcome a2"));
-            assertEquals("ACK\n", rig.call("cordon u0"));
-            assertEquals("ACK\n", rig.call("uncordon u0"));
-            rig.await("cordon u0 false");
+            assertEquals("outcome a2 0 NOT_SENT false -", rig.awaitEvent("outcome a2"));
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
+            assertEquals("ACK\n", rig.callAdmin("uncordon u0"));
+            rig.awaitEvent("cordon u0 false");
             assertEquals(200, serve(rig, "a3"));
-            assertEquals("ACK\n", rig.call("uncordon u0"));
+            assertEquals("ACK\n", rig.callAdmin("uncordon u0"));
         }
     }
 
     @Test
-    void idsThatNobodyHasGetANo() throws Exception {
-        try (Rig rig = rig().start()) {
-            assertTrue(rig.call("cordon u7").startsWith("NAK"));
-            assertTrue(rig.call("uncordon u7").startsWith("NAK"));
+    void unknownUpstreamsAreRefused() throws Exception {
+        try (SidecarRig rig = rig().start()) {
+            assertTrue(rig.callAdmin("cordon u7").startsWith("NAK"));
+            assertTrue(rig.callAdmin("uncordon u7").startsWith("NAK"));
             assertEquals(List.of(), files());
         }
     }
 
     @Test
-    void theNextProcessKnowsAndBothHearOfEachOthersCalls() throws Exception {
-        try (Rig first = rig().start()) {
-            assertEquals("ACK\n", first.call("cordon u0"));
-            try (Rig next = rig().start()) {
-                next.await("cordon u0 true");
+    void theNextProcessLoadsCordonsAndBothSeeEachOthersCommands() throws Exception {
+        try (SidecarRig first = rig().start()) {
+            assertEquals("ACK\n", first.callAdmin("cordon u0"));
+            try (SidecarRig next = rig().start()) {
+                next.awaitEvent("cordon u0 true");
                 assertEquals(502, serve(next, "a1"));
-                assertEquals("ACK\n", first.call("uncordon u0"));
-                next.await("cordon u0 false");
+                assertEquals("ACK\n", first.callAdmin("uncordon u0"));
+                next.awaitEvent("cordon u0 false");
                 assertEquals(200, serve(next, "a2"));
-                assertEquals("ACK\n", next.call("cordon u0"));
-                first.await("cordon u0 false");
-                first.await("cordon u0 true");
+                assertEquals("ACK\n", next.callAdmin("cordon u0"));
+                first.awaitEvent("cordon u0 false");
+                first.awaitEvent("cordon u0 true");
                 assertEquals(502, serve(first, "a3"));
             }
         }
     }
 
     @Test
-    void spoiltFilesAreAnOrdinaryStart() throws Exception {
-        try (Rig first = rig().start()) {
-            assertEquals("ACK\n", first.call("cordon u0"));
+    void damagedFilesAreIgnored() throws Exception {
+        try (SidecarRig first = rig().start()) {
+            assertEquals("ACK\n", first.callAdmin("cordon u0"));
         }
         Path kept = files().get(0);
         Files.writeString(kept, Files.readString(kept).substring(0, 10));
         Files.writeString(
                 kept.resolveSibling("cordon-other.json"), "{\"version\":99,\"id\":\"u0\",\"out\":true,\"atMs\":1}");
         Files.write(kept.resolveSibling("cordon-foreign.json"), new byte[5_000]);
-        try (Rig next = rig().start()) {
+        try (SidecarRig next = rig().start()) {
             assertEquals(200, serve(next, "a1"));
-            assertEquals("ACK\n", next.call("cordon u0"));
+            assertEquals("ACK\n", next.callAdmin("cordon u0"));
             assertEquals(502, serve(next, "a2"));
         }
     }
 
-    /** Whatever the wall clock said when it was written: it is forgotten some time after this process has seen it. */
+    /** Guards against an uncordon that expires at once or never because the wall clock was stepped. */
     @Test
-    void aCallBackIsForgottenByTheMonotonicClock() throws Exception {
+    void anUncordonExpiresByTheMonotonicClock() throws Exception {
         long hourMs = 3_600_000;
         for (long stepMs : new long[] {-hourMs, hourMs}) {
             Files.writeString(
-                    folder.resolve("cordon-a.json"),
+                    directory.resolve("cordon-a.json"),
                     "{\"version\":1,\"id\":\"u0\",\"out\":false,\"atMs\":" + (System.currentTimeMillis() + stepMs)
                             + "}");
-            java.util.concurrent.atomic.AtomicLong nanos = new java.util.concurrent.atomic.AtomicLong();
-            java.util.concurrent.BlockingQueue<java.util.Map<String, CordonStore.Mark>> changes =
+            java.util.concurrent.atomic.AtomicLong nanoTime = new java.util.concurrent.atomic.AtomicLong();
+            java.util.concurrent.BlockingQueue<java.util.Map<String, CordonStore.CordonState>> changes =
                     new java.util.concurrent.LinkedBlockingQueue<>();
-            try (CordonStore store = new CordonStore(folder, 1_000, changes::add, nanos::get)) {
+            try (CordonStore store = new CordonStore(directory, 1_000, changes::add, nanoTime::get)) {
                 store.start();
                 assertEquals(java.util.Set.of("u0"), changes.take().keySet(), "clock stepped by " + stepMs);
-                nanos.set(1_000_000_000L);
+                nanoTime.set(1_000_000_000L);
                 assertEquals(java.util.Set.of(), changes.take().keySet(), "clock stepped by " + stepMs);
             }
         }
     }
 
-    /** While the process lives it holds what it was told, and writes it anew for the next one. */
+    /** The running process keeps the cordon and writes the file again for the next one. */
     @Test
-    void aFileThatVanishesIsNoCallBack() throws Exception {
-        try (Rig rig = rig().start()) {
-            assertEquals("ACK\n", rig.call("cordon u0"));
+    void aMissingFileIsNotAnUncordon() throws Exception {
+        try (SidecarRig rig = rig().start()) {
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
             Files.delete(files().get(0));
             while (files().isEmpty()) {
                 Thread.sleep(5);
@@ -131,28 +131,31 @@
         }
     }
 
-    /** Listed again as another start it is another target, and left out still. */
+    /** A restarted upstream is a new target in the pool, but is still cordoned. */
     @Test
-    void theListDoesNotBringItBack() throws Exception {
+    void aListUpdateDoesNotUncordon() throws Exception {
         String[] address = new String[1];
-        CountDownLatch calledOut = new CountDownLatch(1);
-        try (Rig rig = new Rig((m, line) -> {
+        CountDownLatch cordoned = new CountDownLatch(1);
+        try (SidecarRig rig = new SidecarRig((m, line) -> {
                     if (m.path().contains("index=41")) {
                         try {
-                            calledOut.await();
+                            cordoned.await();
                         } catch (InterruptedException e) {
                             throw new java.io.InterruptedIOException();
                         }
-                        line.answer("200 OK", "", Rig.list(42, true, Rig.entry("u0", address[0], "Ready", 5_000)));
+                        line.answer(
+                                "200 OK",
+                                "",
+                                SidecarRig.listJson(42, true, SidecarRig.entryJson("u0", address[0], "Ready", 5_000)));
                     }
                 })
                 .withAdmin()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            address[0] = rig.peers.get(0).address();
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
+            address[0] = rig.upstreams.get(0).address();
             rig.start();
-            assertEquals("ACK\n", rig.call("cordon u0"));
-            calledOut.countDown();
-            rig.await("list FULL");
+            assertEquals("ACK\n", rig.callAdmin("cordon u0"));
+            cordoned.countDown();
+            rig.awaitEvent("list FULL");
             assertEquals(502, serve(rig, "a1"));
         }
     }
--- a/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
+++ b/src/test/java/rushproxy/sidecar/FleetPlaneTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.PeerWord;
+import rushproxy.PeerMessage;
 import rushproxy.fleet.Envelope;
 
-/** The fleet plane on the sidecar's sockets: what is whose, and what is said at the end. */
+/** The fleet plane in a sidecar: dispatch of datagrams, admin commands, warm start, departure and configuration errors. */
 @Timeout(60)
 class FleetPlaneTest {
-    private static final int WORD = PeerWord.length(1, 1);
+    private static final int MODULE_MESSAGE_BYTES = PeerMessage.encodedLength(1, 1);
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket s = new DatagramSocket(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
@@ -29,12 +29,12 @@
         return s;
     }
 
-    private static Rig rig(DatagramSocket peer) throws Exception {
+    private static SidecarRig rig(DatagramSocket peer) throws Exception {
         return rig("{\"members\":true}", peer);
     }
 
-    private static Rig rig(String fleet, DatagramSocket... peers) throws Exception {
-        Rig rig = new Rig().withAdmin();
+    private static SidecarRig rig(String fleet, DatagramSocket... peers) throws Exception {
+        SidecarRig rig = new SidecarRig().withAdmin();
         StringBuilder list = new StringBuilder("\"127.0.0.1:9\"");
         for (DatagramSocket p : peers) {
             list.append(",\"127.0.0.1:").append(p.getLocalPort()).append('"');
@@ -43,76 +43,81 @@
         return rig;
     }
 
-    /** One entry of the store, from its writer. */
-    private static byte[] said(int member, String server, int kind) {
+    /** A datagram with one entry of the shared store: a member's report on a server. */
+    private static byte[] report(int member, String server, int kind) {
         long now = System.currentTimeMillis();
         ByteBuffer b = ByteBuffer.allocate(60).put((byte) 1);
-        Envelope.put48(b, Envelope.id(server));
-        Envelope.put48(b, Envelope.id("n" + member));
+        Envelope.put48(b, Envelope.idOf(server));
+        Envelope.put48(b, Envelope.idOf("n" + member));
         b.putLong(now << 16).putInt(15_000).put((byte) 6).put(new byte[] {(byte) kind, 0, 16, 3, 0, 0});
-        return Envelope.from(Envelope.id("n" + member), now).add(21, b).bytes(WORD);
+        return Envelope.from(Envelope.idOf("n" + member), now).addSection(21, b).toBytes(MODULE_MESSAGE_BYTES);
     }
 
-    private static Envelope.Letter next(DatagramSocket peer, DatagramPacket into) throws Exception {
+    private static Envelope.Message next(DatagramSocket peer, DatagramPacket into) throws Exception {
         into.setLength(1_000);
         peer.receive(into);
-        assertTrue(into.getLength() <= Envelope.MOST && into.getLength() != WORD, "" + into.getLength());
-        return Envelope.read(java.util.Arrays.copyOf(into.getData(), into.getLength()));
+        assertTrue(
+                into.getLength() <= Envelope.MAX_BYTES && into.getLength() != MODULE_MESSAGE_BYTES,
+                "" + into.getLength());
+        return Envelope.parse(java.util.Arrays.copyOf(into.getData(), into.getLength()));
     }
 
     @Test
-    void lettersAreItsOwnAndWordsTheModules() throws Exception {
+    void datagramsAreDispatchedToTheFleetPlaneOrTheModuleByLength() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig(peer).start()) {
+                SidecarRig rig = rig(peer).start()) {
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
-            Envelope.Letter first = next(peer, got);
-            assertEquals(Envelope.id("n0"), first.sender());
+            Envelope.Message first = next(peer, got);
+            assertEquals(Envelope.idOf("n0"), first.sender());
             InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
-            byte[] ping = Envelope.from(Envelope.id("n1"), System.currentTimeMillis())
-                    .add(1, ByteBuffer.allocate(2).putShort((short) 77))
-                    .bytes(WORD);
+            byte[] ping = Envelope.from(Envelope.idOf("n1"), System.currentTimeMillis())
+                    .addSection(1, ByteBuffer.allocate(2).putShort((short) 77))
+                    .toBytes(MODULE_MESSAGE_BYTES);
             peer.send(new DatagramPacket(ping, ping.length, sidecar));
-            Envelope.Letter answer;
+            Envelope.Message answer;
             do {
                 answer = next(peer, got);
             } while (answer.sections().get(0).type() != 2);
             assertEquals(77, ByteBuffer.wrap(answer.sections().get(0).bytes()).getShort());
-            peer.send(new DatagramPacket(new byte[WORD], WORD, sidecar));
-            assertEquals("peer 1 " + WORD, rig.await("peer"), "the letter came to the module");
-            assertEquals("fleet 2 MAJORITY", rig.await("fleet 2"));
-            String members = rig.call("members");
+            peer.send(new DatagramPacket(new byte[MODULE_MESSAGE_BYTES], MODULE_MESSAGE_BYTES, sidecar));
+            assertEquals(
+                    "peer 1 " + MODULE_MESSAGE_BYTES,
+                    rig.awaitEvent("peer"),
+                    "a fleet datagram was passed to the module");
+            assertEquals("fleet 2 MAJORITY", rig.awaitEvent("fleet 2"));
+            String members = rig.callAdmin("members");
             assertTrue(
                     members.startsWith("ACK {\"self\":\"n0\",\"here\":2,\"expected\":2,\"standing\":\"majority\""),
                     members);
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
-            Envelope.Letter last;
+            Envelope.Message last;
             do {
                 last = next(peer, got);
             } while (last.sections().get(0).type() != 6
                     || last.sections().get(0).bytes()[12] != 3);
-            assertEquals(Envelope.id("n0"), last.sender());
+            assertEquals(Envelope.idOf("n0"), last.sender());
             stopped.await();
         }
     }
 
-    /** Two peers speak against an upstream: the module is told, operators see it, and it goes when nobody says so any more. */
+    /** Reports of two peers against an upstream lead to a verdict, which the module receives and operators can query. */
     @Test
-    void whatTwoSayOfAServerComesToTheModuleAndToOperators() throws Exception {
+    void reportsOfTwoPeersBecomeAVerdict() throws Exception {
         try (DatagramSocket one = socket();
                 DatagramSocket two = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
-            rig.upstream((m, line) -> {});
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", one, two)) {
+            rig.addUpstream((m, line) -> {});
             rig.start();
             DatagramPacket got = new DatagramPacket(new byte[1_000], 1_000);
             next(one, got);
             InetSocketAddress sidecar = (InetSocketAddress) got.getSocketAddress();
             for (DatagramSocket s : new DatagramSocket[] {one, two}) {
-                byte[] word = said(s == one ? 1 : 2, "u0", 1);
-                s.send(new DatagramPacket(word, word.length, sidecar));
+                byte[] report = report(s == one ? 1 : 2, "u0", 1);
+                s.send(new DatagramPacket(report, report.length, sidecar));
             }
-            assertEquals("verdict u0 SILENT true", rig.await("verdict u0 SILENT true"));
-            String verdicts = rig.call("verdicts");
+            assertEquals("verdict u0 SILENT true", rig.awaitEvent("verdict u0 SILENT true"));
+            String verdicts = rig.callAdmin("verdicts");
             assertTrue(
                     verdicts.startsWith(
                                     "ACK {\"self\":\"n0\",\"servers\":1,\"verdicts\":[{\"server\":\"u0\",\"kind\":\"silent\"")
@@ -122,126 +127,137 @@
     }
 
     @Test
-    void limitsAreTheConfigurationsAndTheOperators() throws Exception {
+    void limitsComeFromTheConfigurationAndFromCommands() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig(
+                SidecarRig rig = rig(
                                 "{\"members\":true,\"shared\":true,\"limits\":[{\"name\":\"some\","
                                         + "\"class\":\"c\",\"per_second\":40}]}",
                                 peer)
                         .start()) {
             assertEquals(
                     "share some 20.0",
-                    rig.await("share some 20.0"),
-                    "its part, once the time of the process before is over");
-            assertEquals("ACK\n", rig.call("limit some class:c 10 in_flight"));
-            assertEquals("share some 5.0", rig.await("share some 5.0"));
-            assertTrue(rig.call("limits")
+                    rig.awaitEvent("share some 20.0"),
+                    "its share, once the previous process's lease is over");
+            assertEquals("ACK\n", rig.callAdmin("limit some class:c 10 in_flight"));
+            assertEquals("share some 5.0", rig.awaitEvent("share some 5.0"));
+            assertTrue(rig.callAdmin("limits")
                     .contains("\"name\":\"some\",\"of\":\"class:c\",\"per\":\"in_flight\",\"most\":10.0"));
-            assertEquals("ACK\n", rig.call("unlimit some"));
-            assertEquals("share some 20.0", rig.await("share some 20.0"));
-            assertEquals("NAK no limit of this name was set by a call\n", rig.call("unlimit other"));
-            assertEquals("NAK no class 'x'\n", rig.call("limit some class:x 10 in_flight"));
-            assertEquals("NAK 'ten' is no number\n", rig.call("limit some all ten in_flight"));
+            assertEquals("ACK\n", rig.callAdmin("unlimit some"));
+            assertEquals("share some 20.0", rig.awaitEvent("share some 20.0"));
+            assertEquals("NAK no limit of this name was set by an operator\n", rig.callAdmin("unlimit other"));
+            assertEquals("NAK unknown class 'x'\n", rig.callAdmin("limit some class:x 10 in_flight"));
+            assertEquals("NAK 'ten' is not a number\n", rig.callAdmin("limit some all ten in_flight"));
             assertEquals(
-                    "NAK 'most' is not all, class:NAME or tenant:NAME\n", rig.call("limit some most 10 in_flight"));
-            assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.call("limit some all 10 a_day"));
-            assertEquals("NAK -1.0 is no limit\n", rig.call("limit some all -1 in_flight"));
-            assertEquals("NAK no such call\n", rig.call("limit some all 10"));
+                    "NAK 'most' is not all, class:NAME or tenant:NAME\n",
+                    rig.callAdmin("limit some most 10 in_flight"));
+            assertEquals("NAK 'a_day' is not per_second or in_flight\n", rig.callAdmin("limit some all 10 a_day"));
+            assertEquals("NAK -1.0 is not a valid limit\n", rig.callAdmin("limit some all -1 in_flight"));
+            assertEquals("NAK unknown command\n", rig.callAdmin("limit some all 10"));
         }
     }
 
     @Test
-    void whatAReleaseOrdersComesToTheModuleAndAnOlderControllerIsRefused() throws Exception {
+    void ordersReachTheModuleAndThoseOfAnOlderEpochAreRefused() throws Exception {
         try (DatagramSocket peer = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
-            rig.upstream((m, line) -> {});
-            rig.upstream((m, line) -> {});
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
+            rig.addUpstream((m, line) -> {});
+            rig.addUpstream((m, line) -> {});
             rig.start();
-            assertEquals("ACK\n", rig.call("order r1 2 0 on 0.25 0.05 ids=u1"));
-            assertEquals("weights {u1=0.25}", rig.await("weights"));
-            assertEquals("NAK epoch 2, step 0 is known\n", rig.call("order r1 1 9 on 1 0.05 ids=u1"));
+            assertEquals("ACK\n", rig.callAdmin("order r1 2 0 on 0.25 0.05 ids=u1"));
+            assertEquals("weights {u1=0.25}", rig.awaitEvent("weights"));
+            assertEquals("NAK epoch 2, step 0 is known\n", rig.callAdmin("order r1 1 9 on 1 0.05 ids=u1"));
             assertTrue(
-                    rig.call("orders")
+                    rig.callAdmin("orders")
                             .startsWith(
                                     "ACK {\"self\":\"n0\",\"orders\":[{\"release\":\"r1\",\"epoch\":2,\"step\":0,"
                                             + "\"state\":\"on\",\"weight\":0.25,\"safe\":0.05,\"whom\":\"ids=u1\",\"servers\":1}],\"weights\":{\"u1\":0.25}}"));
-            assertEquals("ACK\n", rig.call("order r1 2 1 done 1 0.05 ids=u1"));
+            assertEquals("ACK\n", rig.callAdmin("order r1 2 1 done 1 0.05 ids=u1"));
             String last;
             do {
-                last = rig.await("weights");
+                last = rig.awaitEvent("weights");
             } while (last.contains("u1"));
             assertEquals("weights {}", last);
-            assertTrue(rig.call("order r1 x 1 on 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 open 1 1 ids=u1").startsWith("NAK no order: "));
-            assertTrue(rig.call("order r1 3 1 on 1 1 color=red").startsWith("NAK no order: 'color' is not"));
+            assertTrue(rig.callAdmin("order r1 x 1 on 1 1 ids=u1").startsWith("NAK invalid order: "));
+            assertTrue(rig.callAdmin("order r1 3 1 open 1 1 ids=u1").startsWith("NAK invalid order: "));
+            assertTrue(rig.callAdmin("order r1 3 1 on 1 1 color=red").startsWith("NAK invalid order: 'color' is not"));
         }
     }
 
     @Test
-    void aProcessThatTakesAnothersPlaceBeginsWithWhatThatKnew(@TempDir Path kept) throws Exception {
-        Path own = Files.createDirectories(kept.resolve("rushproxy-n0"));
-        Files.write(own.resolve("known.bin"), Snapshot.bytes(new byte[] {4, 5}, System.currentTimeMillis() - 1_000));
+    void aNewProcessStartsFromTheSnapshotOfThePreviousOne(@TempDir Path kept) throws Exception {
+        Path directory = Files.createDirectories(kept.resolve("rushproxy-n0"));
+        Files.write(
+                directory.resolve("known.bin"),
+                LearnedStateSnapshot.encode(new byte[] {4, 5}, System.currentTimeMillis() - 1_000));
         try (DatagramSocket peer = socket();
-                Rig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
-            rig.kept = kept;
+                SidecarRig rig = rig("{\"members\":true,\"shared\":true}", peer)) {
+            rig.stateDirectory = kept;
             rig.start();
-            assertEquals("know [4, 5]", rig.await("know"));
-            // And leaves what it knows itself.
-            byte[] before = Files.readAllBytes(own.resolve("known.bin"));
-            while (java.util.Arrays.equals(before, Files.readAllBytes(own.resolve("known.bin")))) {
+            assertEquals("know [4, 5]", rig.awaitEvent("know"));
+            // The new process writes its own snapshot.
+            byte[] before = Files.readAllBytes(directory.resolve("known.bin"));
+            while (java.util.Arrays.equals(before, Files.readAllBytes(directory.resolve("known.bin")))) {
                 Thread.sleep(20);
             }
-            byte[] now = Files.readAllBytes(own.resolve("known.bin"));
+            byte[] now = Files.readAllBytes(directory.resolve("known.bin"));
             assertEquals(3, now.length - 17);
         }
     }
 
     @Test
-    void withoutItNothingIsSentAndNoViewIsKept() throws Exception {
-        try (Rig rig = new Rig().withAdmin().start()) {
-            assertEquals("NAK keeps no view of members\n", rig.call("members"));
-            assertEquals("NAK shares nothing\n", rig.call("verdicts"));
-            assertEquals("NAK shares nothing\n", rig.call("limit some all 10 in_flight"));
+    void commandsAreRefusedIfTheFleetPlaneIsOff() throws Exception {
+        try (SidecarRig rig = new SidecarRig().withAdmin().start()) {
+            assertEquals("NAK fleet membership is off\n", rig.callAdmin("members"));
+            assertEquals("NAK fleet sharing is off\n", rig.callAdmin("verdicts"));
+            assertEquals("NAK fleet sharing is off\n", rig.callAdmin("limit some all 10 in_flight"));
         }
     }
 
     @Test
-    void aMistakeInItsTableNamesThePlace() {
+    void configurationErrorsNameTheField() {
         String rest =
                 "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:9\",\"seed\":\"1\",\"known\":{\"generation\":1,\"reset\":true,"
-                        + "\"instances\":[]},\"settings\":" + Rig.SETTINGS + "}";
-        assertTrue(assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{\"memberz\":true}," + rest))
+                        + "\"instances\":[]},\"settings\":" + SidecarRig.SETTINGS + "}";
+        assertTrue(assertThrows(
+                        Config.InvalidConfigException.class,
+                        () -> SidecarRig.parseConfig("{\"fleet\":{\"memberz\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.memberz' is unknown"));
-        assertTrue(assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{\"members\":true}," + rest))
+        assertTrue(assertThrows(
+                        Config.InvalidConfigException.class,
+                        () -> SidecarRig.parseConfig("{\"fleet\":{\"members\":true}," + rest))
                 .getMessage()
                 .contains("'fleet.members' needs 'peer_listen'"));
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"\"shared\":true", "'fleet.shared' needs 'fleet.members'"},
             {"\"limits\":[]", "'fleet.limits' needs 'fleet.shared'"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config("{\"fleet\":{" + bad[0] + "}," + rest))
+                    assertThrows(
+                                    Config.InvalidConfigException.class,
+                                    () -> SidecarRig.parseConfig("{\"fleet\":{" + invalid[0] + "}," + rest))
                             .getMessage()
-                            .contains(bad[1]),
-                    bad[1]);
+                            .contains(invalid[1]),
+                    invalid[1]);
         }
-        String on =
+        String withLimits =
                 "{\"peer_listen\":\"127.0.0.1:9\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:10\"],\"fleet\":{\"members\":true,"
                         + "\"shared\":true,\"limits\":[%s]}," + rest;
-        for (String[] bad : new String[][] {
+        for (String[] invalid : new String[][] {
             {"{\"per_second\":1}", "'name' is missing"},
             {"{\"name\":\"a\",\"per_second\":1,\"x\":1}", "'fleet.limits.x' is unknown"},
             {"{\"name\":\"a\"}", "'fleet.limits', 'a' wants 'per_second' or 'in_flight'"},
-            {"{\"name\":\"a\",\"per_second\":1,\"class\":\"none\"}", "'fleet.limits', 'a': no class 'none'"},
+            {"{\"name\":\"a\",\"per_second\":1,\"class\":\"none\"}", "'fleet.limits', 'a': unknown class 'none'"},
             {"{\"name\":\"a\",\"per_second\":1},{\"name\":\"a\",\"per_second\":2}", "names 'a' twice"},
-            {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is no name"}
+            {"{\"name\":\"a b\",\"per_second\":1}", "'a b' is not a name"}
         }) {
             assertTrue(
-                    assertThrows(Config.Broken.class, () -> Rig.config(on.formatted(bad[0])))
+                    assertThrows(
+                                    Config.InvalidConfigException.class,
+                                    () -> SidecarRig.parseConfig(withLimits.formatted(invalid[0])))
                             .getMessage()
-                            .contains(bad[1]),
-                    bad[1]);
+                            .contains(invalid[1]),
+                    invalid[1]);
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/NumberTextTest.java
+++ b/src/test/java/rushproxy/sidecar/NumberSyntaxTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class NumberTextTest {
-    /** Guards against a header that is taken for a number where the protocol has none, or not where it has one. */
+class NumberSyntaxTest {
+    /** Guards against a header value that is wrongly accepted or rejected as a number. */
     @Test
-    void itSaysWhatTheRegularExpressionsOfTheProtocolSay() {
+    void checksMatchTheEquivalentRegularExpressions() {
         String[] texts = {
             "",
             "0",
@@ -37,8 +37,8 @@
             ":"
         };
         for (String text : texts) {
-            assertEquals(text.matches("[0-9]{1,9}"), NumberText.isDecimal(text, 9), text);
-            assertEquals(text.matches("[0-9a-fA-F]{1,16}"), NumberText.isHexadecimal(text, 16), text);
+            assertEquals(text.matches("[0-9]{1,9}"), NumberSyntax.isDecimal(text, 9), text);
+            assertEquals(text.matches("[0-9a-fA-F]{1,16}"), NumberSyntax.isHexadecimal(text, 16), text);
         }
     }
 }
--- a/src/test/java/rushproxy/sidecar/PeersTest.java
+++ b/src/test/java/rushproxy/sidecar/PeersTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Datagrams between sidecars. */
 @Timeout(60)
 class PeersTest {
     private static DatagramSocket socket() throws Exception {
@@ -23,24 +24,24 @@
     }
 
     @Test
-    void onlyPeersAreHeardAndOnlyWhatFits() throws Exception {
+    void onlyDatagramsOfPeersWithinTheSizeLimitArePassedOn() throws Exception {
         try (DatagramSocket peer = socket();
                 DatagramSocket stranger = socket();
                 DatagramSocket everyone = socket();
-                Rig rig = new Rig()) {
+                SidecarRig rig = new SidecarRig()) {
             rig.peerFields = "\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:9\",\"127.0.0.1:"
                     + peer.getLocalPort() + "\"],\"peers_all\":\"127.0.0.1:" + everyone.getLocalPort() + "\",";
             rig.onRequest = (now, r, out) -> {
-                out.tell(1, new byte[5]);
-                out.tell(7, new byte[5]);
-                out.tell(1, new byte[257]);
-                out.tell(1, new byte[256]);
-                out.tell(-1, new byte[7]);
+                out.sendToPeer(1, new byte[5]);
+                out.sendToPeer(7, new byte[5]);
+                out.sendToPeer(1, new byte[257]);
+                out.sendToPeer(1, new byte[256]);
+                out.sendToPeer(-1, new byte[7]);
                 out.fail(r.id());
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(502, client.status());
             }
             DatagramPacket got = new DatagramPacket(new byte[1000], 1000);
@@ -58,26 +59,29 @@
             peer.send(new DatagramPacket(new byte[257], 257, sidecar));
             peer.send(new DatagramPacket(new byte[0], 0, sidecar));
             peer.send(new DatagramPacket(new byte[256], 256, sidecar));
-            assertEquals("peer 1 0", rig.await("peer"));
-            assertEquals("peer 1 256", rig.await("peer"));
+            assertEquals("peer 1 0", rig.awaitEvent("peer"));
+            assertEquals("peer 1 256", rig.awaitEvent("peer"));
         }
     }
 
-    /** The transport closes a datagram socket whose read fails with ENOMEM, say. */
+    /** Guards against a sidecar that stops receiving after the transport has closed its socket, as on a read error such as ENOMEM. */
     @Test
-    void aSocketThatWasClosedIsReplaced() throws Exception {
+    void aClosedSocketIsReplaced() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (DatagramSocket peer = socket();
                 DatagramSocket free = socket()) {
             InetSocketAddress address = (InetSocketAddress) free.getLocalSocketAddress();
             free.close();
             Peers peers = new Peers(
-                    new Clock(), new Decisions(), List.of((InetSocketAddress) peer.getLocalSocketAddress()), null);
+                    new Clock(),
+                    new BalancerDispatcher(),
+                    List.of((InetSocketAddress) peer.getLocalSocketAddress()),
+                    null);
             peers.listen(group.next(), address);
-            Channel first = bound(peers, null);
+            Channel first = awaitBound(peers, null);
             first.close().sync();
-            bound(peers, first);
-            peers.tell(0, new byte[3]);
+            awaitBound(peers, first);
+            peers.send(0, new byte[3]);
             DatagramPacket got = new DatagramPacket(new byte[10], 10);
             peer.receive(got);
             assertEquals(3, got.getLength());
@@ -86,9 +90,9 @@
         }
     }
 
-    private static Channel bound(Peers peers, Channel not) throws InterruptedException {
+    private static Channel awaitBound(Peers peers, Channel previous) throws InterruptedException {
         Channel now;
-        while ((now = peers.channel()) == null || now == not) {
+        while ((now = peers.channel()) == null || now == previous) {
             Thread.sleep(5);
         }
         return now;
--- a/src/test/java/rushproxy/sidecar/ShutdownTest.java
+++ b/src/test/java/rushproxy/sidecar/ShutdownTest.java
@@ -8,22 +8,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A planned stop loses nothing that a client has sent. */
+/** A graceful shutdown loses no request. */
 @Timeout(60)
 class ShutdownTest {
-    /** The longest deadline, and with it the time until the end that is not asked for, leaves room for a slow machine. */
-    private static Rig rig() throws Exception {
-        Rig rig = new Rig();
-        rig.settings = Rig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
+    /** Uses a longer deadline, and so a later forced end, to leave room for a slow machine. */
+    private static SidecarRig rig() throws Exception {
+        SidecarRig rig = new SidecarRig();
+        rig.settings = SidecarRig.SETTINGS.replace("\"give_up_us\":800000", "\"give_up_us\":3000000");
         return rig;
     }
 
     @Test
-    void newConnectionsAndHalfReadRequestsAreServedAfterTheStopWasAskedFor() throws Exception {
-        try (Rig rig = rig()) {
+    void newConnectionsAndPartialRequestsAreServedDuringShutdown() throws Exception {
+        try (SidecarRig rig = rig()) {
             CountDownLatch answer = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
-                if (m.header("X-Txn").equals("held")) {
+            rig.addUpstream((m, line) -> {
+                if (m.header("X-Txn").equals("pending")) {
                     try {
                         answer.await();
                     } catch (InterruptedException e) {
@@ -34,51 +34,51 @@
             });
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client();
-                    Peer.Client half = rig.client();
-                    Peer.Client idle = rig.client()) {
-                held.send(Rig.get("held", 30_000));
-                rig.await("request held");
-                idle.send(Rig.get("before", 30_000));
+            try (TestServer.Client pending = rig.client();
+                    TestServer.Client half = rig.client();
+                    TestServer.Client idle = rig.client()) {
+                pending.send(SidecarRig.getRequest("pending", 30_000));
+                rig.awaitEvent("request pending");
+                idle.send(SidecarRig.getRequest("before", 30_000));
                 assertEquals("before", idle.answer().body());
-                String text = Rig.get("half", 30_000);
+                String text = SidecarRig.getRequest("half", 30_000);
                 half.send(text.substring(0, 30));
                 rig.sidecar.stop(stopped::countDown);
-                try (Peer.Client fresh = rig.client()) {
-                    fresh.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                    assertEquals(503, fresh.status());
+                try (TestServer.Client newcomer = rig.client()) {
+                    newcomer.send("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                    assertEquals(503, newcomer.status());
                     for (int i = 0; i < 3; i++) {
-                        fresh.send(Rig.get("fresh" + i, 30_000));
-                        assertEquals("fresh" + i, fresh.answer().body(), "clients have nowhere else to go");
-                        idle.send(Rig.get("again" + i, 30_000));
+                        newcomer.send(SidecarRig.getRequest("fresh" + i, 30_000));
+                        assertEquals("fresh" + i, newcomer.answer().body(), "new connections must still be served");
+                        idle.send(SidecarRig.getRequest("again" + i, 30_000));
                         assertEquals("again" + i, idle.answer().body());
                     }
                     half.send(text.substring(30));
                     assertEquals("half", half.answer().body());
-                    assertEquals(1, stopped.getCount(), "it stopped with a request held");
+                    assertEquals(1, stopped.getCount(), "stopped with a request pending");
                     answer.countDown();
-                    assertEquals("held", held.answer().body());
-                    // Before the end they are told, or closed between requests.
-                    assertEquals(null, fresh.answer());
+                    assertEquals("pending", pending.answer().body());
+                    // All connections are closed before the process ends.
+                    assertEquals(null, newcomer.answer());
                     assertEquals(null, idle.answer());
-                    assertEquals(null, held.answer());
+                    assertEquals(null, pending.answer());
                 }
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
         }
     }
 
-    /** The end that is not asked for comes the longest deadline and 0.7 s after the stop: an answer comes before it. */
+    /** SIGKILL may follow the stop after the longest deadline plus 0.7 s: the response has to be sent before that. */
     @Test
-    void whatIsTakenAfterTheStopIsAnsweredBeforeTheEnd() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+    void requestsReceivedDuringShutdownAreAnsweredBeforeTheKill() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
-            try (Peer.Client late = rig.client()) {
-                late.send(Rig.get("late", 30_000));
-                Peer.Message m = late.answer();
+            try (TestServer.Client late = rig.client()) {
+                late.send(SidecarRig.getRequest("late", 30_000));
+                TestServer.Message m = late.answer();
                 assertTrue(m.head().startsWith("HTTP/1.1 502 "), m.head());
                 assertEquals("close", m.header("Connection"));
             }
@@ -86,31 +86,31 @@
         }
     }
 
-    /** Its class may give it more time than there is between the stop and the end: it gets an answer all the same. */
+    /** Guards against pending requests whose deadline lies after the kill: they must be answered before it. */
     @Test
-    void whatWasHeldBeforeTheStopIsAnsweredBeforeTheEnd() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+    void requestsPendingAtTheStopAreAnsweredBeforeTheKill() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> {});
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client held = rig.client()) {
-                held.send(Rig.get("held", 30_000));
-                rig.await("request held");
+            try (TestServer.Client pending = rig.client()) {
+                pending.send(SidecarRig.getRequest("pending", 30_000));
+                rig.awaitEvent("request pending");
                 rig.sidecar.stop(stopped::countDown);
-                Peer.Message m = held.answer();
+                TestServer.Message m = pending.answer();
                 assertTrue(m != null && m.head().startsWith("HTTP/1.1 502 "), () -> "" + m);
-                rig.await("outcome held 0 TIMEOUT");
+                rig.awaitEvent("outcome pending 0 TIMEOUT");
             }
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
         }
     }
 
-    /** Only what ends by itself loses an answer that still flows: whoever is killed with one does not. */
+    /** Guards against a process that exits, before any kill, while a response is still being streamed. */
     @Test
-    void anAnswerThatFlowsIsWaitedFor() throws Exception {
-        try (Rig rig = new Rig()) {
+    void shutdownWaitsForAStreamingResponse() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
             CountDownLatch more = new CountDownLatch(1);
-            rig.upstream((m, line) -> {
+            rig.addUpstream((m, line) -> {
                 line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 try {
                     do {
@@ -123,12 +123,12 @@
             });
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client reads = rig.client()) {
-                reads.send(Rig.get("long", 30_000));
-                rig.await("begins long");
+            try (TestServer.Client reads = rig.client()) {
+                reads.send(SidecarRig.getRequest("long", 30_000));
+                rig.awaitEvent("begins long");
                 rig.sidecar.stop(stopped::countDown);
-                // The end would have come by now: 0.8 s, the longest deadline here, and 0.7 s.
-                assertTrue(!stopped.await(2, TimeUnit.SECONDS), "it left with half of an answer");
+                // Past the time of the kill, which is the longest deadline, 0.8 s here, plus 0.7 s.
+                assertTrue(!stopped.await(2, TimeUnit.SECONDS), "stopped in the middle of a response");
                 more.countDown();
                 assertTrue(reads.rest().endsWith("0\r\n\r\n"));
             }
@@ -136,46 +136,47 @@
         }
     }
 
-    /** One that stands still has an end that its client can recognise before the process may be killed. */
+    /** Guards against a stalled response that the client can't tell from a complete one when the process is killed. */
     @Test
-    void anAnswerThatStandsStillIsBrokenOffBeforeTheEnd() throws Exception {
+    void aStalledResponseIsAbortedBeforeTheKill() throws Exception {
         for (int bytes : new int[] {10_000, 100_000}) {
-            try (Rig rig = new Rig()) {
-                rig.upstream((m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            try (SidecarRig rig = new SidecarRig()) {
+                rig.addUpstream((m, line) -> line.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n"));
                 rig.start();
                 CountDownLatch stopped = new CountDownLatch(1);
-                try (Peer.Client reads = rig.client()) {
-                    reads.send(Rig.get("long", 30_000));
-                    rig.peers.get(0).next();
+                try (TestServer.Client reads = rig.client()) {
+                    reads.send(SidecarRig.getRequest("long", 30_000));
+                    rig.upstreams.get(0).next();
                     long sinceNanos = System.nanoTime();
                     rig.sidecar.stop(stopped::countDown);
                     assertTrue(!reads.rest().endsWith("0\r\n\r\n"));
                     long tookMs = (System.nanoTime() - sinceNanos) / 1_000_000;
                     assertTrue(
-                            tookMs < 1_500, bytes + " bytes that stand still were broken off after " + tookMs + " ms");
+                            tookMs < 1_500,
+                            bytes + " bytes of a stalled response were aborted after " + tookMs + " ms");
                 }
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
             }
         }
     }
 
-    /** A close between requests may cross one: its client sends it once more, and finds a listener and an answer. */
+    /** A close between requests may cross a request, whose client repeats it: there must still be a listener to serve it. */
     @Test
-    void whatCrossedACloseIsServedOnANewConnection() throws Exception {
-        try (Rig rig = rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
+    void aRequestThatCrossedACloseIsServedOnANewConnection() throws Exception {
+        try (SidecarRig rig = rig()) {
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", m.header("X-Txn")));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client idle = rig.client()) {
-                idle.send(Rig.get("before", 30_000));
+            try (TestServer.Client idle = rig.client()) {
+                idle.send(SidecarRig.getRequest("before", 30_000));
                 assertEquals("before", idle.answer().body());
                 rig.sidecar.stop(stopped::countDown);
                 assertEquals(null, idle.answer());
-                // The loop looks every 20 ms: several looks are over before the client is back.
-                assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "it has left with the close");
-                try (Peer.Client again = rig.client()) {
-                    again.send(Rig.get("again", 30_000));
+                // Shutdown checks its state every 20 ms, so several checks pass before the client returns.
+                assertTrue(!stopped.await(60, TimeUnit.MILLISECONDS), "stopped right after the close");
+                try (TestServer.Client again = rig.client()) {
+                    again.send(SidecarRig.getRequest("again", 30_000));
                     assertEquals("again", again.answer().body());
                 }
             }
@@ -183,23 +184,23 @@
         }
     }
 
-    /** A body that is still coming belongs to a request that was begun before the stop. */
+    /** A body still being received belongs to a request that began before the stop. */
     @Test
-    void theRestOfABodyIsTakenAfterTheStopWasAskedFor() throws Exception {
-        try (Rig rig = rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", m.body()));
+    void theRestOfABodyIsReceivedDuringShutdown() throws Exception {
+        try (SidecarRig rig = rig()) {
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", m.body()));
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client half = rig.client();
-                    Peer.Client other = rig.client()) {
-                half.send(Rig.get("half", 30_000)
+            try (TestServer.Client half = rig.client();
+                    TestServer.Client other = rig.client()) {
+                half.send(SidecarRig.getRequest("half", 30_000)
                         .replace("GET", "POST")
                         .replace("\r\n\r\n", "\r\nContent-Length: 6\r\n\r\nabc"));
-                // Answered on the same loop: what was sent before has been read.
-                other.send(Rig.get("other", 30_000));
+                // Answered by the same event loop, so everything sent before has been read.
+                other.send(SidecarRig.getRequest("other", 30_000));
                 assertEquals("", other.answer().body());
                 rig.sidecar.stop(stopped::countDown);
-                other.send(Rig.get("again", 30_000));
+                other.send(SidecarRig.getRequest("again", 30_000));
                 assertEquals("", other.answer().body());
                 half.send("def");
                 assertEquals("abcdef", half.answer().body());
@@ -208,62 +209,62 @@
         }
     }
 
-    /** The platform may ask again: the time runs from the first call, and the end comes once. */
-    /** Half a request is left at the end: its connection has ended by then, so that the rest can't be lost with the process. */
+    /** Guards against a connection with a partial request that is still open at the end, so that the rest is lost with the process. */
     @Test
-    void atItsEndNoConnectionIsLeftThatCouldBringARequest() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
+    void allConnectionsAreClosedWhenShutdownCompletes() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
             rig.start();
-            CountDownLatch over = new CountDownLatch(1);
-            CountDownLatch looked = new CountDownLatch(1);
-            try (Peer.Client answered = rig.client();
-                    Peer.Client half = rig.client()) {
-                answered.send(Rig.get("a1", 9_000));
+            CountDownLatch stopped = new CountDownLatch(1);
+            CountDownLatch checked = new CountDownLatch(1);
+            try (TestServer.Client answered = rig.client();
+                    TestServer.Client half = rig.client()) {
+                answered.send(SidecarRig.getRequest("a1", 9_000));
                 assertEquals(200, answered.status());
                 rig.sidecar.stop(() -> {
-                    over.countDown();
+                    stopped.countDown();
                     try {
-                        // Nothing that comes later may end the connections in its place.
-                        looked.await();
+                        // Blocks the loop, so that nothing can close the connections after this point.
+                        checked.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-                // The end is 1.5 s after the stop; what is half here 0.35 s before it ends as well.
+                // The end is 1.5 s after the stop. From 0.35 s before it partial requests are closed as well.
                 Thread.sleep(700);
                 half.send("GET /api HTTP/1.1\r\nX-Slow: ");
-                over.await();
+                stopped.await();
                 half.socket.setSoTimeout(1_000);
                 answered.socket.setSoTimeout(1_000);
                 assertEquals(-1, half.status());
                 assertEquals(-1, answered.status());
             } finally {
-                looked.countDown();
+                checked.countDown();
             }
         }
     }
 
+    /** The platform may signal twice: the time runs from the first signal, and the process ends once. */
     @Test
-    void askedTwiceItStopsOnce() throws Exception {
-        try (Rig rig = new Rig()) {
+    void aSecondStopIsIgnored() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
             CountDownLatch again = new CountDownLatch(1);
             rig.sidecar.stop(stopped::countDown);
             rig.sidecar.stop(again::countDown);
             assertTrue(stopped.await(20, TimeUnit.SECONDS));
-            assertTrue(!again.await(300, TimeUnit.MILLISECONDS), "it ended twice");
+            assertTrue(!again.await(300, TimeUnit.MILLISECONDS), "stopped twice");
         }
     }
 
-    /** Half a request whose client has fallen silent holds up the stop no longer than a client would wait. */
+    /** A partial request whose client sends nothing more delays the shutdown no longer than a client would wait. */
     @Test
-    void aClientThatFellSilentDoesNotKeepTheSidecarFromEnding() throws Exception {
-        try (Rig rig = new Rig()) {
+    void aSilentClientDoesNotBlockShutdown() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
             rig.start();
             CountDownLatch stopped = new CountDownLatch(1);
-            try (Peer.Client half = rig.client()) {
+            try (TestServer.Client half = rig.client()) {
                 half.send("GET /api HTTP/1.1\r\nX-T");
                 rig.sidecar.stop(stopped::countDown);
                 assertTrue(stopped.await(20, TimeUnit.SECONDS));
@@ -272,21 +273,21 @@
         }
     }
 
-    /** Beyond the cap an idle connection makes room; otherwise new ones would wait for ever. */
+    /** Guards against new connections that wait for ever once idle ones have reached the limit. */
     @Test
-    void idleClientsMakeRoomForNewOnes() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "ok"));
-            rig.sockets = 48 + 2 * 16;
+    void idleConnectionsAreClosedToAdmitNewOnes() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "ok"));
+            rig.maxSockets = 48 + 2 * 16;
             rig.start();
-            Peer.Client[] clients = new Peer.Client[40];
+            TestServer.Client[] clients = new TestServer.Client[40];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = rig.client();
-                clients[i].send(Rig.get("c" + i, 30_000));
+                clients[i].send(SidecarRig.getRequest("c" + i, 30_000));
                 assertEquals(200, clients[i].status());
             }
             assertEquals(null, clients[0].answer());
-            for (Peer.Client c : clients) {
+            for (TestServer.Client c : clients) {
                 c.close();
             }
         }
