--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -19,9 +19,9 @@
 import rushproxy.lab.node.Build;
 import rushproxy.lab.node.SharedSocket;
 
-/** A real sidecar, started as the deploy file says, between stand-ins on loopback. */
+/** A sidecar process, started with the command of the deploy file, between fake services on loopback. */
 final class SidecarProcess implements AutoCloseable {
-    /** Two classes of 0.8 s; a server that starts is cold for 4 s. */
+    /** Two classes with deadlines of 0.8 s; a starting server is in slow start for 4 s. */
     static final String SETTINGS = """
             {"me":0,"balancers":1,"zone":"za","azs":["za"],"kinds":["k"],"discovery":"on_request","counted_by":"work",
              "profiles":[{"name":"safe","semantics":"safe","objective_us":300000,"give_up_us":800000},
@@ -32,36 +32,41 @@
                        "max_retry_after_us":1000000,"peers":false,"probing":false,"cancelling":true},
              "load_info":{"how":"off","fields":["busy_reqs","pending","cpu_share"]}}""";
 
-    /** The longest deadline of these settings and 0.7 s: SIGKILL may come so long after SIGTERM. */
+    /** When SIGKILL may follow SIGTERM: the longest deadline of these settings plus 0.7 s. */
     static final long KILL_AFTER_MS = 1_500;
 
-    private static final Pattern SERVES = Pattern.compile("serves on /([0-9.]+):([0-9]+)");
-    private static final Pattern VIOLATIONS = Pattern.compile("invariant_violations=([0-9]+)");
+    private static final Pattern READY_LINE = Pattern.compile("serves on /([0-9.]+):([0-9]+)");
+    private static final Pattern VIOLATION_COUNT = Pattern.compile("invariant_violations=([0-9]+)");
 
     final Process process;
     final InetSocketAddress address;
     final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
-    private volatile boolean readsLog = true;
+    private volatile boolean readingLog = true;
 
     private SidecarProcess(Process process) throws Exception {
         this.process = process;
-        CompletableFuture<InetSocketAddress> serves = new CompletableFuture<>();
-        Thread reader = new Thread(() -> read(serves));
+        CompletableFuture<InetSocketAddress> ready = new CompletableFuture<>();
+        Thread reader = new Thread(() -> readLog(ready));
         reader.setDaemon(true);
         reader.start();
-        address = serves.get(30, TimeUnit.SECONDS);
+        address = ready.get(30, TimeUnit.SECONDS);
     }
 
-    /** {@code environment}: what it is started with besides, such as a library of faults. */
-    static SidecarProcess start(Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
+    /** {@code environment}: additional variables, such as those of a fault injection library. */
+    static SidecarProcess start(
+            Path folder, TestServer discovery, List<TestServer> upstreams, Map<String, String> environment)
             throws Exception {
         return new SidecarProcess(
                 command(folder, discovery, upstreams, environment).start());
     }
 
-    /** It takes its clients from {@code socket}, its descriptor 0. */
-    static SidecarProcess startOn(
-            SharedSocket socket, Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment)
+    /** Starts a sidecar that inherits {@code socket} as its descriptor 0. */
+    static SidecarProcess startInheriting(
+            SharedSocket socket,
+            Path folder,
+            TestServer discovery,
+            List<TestServer> upstreams,
+            Map<String, String> environment)
             throws Exception {
         ProcessBuilder command = command(folder, discovery, upstreams, environment);
         command.environment().put("BALANCER_ACCEPT_FD", "0");
@@ -69,17 +74,18 @@
     }
 
     private static ProcessBuilder command(
-            Path folder, Peer discovery, List<Peer> upstreams, Map<String, String> environment) throws Exception {
+            Path folder, TestServer discovery, List<TestServer> upstreams, Map<String, String> environment)
+            throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < upstreams.size(); i++) {
-            entries.add(Rig.entry("u" + i, upstreams.get(i).address(), "Ready", 0));
+            entries.add(SidecarRig.entryJson("u" + i, upstreams.get(i).address(), "Ready", 0));
         }
         Path config = folder.resolve("config.json");
         Files.writeString(
                 config,
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                         + "\",\"seed\":\"8c1f30d27a5be964\",\"known\":"
-                        + Rig.list(41, true, entries.toArray(String[]::new))
+                        + SidecarRig.listJson(41, true, entries.toArray(String[]::new))
                         + ",\"limits\":{\"sockets\":512},\"settings\":" + SETTINGS + "}");
         Build build = Build.of(Path.of("").toAbsolutePath());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", build.command())
@@ -91,32 +97,32 @@
         return builder.redirectErrorStream(true);
     }
 
-    private void read(CompletableFuture<InetSocketAddress> serves) {
+    private void readLog(CompletableFuture<InetSocketAddress> ready) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            for (String line; readsLog && (line = in.readLine()) != null; ) {
+            for (String line; readingLog && (line = in.readLine()) != null; ) {
                 log.add(line);
-                Matcher m = SERVES.matcher(line);
+                Matcher m = READY_LINE.matcher(line);
                 if (m.find()) {
-                    serves.complete(
+                    ready.complete(
                             new InetSocketAddress(InetAddress.getByName(m.group(1)), Integer.parseInt(m.group(2))));
                 }
             }
-            // A pipe whose reader has closed it is no full one.
+            // Keeps the pipe open: writes to a closed pipe would fail instead of blocking.
             process.onExit().join();
         } catch (IOException e) {
-            log.add("its log can't be read: " + e);
+            log.add("can't read its log: " + e);
         }
-        serves.completeExceptionally(new IOException("it did not start: " + log));
+        ready.completeExceptionally(new IOException("the sidecar did not start: " + log));
     }
 
-    /** One more line is read at most: what comes then fills the pipe. */
+    /** Stops reading after at most one more line, so that the pipe fills up. */
     void stopReadingLog() {
-        readsLog = false;
+        readingLog = false;
     }
 
-    Peer.Client client() throws IOException {
-        return new Peer.Client(address);
+    TestServer.Client client() throws IOException {
+        return new TestServer.Client(address);
     }
 
     static String request(String method, String version, String id, String requestClass, long remainingMs) {
@@ -124,7 +130,7 @@
                 + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n\r\n";
     }
 
-    static String get(String id, String requestClass, long remainingMs) {
+    static String getRequest(String id, String requestClass, long remainingMs) {
         return request("GET", "1.1", id, requestClass, remainingMs);
     }
 
@@ -134,11 +140,11 @@
                 .waitFor();
     }
 
-    /** The sum of all that the process has told of broken invariants. */
-    long violations() {
+    /** The number of invariant violations that the process has logged. */
+    long invariantViolations() {
         long sum = 0;
         for (String line : log) {
-            Matcher m = VIOLATIONS.matcher(line);
+            Matcher m = VIOLATION_COUNT.matcher(line);
             sum += m.find() ? Long.parseLong(m.group(1)) : 0;
         }
         return sum;
--- a/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
+++ b/src/test/java/rushproxy/sidecar/SocketErrorsTest.java
@@ -15,30 +15,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What ends a connection is told apart from what this machine fails for a moment. */
+/** Errors that mean a lost connection are distinguished from transient local errors. */
 class SocketErrorsTest {
     @ParameterizedTest
     @ValueSource(strings = {"Connection reset by peer", "Broken pipe", "Connection timed out", "No route to host"})
-    void thePeersEndIsFinal(String words) {
-        assertTrue(SocketErrors.endsConnection(new IOException(words)));
-        assertFalse(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
+    void systemMessagesOfLostConnectionsAreFinal(String message) {
+        assertTrue(SocketErrors.isConnectionLost(new IOException(message)));
+        assertFalse(new TransientFailureTracker(() -> 0).shouldRetry(new IOException(message)));
     }
 
     @Test
-    void whatTheRuntimeHasTypesForIsFinal() {
-        assertTrue(SocketErrors.endsConnection(new SocketException("Connection reset")));
-        assertTrue(SocketErrors.endsConnection(new ClosedChannelException()));
+    void jdkErrorsOfLostConnectionsAreFinal() {
+        assertTrue(SocketErrors.isConnectionLost(new SocketException("Connection reset")));
+        assertTrue(SocketErrors.isConnectionLost(new ClosedChannelException()));
     }
 
-    /** As Netty hands on what a dial failed by. */
+    /** Netty appends the address to the message of a connect error and keeps the original as the cause. */
     @Test
-    void theAddressInTheWordsChangesNothing() {
+    void addressesInConnectErrorsAreIgnored() {
         IOException reset = new SocketException("Connection reset by peer: /127.0.0.1:80");
         reset.initCause(new SocketException("Connection reset by peer"));
-        assertTrue(SocketErrors.isOfPeer(reset));
+        assertTrue(SocketErrors.isRemoteConnectFailure(reset));
         IOException local = new SocketException("Network is unreachable: /127.0.0.1:80");
         local.initCause(new SocketException("Network is unreachable"));
-        assertFalse(SocketErrors.isOfPeer(local));
+        assertFalse(SocketErrors.isRemoteConnectFailure(local));
     }
 
     @ParameterizedTest
@@ -52,42 +52,42 @@
                 "Input/output error",
                 "an error of another system"
             })
-    void whateverElseIsForAMoment(String words) {
-        assertFalse(SocketErrors.endsConnection(new IOException(words)));
-        assertTrue(new FailureSpell(() -> 0).mayTryAgain(new IOException(words)));
+    void allOtherErrorsAreTransient(String message) {
+        assertFalse(SocketErrors.isConnectionLost(new IOException(message)));
+        assertTrue(new TransientFailureTracker(() -> 0).shouldRetry(new IOException(message)));
     }
 
     @Test
-    void noErrorIsNoEnd() {
-        assertFalse(SocketErrors.endsConnection(null));
-        assertFalse(SocketErrors.endsConnection(new IOException()));
-        assertFalse(SocketErrors.endsConnection(new IllegalStateException("Broken pipe")));
+    void missingMessagesAndOtherExceptionsAreNotLostConnections() {
+        assertFalse(SocketErrors.isConnectionLost(null));
+        assertFalse(SocketErrors.isConnectionLost(new IOException()));
+        assertFalse(SocketErrors.isConnectionLost(new IllegalStateException("Broken pipe")));
     }
 
     @Test
-    void aDialIsFailedByThePeerOrByThisMachine() {
-        assertTrue(SocketErrors.isOfPeer(new ConnectException("Connection refused")));
-        assertTrue(SocketErrors.isOfPeer(new NoRouteToHostException("No route to host")));
-        assertFalse(SocketErrors.isOfPeer(new BindException("Cannot assign requested address")));
-        assertFalse(SocketErrors.isOfPeer(new SocketException("Network is unreachable")));
-        assertFalse(SocketErrors.isOfPeer(new SocketException("No buffer space available")));
+    void remoteAndLocalConnectFailuresAreDistinguished() {
+        assertTrue(SocketErrors.isRemoteConnectFailure(new ConnectException("Connection refused")));
+        assertTrue(SocketErrors.isRemoteConnectFailure(new NoRouteToHostException("No route to host")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new BindException("Cannot assign requested address")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new SocketException("Network is unreachable")));
+        assertFalse(SocketErrors.isRemoteConnectFailure(new SocketException("No buffer space available")));
     }
 
     @Test
-    void whatFailsWithoutABreakEnds() {
+    void persistentFailuresAreNotRetriedForever() {
         long[] now = {0};
-        FailureSpell spell = new FailureSpell(() -> now[0]);
+        TransientFailureTracker spell = new TransientFailureTracker(() -> now[0]);
         IOException error = new IOException("Cannot allocate memory");
-        assertEquals(0, spell.lastsMs());
-        assertTrue(spell.mayTryAgain(error));
+        assertEquals(0, spell.failingForMs());
+        assertTrue(spell.shouldRetry(error));
         now[0] = TimeUnit.SECONDS.toNanos(19);
-        assertTrue(spell.mayTryAgain(error));
-        assertEquals(19_000, spell.lastsMs());
-        spell.over();
-        assertEquals(0, spell.lastsMs());
+        assertTrue(spell.shouldRetry(error));
+        assertEquals(19_000, spell.failingForMs());
+        spell.succeeded();
+        assertEquals(0, spell.failingForMs());
         now[0] = TimeUnit.SECONDS.toNanos(30);
-        assertTrue(spell.mayTryAgain(error), "a new spell");
+        assertTrue(spell.shouldRetry(error), "failures after a success start anew");
         now[0] = TimeUnit.SECONDS.toNanos(51);
-        assertFalse(spell.mayTryAgain(error));
+        assertFalse(spell.shouldRetry(error));
     }
 }
--- a/src/test/java/rushproxy/sidecar/OutcomesTest.java
+++ b/src/test/java/rushproxy/sidecar/UpstreamOutcomeTest.java
@@ -8,23 +8,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an upstream does, and the outcome that the module is told. */
+/** How the behaviour of an upstream maps to the outcome reported to the module. */
 @Timeout(60)
-class OutcomesTest {
-    private static void outcome(String expected, int status, Peer.Script script) throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream(script);
+class UpstreamOutcomeTest {
+    private static void outcome(String expected, int status, TestServer.Handler script) throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream(script);
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 " + expected, rig.await("outcome"));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
+                assertEquals("outcome a1 0 " + expected, rig.awaitEvent("outcome"));
                 assertEquals(status, client.status());
             }
         }
     }
 
     @Test
-    void aServedAnswerCarriesItsLoadReport() throws Exception {
+    void aResponseCarriesItsLoadReport() throws Exception {
         outcome(
                 "OK true 7.0",
                 200,
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void malformedLoadReportsAreNoReports() throws Exception {
+    void malformedLoadReportsAreIgnored() throws Exception {
         for (String report :
                 new String[] {"TEXT inflight=", "TEXT inflight=NaN", "TEXT inflight=-1", "JSON {}", "TEXT"}) {
             outcome("OK true -", 200, (m, line) -> line.answer("200 OK", "X-Pressure: " + report + "\r\n", "slot"));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void onlyAnAnswerSaidToBeTurnedAwayProvesThatNothingRan() throws Exception {
+    void onlyAStatus503Or504WithTheTurnedAwayHeaderIsARejection() throws Exception {
         outcome("REJECTED false -", 502, (m, line) -> line.answer("503 Busy", "X-Turned-Away: 1\r\n", ""));
         outcome("REJECTED false -", 502, (m, line) -> line.answer("504 Late", "X-Turned-Away: 1\r\n", ""));
         outcome("ERROR false -", 502, (m, line) -> line.answer("503 Busy", "", ""));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatBreaksAfterTheRequestWasWrittenIsAReset() throws Exception {
+    void aFailureAfterTheRequestWasWrittenIsAReset() throws Exception {
         outcome("RESET false -", 502, (m, line) -> line.reset());
         outcome("RESET false -", 502, (m, line) -> line.socket().close());
         outcome("RESET false -", 502, (m, line) -> {
@@ -63,9 +63,8 @@
                 (m, line) -> line.raw("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"));
     }
 
-    /** An interim answer is not the answer. */
     @Test
-    void interimAnswersAreWaitedThrough() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
             line.raw("HTTP/1.1 102 Processing\r\n\r\n");
             line.answer("200 OK", "", "slot");
@@ -73,32 +72,32 @@
     }
 
     @Test
-    void aRefusedConnectionCouldNotConnect() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {}).close();
+    void aRefusedConnectionIsAConnectFailure() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> {}).close();
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.await("outcome"));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
+                assertEquals("outcome a1 0 CONNECT_FAILED false -", rig.awaitEvent("outcome"));
             }
         }
     }
 
-    /** A late answer to a call given up must find nobody, so the connection may not be used again. */
+    /** Guards against a late response being taken for that of the next call on the connection. */
     @Test
-    void aTimeOutClosesTheConnectionAndTheNextCallOpensAnother() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> {});
+    void aTimeoutClosesTheConnection() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            TestServer up = rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", now + 100_000);
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 TIMEOUT false -", rig.await("outcome"));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
+                assertEquals("outcome a1 0 TIMEOUT false -", rig.awaitEvent("outcome"));
                 assertEquals(-1, up.accepted.take().getInputStream().read(), "the connection was left open");
                 assertEquals(502, client.status());
-                up.script = (m, line) -> line.answer("200 OK", "", "fresh");
+                up.handler = (m, line) -> line.answer("200 OK", "", "fresh");
                 rig.onRequest = (now, r, out) -> out.send(r.id(), "u0", 0);
-                client.send(Rig.get("a2", 20_000));
+                client.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals("fresh", client.answer().body());
                 assertNotNull(up.accepted.poll(20, TimeUnit.SECONDS));
             }
@@ -107,35 +106,35 @@
 
     @Test
     void aCancelledAttemptClosesItsConnection() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> {});
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> {});
             rig.onRequest = (now, r, out) -> {
                 out.send(r.id(), "u0", 0);
                 out.cancel(r.id(), 0);
             };
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
-                assertEquals("outcome a1 0 CANCELLED false -", rig.await("outcome"));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
+                assertEquals("outcome a1 0 CANCELLED false -", rig.awaitEvent("outcome"));
             }
         }
     }
 
-    /** No library and no pool may send a request again by itself: the stale connection's end is an outcome. */
+    /** Guards against a library or the pool repeating a request by itself; the failure of a stale connection is an outcome. */
     @Test
-    void aStaleConnectionIsAResetAndNothingIsResent() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "one"));
+    void aRequestOnAStaleConnectionIsAResetAndNotRepeated() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            TestServer up = rig.addUpstream((m, line) -> line.answer("200 OK", "", "one"));
             rig.start();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000));
                 assertEquals(200, client.status());
-                rig.await("outcome a1");
-                // Before it has rested another one is opened.
-                Thread.sleep(2 * Upstreams.REST_US / 1000);
-                up.script = (m, line) -> line.reset();
-                client.send(Rig.get("a2", 20_000));
-                assertEquals("outcome a2 0 RESET false -", rig.await("outcome"));
+                rig.awaitEvent("outcome a1");
+                // Wait until the reuse delay is over.
+                Thread.sleep(2 * UpstreamPool.REUSE_DELAY_US / 1000);
+                up.handler = (m, line) -> line.reset();
+                client.send(SidecarRig.getRequest("a2", 20_000));
+                assertEquals("outcome a2 0 RESET false -", rig.awaitEvent("outcome"));
                 assertEquals(502, client.status());
                 assertEquals(2, up.messages.size());
                 assertEquals(1, up.accepted.size(), "the second call did not use the idle connection");
@@ -143,15 +142,15 @@
         }
     }
 
-    /** Where an upstream says that it closes, a call written to that connection would end as a reset. */
+    /** Guards against a call on a connection that the upstream has announced to close, which would end as a reset. */
     @Test
-    void aConnectionThatTheUpstreamClosesIsNotUsedAgain() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
+    void aConnectionAnnouncedToCloseIsNotReused() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            TestServer up = rig.addUpstream((m, line) -> line.answer("200 OK", "Connection: close\r\n", "one"));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 for (String id : new String[] {"a1", "a2"}) {
-                    client.send(Rig.get(id, 20_000));
+                    client.send(SidecarRig.getRequest(id, 20_000));
                     assertEquals(200, client.status());
                 }
                 assertEquals(2, up.accepted.size());
@@ -160,30 +159,31 @@
     }
 
     @Test
-    void requestAndAnswerPassUnchanged() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer up = rig.upstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
+    void requestAndResponseAreForwardedUnchanged() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            TestServer up =
+                    rig.addUpstream((m, line) -> line.answer("200 OK", "", "b\u00f6dy\u0000" + "y".repeat(60_000)));
             rig.start();
-            try (Peer.Client client = rig.client()) {
+            try (TestServer.Client client = rig.client()) {
                 client.send(
                         "POST /api/x?y=%20z HTTP/1.1\r\nHost: a\r\nX-Txn: q7\r\nX-Lane: c\r\nX-Remaining-Ms: 9000\r\n"
                                 + "Idempotency-Key: k9\r\nContent-Length: 5\r\n\r\nh\u00e9llo");
-                Peer.Message answer = client.answer();
+                TestServer.Message answer = client.answer();
                 assertEquals("b\u00f6dy\u0000" + "y".repeat(60_000), answer.body());
-                Peer.Message sent = up.next();
+                TestServer.Message sent = up.next();
                 assertTrue(sent.head().startsWith("POST /api/x?y=%20z HTTP/1.1\r\n"), sent.head());
                 assertEquals("q7", sent.header("X-Txn"));
                 assertEquals("k9", sent.header("Idempotency-Key"));
                 assertEquals("h\u00e9llo", sent.body());
-                int waits = Integer.parseInt(sent.header("X-Remaining-Ms"));
-                assertTrue(waits > 0 && waits <= 9000, "waits " + waits);
+                int remainingMs = Integer.parseInt(sent.header("X-Remaining-Ms"));
+                assertTrue(remainingMs > 0 && remainingMs <= 9000, "remaining " + remainingMs);
             }
         }
     }
 
-    /** An answer that can't be read as HTTP/1.1 may have run, and nothing of it is passed on as served. */
+    /** An invalid response does not prove that the request was not processed, and must not be forwarded. */
     @Test
-    void answersThatAreNoHttpAreResets() throws Exception {
+    void invalidResponsesAreResets() throws Exception {
         for (String head : new String[] {
             "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 3",
             "HTTP/1.1 200 OK\r\nContent-Length : 3",
@@ -204,9 +204,9 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\nabc\r\n0\r\n\r\n"));
     }
 
-    /** Without a length only an orderly end tells that an answer is whole. */
+    /** Without a length only an orderly close marks a response as complete. */
     @Test
-    void anAnswerWithoutALengthThatBreaksOffIsAReset() throws Exception {
+    void aResponseWithoutALengthThatIsCutOffIsAReset() throws Exception {
         outcome("OK true -", 200, (m, line) -> {
             line.raw("HTTP/1.1 200 OK\r\n\r\nslot");
             line.socket().close();
@@ -217,48 +217,47 @@
         });
     }
 
-    /**
-     * An upstream that sends more than one answer to a request: the surplus must not be taken for the answer to the
-     * request that goes out as soon as the first has ended.
-     */
+    /** Guards against surplus bytes after a response being taken for the response to the next request on the connection. */
     @Test
-    void whatComesBeyondAnAnswerIsNeverTheAnswerToTheNextRequest() throws Exception {
-        nextRequestGetsItsOwnAnswer((m, line) -> {
-            String answer = answerTo(m);
+    void surplusBytesAreNotTakenForTheNextResponse() throws Exception {
+        assertNextRequestGetsItsOwnResponse((m, line) -> {
+            String answer = responseTo(m);
             line.raw(answer + answer);
         });
         for (int cut : new int[] {1, 12, 30, 39}) {
-            nextRequestGetsItsOwnAnswer(new Peer.Script() {
-                private String rest = "";
+            assertNextRequestGetsItsOwnResponse(new TestServer.Handler() {
+                private String remainder = "";
 
                 @Override
-                public synchronized void handle(Peer.Message m, Peer.Line line) throws java.io.IOException {
-                    String answer = answerTo(m);
-                    String late = rest;
-                    rest = answer.substring(cut);
-                    line.raw(late + answer + answer.substring(0, cut));
+                public synchronized void handle(TestServer.Message m, TestServer.Connection line)
+                        throws java.io.IOException {
+                    String answer = responseTo(m);
+                    String surplus = remainder;
+                    remainder = answer.substring(cut);
+                    line.raw(surplus + answer + answer.substring(0, cut));
                 }
             });
         }
     }
 
-    private static String answerTo(Peer.Message m) {
+    private static String responseTo(TestServer.Message m) {
         String id = m.header("X-Txn");
         return "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
     }
 
-    private static void nextRequestGetsItsOwnAnswer(Peer.Script script) throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream(new Peer.Script() {
+    private static void assertNextRequestGetsItsOwnResponse(TestServer.Handler script) throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream(new TestServer.Handler() {
                 private java.net.Socket first;
 
                 @Override
-                public synchronized void handle(Peer.Message m, Peer.Line line) throws java.io.IOException {
+                public synchronized void handle(TestServer.Message m, TestServer.Connection line)
+                        throws java.io.IOException {
                     if (first == null || first == line.socket()) {
                         first = line.socket();
                         script.handle(m, line);
                     } else {
-                        line.raw(answerTo(m));
+                        line.raw(responseTo(m));
                     }
                 }
             });
@@ -273,11 +272,11 @@
                 }
             };
             rig.start();
-            try (Peer.Client one = rig.client();
-                    Peer.Client two = rig.client()) {
-                one.send(Rig.get("a1", 20_000));
-                rig.await("request a1");
-                two.send(Rig.get("a2", 20_000));
+            try (TestServer.Client one = rig.client();
+                    TestServer.Client two = rig.client()) {
+                one.send(SidecarRig.getRequest("a1", 20_000));
+                rig.awaitEvent("request a1");
+                two.send(SidecarRig.getRequest("a2", 20_000));
                 assertEquals("a1", one.answer().body());
                 assertEquals("a2", two.answer().body());
             }
--- a/src/test/java/rushproxy/sidecar/WarmUpTest.java
+++ b/src/test/java/rushproxy/sidecar/WarmUpTest.java
@@ -9,46 +9,47 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Before it is ready the sidecar serves itself, from a client's connection to an upstream's answer. It only asked itself for its
- * readiness before: its first real requests then ran code that had never run, 34 to 47 ms for the first of them on a free core, and
- * eight sidecars that had started at once on busy cores answered next to nothing in their first three seconds.
+ * The warm-up exercises the whole path of a request, from the client's connection to the response of an upstream. Guards against
+ * first requests that run cold code: with only the readiness check exercised, the first request took 34 to 47 ms on an idle core, and
+ * eight sidecars started together on busy cores answered almost nothing in their first three seconds.
  */
 @Timeout(60)
 class WarmUpTest {
     @Test
-    void allOfItsRequestsAreServedAndNoneReachesTheModule() throws Exception {
-        try (Rig rig = new Rig()) {
-            Peer upstream = rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+    void allWarmUpRequestsSucceedWithoutReachingTheBalancerOrUpstreams() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            TestServer upstream = rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             WarmUp warmUp = new WarmUp(
                     rig.sidecar.loop(),
                     new Clock(),
-                    Rig.config("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                                    + rig.discovery.address() + "\",\"seed\":\"1\",\"known\":" + rig.known()
+                    SidecarRig.parseConfig("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                                    + rig.discovery.address() + "\",\"seed\":\"1\",\"known\":" + rig.knownList()
                                     + ",\"limits\":{\"sockets\":512},\"settings\":"
-                                    + Rig.SETTINGS + "}")
+                                    + SidecarRig.SETTINGS + "}")
                             .settings());
             CountDownLatch done = new CountDownLatch(1);
             rig.sidecar.loop().execute(() -> {
-                rig.sidecar.clients().warmsUp(warmUp);
-                warmUp.begin(rig.address(), done::countDown);
+                rig.sidecar.clients().beginWarmUp(warmUp);
+                warmUp.start(rig.address(), done::countDown);
             });
             assertTrue(done.await(30, TimeUnit.SECONDS));
-            assertEquals(WarmUp.REQUESTS, warmUp.served());
-            assertTrue(rig.told.stream().noneMatch(t -> t.startsWith("request")), rig.told.toString());
+            assertEquals(WarmUp.REQUEST_COUNT, warmUp.successCount());
+            assertTrue(rig.events.stream().noneMatch(t -> t.startsWith("request")), rig.events.toString());
             assertEquals(0, upstream.messages.size());
         }
     }
 
-    /** What bears its name but was not sent by it is a request like any other. */
+    /** Guards against client requests with the path of the warm-up being taken for its own. */
     @Test
-    void nobodyElseIsServedByIt() throws Exception {
-        try (Rig rig = new Rig()) {
-            rig.upstream((m, line) -> line.answer("200 OK", "", "served"));
+    void clientRequestsWithTheWarmUpPathAreProxied() throws Exception {
+        try (SidecarRig rig = new SidecarRig()) {
+            rig.addUpstream((m, line) -> line.answer("200 OK", "", "served"));
             rig.start();
             rig.sidecar.warmUp();
-            try (Peer.Client client = rig.client()) {
-                client.send(Rig.get("a1", 20_000).replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
+            try (TestServer.Client client = rig.client()) {
+                client.send(SidecarRig.getRequest("a1", 20_000)
+                        .replace("/api/slots?day=1", "/api/warm-up?0123456789abcdef"));
                 assertEquals("served", client.answer().body());
             }
         }
