--- a/src/test/java/rushproxy/PolicyTest.java
+++ b/src/test/java/rushproxy/PolicyTest.java
@@ -393,13 +393,13 @@
      */
     @Test
     void manySidecarsTogetherKeepWithinAColdServersBudget() {
-        int n = 600;
+        int sidecars = 600;
         List<PolicyHarness> harnesses = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < sidecars; i++) {
             PolicyHarness harness = new PolicyHarness();
             harness.sidecarIndex = i;
             harness.seed = i;
-            harness.sidecarCount = n;
+            harness.sidecarCount = sidecars;
             harness.aimUs = 400_000;
             harnesses.add(
                     harness.start().receiveList(new Upstream("a", "za", "k", 1, harness.now, 1, UpstreamState.READY)));
@@ -428,21 +428,23 @@
             while (j < sends.size() && sends.get(j) < sends.get(i) + 1_000_000) {
                 j++;
             }
-            double warmth = 0.13 + 0.87 * (sends.get(i) - start) / 24e6;
-            assertTrue((j - i) * 0.1 <= 3 * warmth, (j - i) + " requests of 0.1 s at a capacity of " + warmth);
+            double capacityFraction = 0.13 + 0.87 * (sends.get(i) - start) / 24e6;
+            assertTrue(
+                    (j - i) * 0.1 <= 3 * capacityFraction,
+                    (j - i) + " requests of 0.1 s at a capacity of " + capacityFraction);
         }
     }
 
     /** With probes more sidecars have a turn: all wait for room at the same time, held back by the probes' answers. */
     @Test
     void manyProbingSidecarsKeepWithinAColdServersBudget() {
-        int n = 500;
+        int sidecars = 500;
         List<PolicyHarness> harnesses = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < sidecars; i++) {
             PolicyHarness harness = new PolicyHarness();
             harness.sidecarIndex = i;
             harness.seed = i;
-            harness.sidecarCount = n;
+            harness.sidecarCount = sidecars;
             harness.aimUs = 400_000;
             harness.probing = true;
             harnesses.add(
@@ -451,8 +453,8 @@
         List<Long> sends = new ArrayList<>();
         double work = 0;
         for (int step = 0; step < 2000; step++) {
-            double warmth = 0.13 + 0.87 * step * 5_000 / 24e6;
-            work = Math.max(0, work - warmth * 5_000);
+            double capacityFraction = 0.13 + 0.87 * step * 5_000 / 24e6;
+            work = Math.max(0, work - capacityFraction * 5_000);
             double held = Math.ceil(work / 100_000);
             for (PolicyHarness harness : harnesses) {
                 boolean probed = !harness.actionsWith("probe").isEmpty();
@@ -512,17 +514,17 @@
 
     @Test
     void sidecarUsesAnEvenSubsetOfServersWhereConnectionsHaveAPrice() {
-        int n = 400;
+        int sidecars = 400;
         List<Upstream> fleet = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             String kind = i % 3 == 0 ? "slow" : "fast";
             fleet.add(new Upstream("u" + i * 7919, "za", kind, i / 3, 0, 1, UpstreamState.READY));
         }
         java.util.Map<String, Integer> users = new java.util.HashMap<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < sidecars; i++) {
             PolicyHarness harness = new PolicyHarness();
             harness.sidecarIndex = i;
-            harness.sidecarCount = n;
+            harness.sidecarCount = sidecars;
             harness.connectionPrice = 0.05;
             harness.loadReporting = Balancer.LoadReporting.NONE;
             harness.start().receiveList(fleet.toArray(new Upstream[0]));
