--- a/src/main/java/rushproxy/fleet/member/Membership.java
+++ b/src/main/java/rushproxy/fleet/member/Membership.java
@@ -336,20 +336,20 @@
 
     private void expireProbes() {
         for (Iterator<Map.Entry<Integer, Probe>> i = probes.entrySet().iterator(); i.hasNext(); ) {
-            Probe p = i.next().getValue();
-            if (nowUs < p.dueUs) {
+            Probe probe = i.next().getValue();
+            if (nowUs < probe.dueUs) {
                 continue;
             }
             i.remove();
             selfDoubt = Math.min(MAX_SELF_DOUBT, selfDoubt + 1);
-            if (p.target.state == State.ALIVE || p.target.state == State.SUSPECT) {
-                suspect(p.target, p.direct);
+            if (probe.target.state == State.ALIVE || probe.target.state == State.SUSPECT) {
+                suspect(probe.target, probe.direct);
             }
         }
     }
 
-    private void suspect(Member m, boolean direct) {
-        if (suspicions.containsKey(m.id) || isPossiblyIsolated() && lastHeardUs != NEVER) {
+    private void suspect(Member member, boolean direct) {
+        if (suspicions.containsKey(member.id) || isPossiblyIsolated() && lastHeardUs != NEVER) {
             return;
         }
         Suspicion suspicion = new Suspicion();
@@ -357,31 +357,31 @@
         suspicion.sinceUs = nowUs;
         suspicion.nextPingUs = nowUs;
         suspicion.requestsIndirectProbes = direct;
-        suspicions.put(m.id, suspicion);
-        for (int requester : probeRequesters.getOrDefault(m.id, Set.of())) {
+        suspicions.put(member.id, suspicion);
+        for (int requester : probeRequesters.getOrDefault(member.id, Set.of())) {
             suspicion.requesters.add(requester);
             send(
                     requester,
                     newEnvelope()
-                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(member))
                             .toBytes(config.reservedLength()));
         }
-        probeRequesters.remove(m.id);
-        if (m.state == State.ALIVE) {
-            setState(m, State.SUSPECT, "no answer to a probe");
+        probeRequesters.remove(member.id);
+        if (member.state == State.ALIVE) {
+            setState(member, State.SUSPECT, "no answer to a probe");
         }
     }
 
     /** Pings again, and asks other members only with the second ping: most missed answers are a single lost datagram. */
-    private void pingSuspect(Suspicion suspicion, Member m) {
+    private void pingSuspect(Suspicion suspicion, Member member) {
         suspicion.nextPingUs = nowUs + SUSPECT_PING_INTERVAL_US;
-        ping(m);
+        ping(member);
         if (++suspicion.pings == 2 && suspicion.requestsIndirectProbes) {
-            for (Member prober : randomAliveMembers(INDIRECT_PROBERS, m)) {
+            for (Member prober : randomAliveMembers(INDIRECT_PROBERS, member)) {
                 send(
                         prober.peerIndex,
                         newEnvelope()
-                                .addSection(PING_REQUEST, encodeIdentity(m))
+                                .addSection(PING_REQUEST, encodeIdentity(member))
                                 .toBytes(config.reservedLength()));
             }
         }
@@ -390,19 +390,19 @@
     private void processSuspicions() {
         for (Map.Entry<Long, Suspicion> e : List.copyOf(suspicions.entrySet())) {
             Suspicion suspicion = e.getValue();
-            Member m = members.get(e.getKey());
-            if (m == null || m.state == State.DEAD || m.state == State.LEFT) {
+            Member member = members.get(e.getKey());
+            if (member == null || member.state == State.DEAD || member.state == State.LEFT) {
                 suspicions.remove(e.getKey());
             } else if (nowUs >= suspicion.expiresUs(selfDoubt) && !isPossiblyIsolated()) {
                 suspicions.remove(e.getKey());
                 setState(
-                        m,
+                        member,
                         State.DEAD,
                         suspicion.suspecters.size() >= 2
                                 ? "unreachable from this member and " + otherSuspecters(suspicion)
                                 : "unreachable from this member alone");
             } else if (nowUs >= suspicion.nextPingUs && budget.canSend(PING_MESSAGE_BYTES)) {
-                pingSuspect(suspicion, m);
+                pingSuspect(suspicion, member);
             } else if (nowUs >= suspicion.nextPingUs) {
                 // The budget is exhausted by many suspects. One that was not pinged can't answer, so its timeout is
                 // extended.
@@ -436,14 +436,14 @@
             }
         }
         int peerIndex = random.nextInt(byPeerIndex.length);
-        Member m = byPeerIndex[peerIndex];
-        if (m == null) {
+        Member member = byPeerIndex[peerIndex];
+        if (member == null) {
             // No member is known there yet, or it runs the previous program version.
             ping(peerIndex);
-        } else if (m != localMember) {
-            boolean gone = m.state == State.DEAD || m.state == State.LEFT;
+        } else if (member != localMember) {
+            boolean gone = member.state == State.DEAD || member.state == State.LEFT;
             if (!gone || random.nextInt(DEAD_PROBE_RATIO) == 0) {
-                probe(m, true);
+                probe(member, true);
             }
         }
         if (random.nextInt(DEAD_PROBE_RATIO) == 0) {
@@ -483,10 +483,10 @@
         });
     }
 
-    private void probe(Member m, boolean direct) {
-        int number = ping(m);
-        if (!suspicions.containsKey(m.id)) {
-            probes.put(number, new Probe(m, direct, nowUs + ACK_TIMEOUT_US * (4 + selfDoubt) / 4));
+    private void probe(Member member, boolean direct) {
+        int number = ping(member);
+        if (!suspicions.containsKey(member.id)) {
+            probes.put(number, new Probe(member, direct, nowUs + ACK_TIMEOUT_US * (4 + selfDoubt) / 4));
         }
     }
 
@@ -498,16 +498,16 @@
     private int ping(int peerIndex) {
         int number = sequence = sequence + 1 & 0xFFFF;
         ByteBuffer b = ByteBuffer.allocate(2).putShort((short) number);
-        Envelope e = newEnvelope().addSection(PING, b);
+        Envelope envelope = newEnvelope().addSection(PING, b);
         if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
-            addNameSection(e);
+            addNameSection(envelope);
         }
-        send(peerIndex, addUpdates(e).toBytes(config.reservedLength()));
+        send(peerIndex, addUpdates(envelope).toBytes(config.reservedLength()));
         return number;
     }
 
     /** Adds this member's zone, index, version, features and name. */
-    private void addNameSection(Envelope e) {
+    private void addNameSection(Envelope envelope) {
         byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
         ByteBuffer b = ByteBuffer.allocate(METADATA_BYTES + MAX_NAME_BYTES);
         b.put((byte) localMember.zone)
@@ -515,7 +515,7 @@
                 .put((byte) localMember.version)
                 .put((byte) localMember.features);
         b.put(name, 0, Math.min(MAX_NAME_BYTES, name.length));
-        e.addSection(NAME, b);
+        envelope.addSection(NAME, b);
     }
 
     /** Starts anti-entropy for one bucket; its content is transferred only if the hashes differ. */
@@ -598,16 +598,16 @@
 
     /** An index belongs to one member and a member to one index; either may change only once the previous pairing is silent. */
     private boolean conflictsWithRecentSender(long sender, int peerIndex) {
-        Member m = members.get(sender);
+        Member member = members.get(sender);
         Member previous = byPeerIndex[peerIndex];
-        return m != null && m.peerIndex != peerIndex && m.peerIndex >= 0 && wasHeardRecently(m)
-                || previous != null && previous != m && wasHeardRecently(previous);
+        return member != null && member.peerIndex != peerIndex && member.peerIndex >= 0 && wasHeardRecently(member)
+                || previous != null && previous != member && wasHeardRecently(previous);
     }
 
-    private boolean wasHeardRecently(Member m) {
-        return m != localMember
-                && (m.state == State.ALIVE || m.state == State.SUSPECT)
-                && nowUs - m.lastHeardUs < PEER_INDEX_LOCK_US;
+    private boolean wasHeardRecently(Member member) {
+        return member != localMember
+                && (member.state == State.ALIVE || member.state == State.SUSPECT)
+                && nowUs - member.lastHeardUs < PEER_INDEX_LOCK_US;
     }
 
     private boolean isTooFarAhead(long incarnation) {
@@ -642,68 +642,68 @@
 
     /** Records that the sender of a message is alive and reachable at this index; null if the message is outdated. */
     private Member identifySender(Envelope.Message message, int peerIndex) {
-        Member m = members.get(message.sender());
-        if (m == null) {
-            m = new Member(message.sender());
-            m.ownIndex = Member.UNKNOWN_INDEX;
-            m.incarnation = message.incarnation();
-            m.state = State.LEFT;
-            applyMetadata(m, message);
-            members.put(m.id, m);
-            assignPeerIndex(m, peerIndex);
-            recordContact(m);
-            setState(m, State.ALIVE, "joined");
-            return m;
-        }
-        if (message.incarnation() < m.incarnation) {
+        Member member = members.get(message.sender());
+        if (member == null) {
+            member = new Member(message.sender());
+            member.ownIndex = Member.UNKNOWN_INDEX;
+            member.incarnation = message.incarnation();
+            member.state = State.LEFT;
+            applyMetadata(member, message);
+            members.put(member.id, member);
+            assignPeerIndex(member, peerIndex);
+            recordContact(member);
+            setState(member, State.ALIVE, "joined");
+            return member;
+        }
+        if (message.incarnation() < member.incarnation) {
             // An earlier process of this name, or a member that missed an update about itself: send it, so that it can
             // refute it.
-            if ((m.peerIndex < 0 || m.peerIndex == peerIndex) && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
-                m.write(b);
-                send(peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
+            if ((member.peerIndex < 0 || member.peerIndex == peerIndex) && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
+                ByteBuffer buffer = ByteBuffer.allocate(Member.WIRE_BYTES);
+                member.write(buffer);
+                send(peerIndex, newEnvelope().addSection(UPDATES, buffer).toBytes(config.reservedLength()));
             }
             return null;
         }
-        applyMetadata(m, message);
-        assignPeerIndex(m, peerIndex);
-        recordContact(m);
-        if (message.incarnation() > m.incarnation) {
-            m.incarnation = message.incarnation();
+        applyMetadata(member, message);
+        assignPeerIndex(member, peerIndex);
+        recordContact(member);
+        if (message.incarnation() > member.incarnation) {
+            member.incarnation = message.incarnation();
             digest.invalidate();
-            setState(m, State.ALIVE, "rejoined");
-            disseminateUrgently(m);
-        } else if (m.state == State.SUSPECT) {
-            setState(m, State.ALIVE, "answered again");
+            setState(member, State.ALIVE, "rejoined");
+            disseminateUrgently(member);
+        } else if (member.state == State.SUSPECT) {
+            setState(member, State.ALIVE, "answered again");
         }
-        Suspicion suspicion = suspicions.remove(m.id);
+        Suspicion suspicion = suspicions.remove(member.id);
         for (int requester : suspicion == null ? Set.<Integer>of() : suspicion.requesters) {
-            sendHeardByWitness(requester, m.id);
+            sendHeardByWitness(requester, member.id);
         }
-        return m;
+        return member;
     }
 
-    private void recordContact(Member m) {
-        m.lastHeardUs = nowUs;
+    private void recordContact(Member member) {
+        member.lastHeardUs = nowUs;
         lastHeardUs = nowUs;
-        if (m.peerIndex >= 0) {
-            legacyHeardUs[m.peerIndex] = NEVER;
+        if (member.peerIndex >= 0) {
+            legacyHeardUs[member.peerIndex] = NEVER;
         }
     }
 
-    private void assignPeerIndex(Member m, int peerIndex) {
-        if (m.peerIndex == peerIndex || peerIndex == config.index()) {
+    private void assignPeerIndex(Member member, int peerIndex) {
+        if (member.peerIndex == peerIndex || peerIndex == config.index()) {
             return;
         }
-        if (m.peerIndex >= 0 && byPeerIndex[m.peerIndex] == m) {
-            byPeerIndex[m.peerIndex] = null;
+        if (member.peerIndex >= 0 && byPeerIndex[member.peerIndex] == member) {
+            byPeerIndex[member.peerIndex] = null;
         }
         Member previous = byPeerIndex[peerIndex];
         if (previous != null && previous != localMember) {
             previous.peerIndex = -1;
         }
-        byPeerIndex[peerIndex] = m;
-        m.peerIndex = peerIndex;
+        byPeerIndex[peerIndex] = member;
+        member.peerIndex = peerIndex;
     }
 
     private static boolean hasRemaining(ByteBuffer b, int bytes) {
@@ -716,19 +716,19 @@
         }
         short number = b.getShort();
         ByteBuffer ack = ByteBuffer.allocate(2).putShort(number);
-        Envelope e = newEnvelope().addSection(ACK, ack);
+        Envelope envelope = newEnvelope().addSection(ACK, ack);
         if (nowUs - startedUs < JOIN_PHASE_US || messageCount++ % NAME_INTERVAL_MESSAGES == 0) {
-            addNameSection(e);
+            addNameSection(envelope);
         }
-        send(sender.peerIndex, addUpdates(e).toBytes(config.reservedLength()));
+        send(sender.peerIndex, addUpdates(envelope).toBytes(config.reservedLength()));
     }
 
     private void onAck(Member sender, ByteBuffer b) {
         if (!hasRemaining(b, 2)) {
             return;
         }
-        Probe p = probes.remove(b.getShort() & 0xFFFF);
-        if (p != null && p.target == sender) {
+        Probe probe = probes.remove(b.getShort() & 0xFFFF);
+        if (probe != null && probe.target == sender) {
             selfDoubt = Math.max(0, selfDoubt - 1);
         }
         Set<Integer> requesters = probeRequesters.remove(sender.id);
@@ -738,29 +738,29 @@
     }
 
     /** The sender got no answer from a member and asks for an indirect probe of it. */
-    private void onPingRequest(Member sender, ByteBuffer b) {
-        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
-        long incarnation = m == null ? 0 : Envelope.get48(b);
-        if (m == null
-                || m == localMember
-                || incarnation < m.incarnation
-                || m.peerIndex < 0
-                || m.state == State.DEAD
-                || m.state == State.LEFT) {
+    private void onPingRequest(Member sender, ByteBuffer buffer) {
+        Member member = hasRemaining(buffer, 12) ? members.get(Envelope.get48(buffer)) : null;
+        long incarnation = member == null ? 0 : Envelope.get48(buffer);
+        if (member == null
+                || member == localMember
+                || incarnation < member.incarnation
+                || member.peerIndex < 0
+                || member.state == State.DEAD
+                || member.state == State.LEFT) {
             return;
         }
-        Suspicion suspicion = suspicions.get(m.id);
+        Suspicion suspicion = suspicions.get(member.id);
         if (suspicion != null) {
             suspicion.suspecters.add(sender.id);
             suspicion.requesters.add(sender.peerIndex);
             send(
                     sender.peerIndex,
                     newEnvelope()
-                            .addSection(CONFIRM_SUSPICION, encodeIdentity(m))
+                            .addSection(CONFIRM_SUSPICION, encodeIdentity(member))
                             .toBytes(config.reservedLength()));
         } else {
-            probeRequesters.computeIfAbsent(m.id, id -> new HashSet<>()).add(sender.peerIndex);
-            probe(m, false);
+            probeRequesters.computeIfAbsent(member.id, id -> new HashSet<>()).add(sender.peerIndex);
+            probe(member, false);
         }
     }
 
@@ -772,19 +772,21 @@
     }
 
     /** Another member has heard from the suspect, so only the link to it is bad and the suspicion ends. */
-    private void onHeardByWitness(ByteBuffer b) {
-        Member m = hasRemaining(b, 12) ? members.get(Envelope.get48(b)) : null;
-        if (m != null && suspicions.remove(m.id) != null && m.state == State.SUSPECT) {
-            m.lastHeardUs = nowUs;
-            setState(m, State.ALIVE, "heard by another member");
+    private void onHeardByWitness(ByteBuffer buffer) {
+        Member member = hasRemaining(buffer, 12) ? members.get(Envelope.get48(buffer)) : null;
+        if (member != null && suspicions.remove(member.id) != null && member.state == State.SUSPECT) {
+            member.lastHeardUs = nowUs;
+            setState(member, State.ALIVE, "heard by another member");
         }
     }
 
     private void sendHeardByWitness(int peerIndex, long id) {
-        Member m = members.get(id);
+        Member member = members.get(id);
         send(
                 peerIndex,
-                newEnvelope().addSection(HEARD_BY_WITNESS, encodeIdentity(m)).toBytes(config.reservedLength()));
+                newEnvelope()
+                        .addSection(HEARD_BY_WITNESS, encodeIdentity(member))
+                        .toBytes(config.reservedLength()));
     }
 
     private void onUpdates(Member sender, ByteBuffer b) {
@@ -798,33 +800,33 @@
     }
 
     /** Takes over what the sender reports about itself; a name only if it hashes to the sender's id. */
-    private void applyMetadata(Member m, Envelope.Message message) {
+    private void applyMetadata(Member member, Envelope.Message message) {
         for (Envelope.Section section : message.sections()) {
             if (section.type() != NAME || section.bytes().length < METADATA_BYTES) {
                 continue;
             }
-            ByteBuffer b = ByteBuffer.wrap(section.bytes());
-            int zone = b.get() & 255;
+            ByteBuffer buffer = ByteBuffer.wrap(section.bytes());
+            int zone = buffer.get() & 255;
             if (zone < Math.max(1, config.zoneCount())) {
-                boolean first = !m.hasMetadata();
+                boolean first = !member.hasMetadata();
                 if (first) {
                     digest.invalidate();
                 }
-                m.zone = zone;
-                m.ownIndex = b.getShort() & 0xFFFF;
-                m.version = b.get() & 255;
-                m.features = b.get() & 255;
-                if (first && m.hasMetadata() && m.state == State.ALIVE) {
-                    disseminate(m);
+                member.zone = zone;
+                member.ownIndex = buffer.getShort() & 0xFFFF;
+                member.version = buffer.get() & 255;
+                member.features = buffer.get() & 255;
+                if (first && member.hasMetadata() && member.state == State.ALIVE) {
+                    disseminate(member);
                 }
             }
-            if (m.name == null) {
+            if (member.name == null) {
                 String name = new String(
                         section.bytes(),
                         METADATA_BYTES,
                         section.bytes().length - METADATA_BYTES,
                         StandardCharsets.UTF_8);
-                m.name = Envelope.idOf(name) == m.id ? name : null;
+                member.name = Envelope.idOf(name) == member.id ? name : null;
             }
         }
     }
@@ -869,69 +871,72 @@
             }
             return;
         }
-        Member m = members.get(update.id);
-        if (m != null && !m.hasMetadata() && update.hasMetadata() && update.incarnation == m.incarnation) {
-            copyMetadata(m, update);
-            assumePeerIndex(m);
+        Member member = members.get(update.id);
+        if (member != null
+                && !member.hasMetadata()
+                && update.hasMetadata()
+                && update.incarnation == member.incarnation) {
+            copyMetadata(member, update);
+            assumePeerIndex(member);
         }
-        if (m == null) {
+        if (member == null) {
             if (update.state == State.DEAD || update.state == State.LEFT) {
                 return;
             }
-            m = new Member(update.id);
-            m.state = State.LEFT;
-            members.put(m.id, m);
-            copyMetadata(m, update);
-            assumePeerIndex(m);
-            setState(m, State.ALIVE, "reported by " + source);
+            member = new Member(update.id);
+            member.state = State.LEFT;
+            members.put(member.id, member);
+            copyMetadata(member, update);
+            assumePeerIndex(member);
+            setState(member, State.ALIVE, "reported by " + source);
             return;
         }
         if (!Member.supersedes(
                         update.incarnation,
                         update.state,
-                        m.incarnation,
-                        m.state == State.SUSPECT ? State.ALIVE : m.state)
-                || update.state == State.SUSPECT && update.incarnation == m.incarnation) {
+                        member.incarnation,
+                        member.state == State.SUSPECT ? State.ALIVE : member.state)
+                || update.state == State.SUSPECT && update.incarnation == member.incarnation) {
             return;
         }
         boolean deathInBucket = fromBucket
                 && update.state == State.DEAD
-                && update.incarnation == m.incarnation
-                && (m.state == State.ALIVE || m.state == State.SUSPECT);
+                && update.incarnation == member.incarnation
+                && (member.state == State.ALIVE || member.state == State.SUSPECT);
         boolean deathOfRecentlyHeard = update.state == State.DEAD
-                && update.incarnation == m.incarnation
-                && nowUs - m.lastHeardUs < ISOLATION_SUSPECTED_US;
+                && update.incarnation == member.incarnation
+                && nowUs - member.lastHeardUs < ISOLATION_SUSPECTED_US;
         if (deathInBucket || deathOfRecentlyHeard) {
             // The bucket may be outdated, or the reporter wrong: the member gets the update and may refute it.
-            if (m.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
-                ByteBuffer b = ByteBuffer.allocate(Member.WIRE_BYTES);
-                update.write(b);
-                send(m.peerIndex, newEnvelope().addSection(UPDATES, b).toBytes(config.reservedLength()));
+            if (member.peerIndex >= 0 && budget.canSend(MIN_UPDATE_MESSAGE_BYTES)) {
+                ByteBuffer buffer = ByteBuffer.allocate(Member.WIRE_BYTES);
+                update.write(buffer);
+                send(member.peerIndex, newEnvelope().addSection(UPDATES, buffer).toBytes(config.reservedLength()));
             }
             return;
         }
         // Suspicions are not disseminated; a received one only shows that the member is not dead.
         State newState = update.state == State.SUSPECT ? State.ALIVE : update.state;
-        copyMetadata(m, update);
-        assumePeerIndex(m);
-        setState(m, newState, "reported by " + source);
-        disseminateUrgently(m);
+        copyMetadata(member, update);
+        assumePeerIndex(member);
+        setState(member, newState, "reported by " + source);
+        disseminateUrgently(member);
     }
 
-    private void copyMetadata(Member m, Member update) {
+    private void copyMetadata(Member member, Member update) {
         digest.invalidate();
-        m.incarnation = update.incarnation;
-        m.zone = update.zone;
-        m.ownIndex = update.ownIndex;
-        m.version = update.version;
-        m.features = update.features;
+        member.incarnation = update.incarnation;
+        member.zone = update.zone;
+        member.ownIndex = update.ownIndex;
+        member.version = update.version;
+        member.features = update.features;
     }
 
     /** Assumes that both peer lists agree, until the member's first datagram shows its actual index. */
-    private void assumePeerIndex(Member m) {
-        if (m.peerIndex < 0 && m.ownIndex < byPeerIndex.length && byPeerIndex[m.ownIndex] == null) {
-            m.peerIndex = m.ownIndex;
-            byPeerIndex[m.ownIndex] = m;
+    private void assumePeerIndex(Member member) {
+        if (member.peerIndex < 0 && member.ownIndex < byPeerIndex.length && byPeerIndex[member.ownIndex] == null) {
+            member.peerIndex = member.ownIndex;
+            byPeerIndex[member.ownIndex] = member;
         }
     }
 
@@ -958,65 +963,68 @@
 
     // ---- state changes ------------------------------------------------------------------------------
 
-    private void setState(Member m, State state, String reason) {
+    private void setState(Member member, State state, String reason) {
         digest.invalidate();
-        boolean wasLive = m.state == State.ALIVE || m.state == State.SUSPECT;
+        boolean wasLive = member.state == State.ALIVE || member.state == State.SUSPECT;
         // A member that was just created has no previous state.
-        boolean wasGone = !wasLive && m.sinceUs != 0;
-        if (m.state != state
-                && (state != State.SUSPECT && m.state != State.SUSPECT || state == State.DEAD || state == State.LEFT)) {
-            environment.logEvent(m.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
-        }
-        if (m.state != state) {
-            m.sinceUs = nowUs;
-            m.reason = reason;
-        }
-        m.state = state;
+        boolean wasGone = !wasLive && member.sinceUs != 0;
+        if (member.state != state
+                && (state != State.SUSPECT && member.state != State.SUSPECT
+                        || state == State.DEAD
+                        || state == State.LEFT)) {
+            environment.logEvent(
+                    member.name() + " is " + state.name().toLowerCase(java.util.Locale.ROOT) + ": " + reason);
+        }
+        if (member.state != state) {
+            member.sinceUs = nowUs;
+            member.reason = reason;
+        }
+        member.state = state;
         boolean isLive = state == State.ALIVE || state == State.SUSPECT;
         if (isLive && !wasLive) {
-            ring.put(Member.ringPosition(m.id), m);
+            ring.put(Member.ringPosition(member.id), member);
         } else if (!isLive) {
-            ring.remove(Member.ringPosition(m.id));
-            suspicions.remove(m.id);
+            ring.remove(Member.ringPosition(member.id));
+            suspicions.remove(member.id);
         }
         if (state == State.ALIVE) {
-            Suspicion suspicion = suspicions.remove(m.id);
+            Suspicion suspicion = suspicions.remove(member.id);
             if (suspicion != null) {
-                suspicion.requesters.forEach(requester -> sendHeardByWitness(requester, m.id));
+                suspicion.requesters.forEach(requester -> sendHeardByWitness(requester, member.id));
             }
         }
         viewStale = true;
         if (!isLive || wasGone) {
-            disseminateUrgently(m);
+            disseminateUrgently(member);
         } else if (!wasLive) {
-            disseminate(m);
+            disseminate(member);
         }
     }
 
-    private void disseminateUrgently(Member m) {
-        dissemination.enqueueUrgent(m, members.size());
+    private void disseminateUrgently(Member member) {
+        dissemination.enqueueUrgent(member, members.size());
         urgentPending = true;
     }
 
-    private void disseminate(Member m) {
-        dissemination.enqueueRegular(m, members.size());
+    private void disseminate(Member member) {
+        dissemination.enqueueRegular(member, members.size());
     }
 
     /** Fills the remaining space with updates, as far as the budget allows. */
-    private Envelope addUpdates(Envelope e) {
+    private Envelope addUpdates(Envelope envelope) {
         int affordable = (budget.availableBytes()
                         - RESERVED_BYTES
                         - SendBudget.IP_UDP_HEADER_BYTES
-                        - (Envelope.MAX_BYTES - e.remainingBytes()))
+                        - (Envelope.MAX_BYTES - envelope.remainingBytes()))
                 / Member.WIRE_BYTES;
-        int count =
-                Math.min(Math.min(e.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
+        int count = Math.min(
+                Math.min(envelope.remainingBytes() / Member.WIRE_BYTES, StateDigest.MEMBERS_PER_BUCKET), affordable);
         if (count <= 0 || dissemination.isEmpty()) {
-            return e;
+            return envelope;
         }
-        ByteBuffer b = ByteBuffer.allocate(count * Member.WIRE_BYTES);
-        dissemination.writeUpdates(b);
-        return e.addSection(UPDATES, b);
+        ByteBuffer buffer = ByteBuffer.allocate(count * Member.WIRE_BYTES);
+        dissemination.writeUpdates(buffer);
+        return envelope.addSection(UPDATES, buffer);
     }
 
     /** Sends urgent updates without waiting for the next probe, as far as the budget allows. */
@@ -1038,9 +1046,13 @@
     private List<Member> randomAliveMembers(int count, Member excluded) {
         List<Member> chosen = new ArrayList<>(count);
         for (int tries = 0; tries < 4 * count && chosen.size() < count; tries++) {
-            Member m = byPeerIndex.length == 0 ? null : byPeerIndex[random.nextInt(byPeerIndex.length)];
-            if (m != null && m != localMember && m != excluded && m.state == State.ALIVE && !chosen.contains(m)) {
-                chosen.add(m);
+            Member member = byPeerIndex.length == 0 ? null : byPeerIndex[random.nextInt(byPeerIndex.length)];
+            if (member != null
+                    && member != localMember
+                    && member != excluded
+                    && member.state == State.ALIVE
+                    && !chosen.contains(member)) {
+                chosen.add(member);
             }
         }
         return chosen;
@@ -1091,12 +1103,12 @@
             liveByZone[Math.min(liveByZone.length - 1, localMember.zone)]++;
         }
         if (!stopped && !isolated) {
-            for (Member m : members.values()) {
-                if (m.state == State.LEFT) {
-                    left += m.peerIndex >= 0 ? 1 : 0;
-                } else if (m.state != State.DEAD) {
+            for (Member member : members.values()) {
+                if (member.state == State.LEFT) {
+                    left += member.peerIndex >= 0 ? 1 : 0;
+                } else if (member.state != State.DEAD) {
                     live++;
-                    liveByZone[Math.min(liveByZone.length - 1, m.zone)]++;
+                    liveByZone[Math.min(liveByZone.length - 1, member.zone)]++;
                 }
             }
             for (int i = 0; i < byPeerIndex.length; i++) {
--- a/src/main/java/rushproxy/fleet/shared/FleetLimits.java
+++ b/src/main/java/rushproxy/fleet/shared/FleetLimits.java
@@ -266,83 +266,83 @@
         refreshDefinitions();
         int requestsLeft = MAX_REQUESTS_PER_TICK;
         for (Map.Entry<Long, LimitState> e : limits.entrySet()) {
-            LimitState s = e.getValue();
-            s.lent.values().forEach(leases -> leases.removeIf(lease -> lease.expiresUs <= nowUs));
-            s.lent.values().removeIf(List::isEmpty);
-            s.borrowed.values().removeIf(leases -> leases.expiresUs <= nowUs);
-            s.pendingRequests.values().removeIf(a -> a.sentUs + LEASE_US <= nowUs);
-            s.refusedUntilUs.values().removeIf(until -> until <= nowUs);
-            requestsLeft = requestLeases(e.getKey(), s, requestsLeft);
+            LimitState state = e.getValue();
+            state.lent.values().forEach(leases -> leases.removeIf(lease -> lease.expiresUs <= nowUs));
+            state.lent.values().removeIf(List::isEmpty);
+            state.borrowed.values().removeIf(leases -> leases.expiresUs <= nowUs);
+            state.pendingRequests.values().removeIf(a -> a.sentUs + LEASE_US <= nowUs);
+            state.refusedUntilUs.values().removeIf(until -> until <= nowUs);
+            requestsLeft = requestLeases(e.getKey(), state, requestsLeft);
         }
     }
 
-    private double equalShare(LimitState s) {
-        return s.limit.max() / sidecarCount;
+    private double equalShare(LimitState state) {
+        return state.limit.max() / sidecarCount;
     }
 
     /** The own share; after a start only its reserved part, as leases granted by an earlier process may still be in use. */
-    private double baseShare(LimitState s) {
-        return nowUs - startUs < LEASE_US ? RESERVED_SHARE * equalShare(s) : equalShare(s);
+    private double baseShare(LimitState state) {
+        return nowUs - startUs < LEASE_US ? RESERVED_SHARE * equalShare(state) : equalShare(state);
     }
 
-    private double effectiveShare(LimitState s) {
-        return Math.max(0, baseShare(s) - s.totalLent(nowUs, 0)) + s.totalBorrowed(nowUs);
+    private double effectiveShare(LimitState state) {
+        return Math.max(0, baseShare(state) - state.totalLent(nowUs, 0)) + state.totalBorrowed(nowUs);
     }
 
-    private int requestLeases(long key, LimitState s, int maxRequests) {
-        double target = DEMAND_HEADROOM * s.demand;
-        double need = target - Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+    private int requestLeases(long key, LimitState state, int maxRequests) {
+        double target = DEMAND_HEADROOM * state.demand;
+        double need = target - Math.max(0, baseShare(state) - state.totalLent(nowUs, 0));
         int requestsLeft = maxRequests;
         // Renewals first, for the part that is still needed.
-        for (Map.Entry<Integer, Lease> e : List.copyOf(s.borrowed.entrySet())) {
+        for (Map.Entry<Integer, Lease> e : List.copyOf(state.borrowed.entrySet())) {
             Lease lease = e.getValue();
             if (need <= 0 || requestsLeft == 0) {
                 break;
             }
-            if (lease.expiresUs - nowUs < RENEW_BEFORE_US && !hasRecentRequest(s, e.getKey())) {
-                requestLease(key, s, e.getKey(), Math.min(need, equalShare(s)));
+            if (lease.expiresUs - nowUs < RENEW_BEFORE_US && !hasRecentRequest(state, e.getKey())) {
+                requestLease(key, state, e.getKey(), Math.min(need, equalShare(state)));
                 requestsLeft--;
             }
             need -= lease.amount;
         }
-        for (Map.Entry<Integer, LeaseRequest> request : s.pendingRequests.entrySet()) {
-            need -= s.borrowed.containsKey(request.getKey()) || nowUs - request.getValue().sentUs > TICK_INTERVAL_US
+        for (Map.Entry<Integer, LeaseRequest> request : state.pendingRequests.entrySet()) {
+            need -= state.borrowed.containsKey(request.getKey()) || nowUs - request.getValue().sentUs > TICK_INTERVAL_US
                     ? 0
                     : request.getValue().amount;
         }
         for (int tries = 4 * requestsLeft;
-                tries > 0 && requestsLeft > 0 && need > 1e-3 * s.limit.max() / sidecarCount;
+                tries > 0 && requestsLeft > 0 && need > 1e-3 * state.limit.max() / sidecarCount;
                 tries--) {
             int peerIndex = peers.randomPeer(feature, random);
             if (peerIndex < 0
-                    || s.borrowed.containsKey(peerIndex)
-                    || hasRecentRequest(s, peerIndex)
-                    || s.refusedUntilUs.containsKey(peerIndex)) {
+                    || state.borrowed.containsKey(peerIndex)
+                    || hasRecentRequest(state, peerIndex)
+                    || state.refusedUntilUs.containsKey(peerIndex)) {
                 continue;
             }
-            double amount = Math.min(need, equalShare(s));
-            requestLease(key, s, peerIndex, amount);
+            double amount = Math.min(need, equalShare(state));
+            requestLease(key, state, peerIndex, amount);
             need -= amount;
             requestsLeft--;
         }
         return requestsLeft;
     }
 
-    private boolean hasRecentRequest(LimitState s, int peerIndex) {
-        LeaseRequest request = s.pendingRequests.get(peerIndex);
+    private boolean hasRecentRequest(LimitState state, int peerIndex) {
+        LeaseRequest request = state.pendingRequests.get(peerIndex);
         return request != null && nowUs - request.sentUs < TICK_INTERVAL_US;
     }
 
-    private void requestLease(long key, LimitState s, int peerIndex, double amount) {
+    private void requestLease(long key, LimitState state, int peerIndex, double amount) {
         sequence = sequence + 1 & 0xFFFF;
-        s.pendingRequests.put(peerIndex, new LeaseRequest(sequence, amount, nowUs));
-        send(peerIndex, LEASE_REQUEST, key, s, sequence, amount);
+        state.pendingRequests.put(peerIndex, new LeaseRequest(sequence, amount, nowUs));
+        send(peerIndex, LEASE_REQUEST, key, state, sequence, amount);
     }
 
-    private void send(int peerIndex, int type, long key, LimitState s, int sequence, double amount) {
+    private void send(int peerIndex, int type, long key, LimitState state, int sequence, double amount) {
         ByteBuffer b = ByteBuffer.allocate(SECTION_BYTES);
         Envelope.put48(b, key);
-        b.putShort((short) sequence).putFloat((float) amount).putFloat((float) s.limit.max());
+        b.putShort((short) sequence).putFloat((float) amount).putFloat((float) state.limit.max());
         environment.send(
                 peerIndex,
                 Envelope.from(selfId, incarnation).addSection(type, b).toBytes(reservedLength));
@@ -359,54 +359,56 @@
             long key = Envelope.get48(b);
             int sequence = b.getShort() & 0xFFFF;
             double amount = b.getFloat();
-            LimitState s = limits.get(key);
+            LimitState state = limits.get(key);
             // A different maximum is an earlier or later definition of the limit, whose shares don't add up with these.
-            if (s == null || !(amount >= 0) || b.getFloat() != (float) s.limit.max()) {
+            if (state == null || !(amount >= 0) || b.getFloat() != (float) state.limit.max()) {
                 continue;
             }
             if (section.type() == LEASE_REQUEST) {
-                onLeaseRequest(peerIndex, key, s, message.sender(), sequence, amount);
+                onLeaseRequest(peerIndex, key, state, message.sender(), sequence, amount);
             } else {
-                onLeaseGrant(peerIndex, s, sequence, amount);
+                onLeaseGrant(peerIndex, state, sequence, amount);
             }
         }
     }
 
-    private void onLeaseRequest(int peerIndex, long key, LimitState s, long borrower, int sequence, double amount) {
-        List<Lease> leases = s.lent.getOrDefault(borrower, List.of());
+    private void onLeaseRequest(int peerIndex, long key, LimitState state, long borrower, int sequence, double amount) {
+        List<Lease> leases = state.lent.getOrDefault(borrower, List.of());
         for (Lease lease : leases) {
             if (lease.sequence == sequence && lease.expiresUs > nowUs) {
                 // A duplicated datagram; the request has been answered.
                 return;
             }
         }
-        double localNeed =
-                Math.min(equalShare(s), Math.max(RESERVED_SHARE * equalShare(s), DEMAND_HEADROOM * s.demand));
-        double free = baseShare(s) - localNeed - s.totalLent(nowUs, borrower);
-        boolean full = leases.isEmpty() && s.lent.size() >= MAX_BORROWERS;
+        double localNeed = Math.min(
+                equalShare(state), Math.max(RESERVED_SHARE * equalShare(state), DEMAND_HEADROOM * state.demand));
+        double free = baseShare(state) - localNeed - state.totalLent(nowUs, borrower);
+        boolean full = leases.isEmpty() && state.lent.size() >= MAX_BORROWERS;
         // Rounded down to a float, as the borrower receives it: rounding up would exceed the limit.
         double lent = full ? 0 : Math.nextDown((float) Math.max(0, Math.min(amount, free)));
         if (lent > 0) {
-            s.lent.computeIfAbsent(borrower, b -> new ArrayList<>()).add(new Lease(sequence, lent, nowUs + LEASE_US));
+            state.lent
+                    .computeIfAbsent(borrower, b -> new ArrayList<>())
+                    .add(new Lease(sequence, lent, nowUs + LEASE_US));
         }
-        send(peerIndex, LEASE_GRANT, key, s, sequence, Math.max(0, lent));
+        send(peerIndex, LEASE_GRANT, key, state, sequence, Math.max(0, lent));
     }
 
-    private void onLeaseGrant(int peerIndex, LimitState s, int sequence, double amount) {
-        LeaseRequest request = s.pendingRequests.get(peerIndex);
+    private void onLeaseGrant(int peerIndex, LimitState state, int sequence, double amount) {
+        LeaseRequest request = state.pendingRequests.get(peerIndex);
         if (request == null || request.sequence != sequence || nowUs - request.sentUs >= LEASE_US) {
             return;
         }
-        s.pendingRequests.remove(peerIndex);
+        state.pendingRequests.remove(peerIndex);
         if (amount > request.amount * (1 + 1e-6)) {
             return;
         }
         if (amount <= 0) {
-            s.refusedUntilUs.put(peerIndex, nowUs + REFUSAL_BACKOFF_US);
+            state.refusedUntilUs.put(peerIndex, nowUs + REFUSAL_BACKOFF_US);
             // An earlier lease from this lender remains valid until it expires.
             return;
         }
-        s.borrowed.put(peerIndex, new Lease(sequence, amount, request.sentUs + LEASE_US));
+        state.borrowed.put(peerIndex, new Lease(sequence, amount, request.sentUs + LEASE_US));
     }
 
     // ---- queries --------------------------------------------------------------------------------------
@@ -415,11 +417,11 @@
     public List<Share> shares(long now, long validUs) {
         advance(now);
         List<Share> shares = new ArrayList<>();
-        for (LimitState s : limits.values()) {
-            double ownShare = Math.max(0, baseShare(s) - s.totalLent(nowUs, 0));
+        for (LimitState state : limits.values()) {
+            double ownShare = Math.max(0, baseShare(state) - state.totalLent(nowUs, 0));
             double share = ownShare;
             long validUntilUs = nowUs + validUs;
-            for (Lease lease : s.borrowed.values()) {
+            for (Lease lease : state.borrowed.values()) {
                 // A lease that expires before the next refresh would end the validity of all others.
                 if (lease.expiresUs > nowUs + TICK_INTERVAL_US) {
                     share += lease.amount;
@@ -427,10 +429,10 @@
                 }
             }
             shares.add(new Share(
-                    s.limit.name(),
-                    s.limit.scope(),
-                    s.limit.subject(),
-                    s.limit.inFlight(),
+                    state.limit.name(),
+                    state.limit.scope(),
+                    state.limit.subject(),
+                    state.limit.inFlight(),
                     share,
                     ownShare,
                     validUntilUs));
@@ -441,13 +443,13 @@
     public Collection<LimitStatus> status(long now) {
         advance(now);
         return limits.values().stream()
-                .map(s -> new LimitStatus(
-                        s.limit,
-                        equalShare(s),
-                        effectiveShare(s),
-                        s.totalLent(nowUs, 0),
-                        s.totalBorrowed(nowUs),
-                        s.demand))
+                .map(state -> new LimitStatus(
+                        state.limit,
+                        equalShare(state),
+                        effectiveShare(state),
+                        state.totalLent(nowUs, 0),
+                        state.totalBorrowed(nowUs),
+                        state.demand))
                 .toList();
     }
 }
--- a/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
+++ b/src/main/java/rushproxy/fleet/shared/ReplicatedStore.java
@@ -181,57 +181,57 @@
      * Writes or renews the local member's entry of an owned table, or the single entry of any other table. The store takes
      * ownership of the value. In a ranked table the caller makes sure that the rank is not lower than that of the stored value.
      */
-    public void put(long now, Table t, long key, byte[] value) {
-        if (value.length > t.maxValueBytes()) {
+    public void put(long now, Table table, long key, byte[] value) {
+        if (value.length > table.maxValueBytes()) {
             throw new IllegalArgumentException(
-                    t.name() + ": a value of " + value.length + " bytes, " + t.maxValueBytes() + " at most");
+                    table.name() + ": a value of " + value.length + " bytes, " + table.maxValueBytes() + " at most");
         }
-        write(now, t, key, value);
+        write(now, table, key, value);
     }
 
     /** Removes an entry at all members. A tombstone keeps old copies from returning. */
-    public void remove(long now, Table t, long key) {
-        Entry entry = entries.get(t.id()).get(idOf(t, key, selfId));
+    public void remove(long now, Table table, long key) {
+        Entry entry = entries.get(table.id()).get(idOf(table, key, selfId));
         if (entry != null && entry.value != null) {
-            write(now, t, key, null);
+            write(now, table, key, null);
         }
     }
 
-    private void write(long now, Table t, long key, byte[] value) {
+    private void write(long now, Table table, long key, byte[] value) {
         advance(now);
-        long lifetimeMs = value == null ? t.tombstoneMs() : t.leaseMs();
+        long lifetimeMs = value == null ? table.tombstoneMs() : table.leaseMs();
         Entry entry = new Entry(
-                t,
-                idOf(t, key, selfId),
+                table,
+                idOf(table, key, selfId),
                 selfId,
                 value,
                 clock.stamp(nowUs),
                 lifetimeMs == 0 ? Long.MAX_VALUE : nowUs + lifetimeMs * 1_000);
-        install(t, entry);
+        install(table, entry);
     }
 
     /** Null if there is no entry, or it has expired or was removed. */
-    public StoredEntry read(long now, Table t, long key, long writer) {
+    public StoredEntry read(long now, Table table, long key, long writer) {
         advance(now);
-        Entry entry = entries.get(t.id()).get(idOf(t, key, writer));
-        return entry == null || entry.value == null || entry.expiresUs <= nowUs ? null : toStoredEntry(t, entry);
+        Entry entry = entries.get(table.id()).get(idOf(table, key, writer));
+        return entry == null || entry.value == null || entry.expiresUs <= nowUs ? null : toStoredEntry(table, entry);
     }
 
     /** All entries of a table that have a value and have not expired, in no order. */
-    public List<StoredEntry> readAll(long now, Table t) {
+    public List<StoredEntry> readAll(long now, Table table) {
         advance(now);
         List<StoredEntry> all = new ArrayList<>();
-        for (Entry entry : entries.get(t.id()).values()) {
+        for (Entry entry : entries.get(table.id()).values()) {
             if (entry.value != null && entry.expiresUs > nowUs) {
-                all.add(toStoredEntry(t, entry));
+                all.add(toStoredEntry(table, entry));
             }
         }
         return all;
     }
 
-    private StoredEntry toStoredEntry(Table t, Entry entry) {
-        long ageUs = t.leaseMs() > 0
-                ? t.leaseMs() * 1_000 - (entry.expiresUs - nowUs)
+    private StoredEntry toStoredEntry(Table table, Entry entry) {
+        long ageUs = table.leaseMs() > 0
+                ? table.leaseMs() * 1_000 - (entry.expiresUs - nowUs)
                 : Math.max(0, (clock.correctedMs(nowUs) - HybridClock.millisOf(entry.stamp)) * 1_000);
         boolean own = entry.writer == selfId;
         return new StoredEntry(
@@ -314,8 +314,8 @@
     }
 
     /** Adds updates from the head of the queue and puts them back at the tail until their limit is reached. */
-    private Envelope addUpdates(Envelope e) {
-        ByteBuffer b = ByteBuffer.allocate(Math.max(0, e.remainingBytes()));
+    private Envelope addUpdates(Envelope envelope) {
+        ByteBuffer b = ByteBuffer.allocate(Math.max(0, envelope.remainingBytes()));
         Map<EntryId, Integer> requeued = new LinkedHashMap<>();
         for (Iterator<Map.Entry<EntryId, Integer>> i = pendingUpdates.entrySet().iterator();
                 i.hasNext() && b.remaining() > ENTRY_HEADER_BYTES; ) {
@@ -330,7 +330,7 @@
             }
         }
         pendingUpdates.putAll(requeued);
-        return b.position() == 0 ? e : e.addSection(ENTRIES, b);
+        return b.position() == 0 ? envelope : envelope.addSection(ENTRIES, b);
     }
 
     /** False if it does not fit. */
@@ -411,7 +411,7 @@
         if (differing.isEmpty()) {
             return;
         }
-        Envelope e = newEnvelope();
+        Envelope envelope = newEnvelope();
         for (int n = 0; n < MAX_LEAF_SECTIONS && !differing.isEmpty(); n++) {
             int bucket = differing.remove(random.nextInt(differing.size()));
             ByteBuffer leaves =
@@ -419,9 +419,9 @@
             for (long hash : treeHashes(salt, bucket)) {
                 leaves.putShort((short) hash);
             }
-            e.addSection(LEAVES, leaves);
+            envelope.addSection(LEAVES, leaves);
         }
-        environment.send(peerIndex, e.toBytes(reservedLength));
+        environment.send(peerIndex, envelope.toBytes(reservedLength));
     }
 
     /** Sends the entries of differing leaves and requests those of the other member. */
@@ -456,12 +456,12 @@
             }
         }
         for (int n = 0; n < MAX_REPAIR_DATAGRAMS && !wanted.isEmpty(); n++) {
-            Envelope e = newEnvelope();
-            ByteBuffer b = ByteBuffer.allocate(e.remainingBytes());
+            Envelope envelope = newEnvelope();
+            ByteBuffer b = ByteBuffer.allocate(envelope.remainingBytes());
             while (!wanted.isEmpty() && encodeEntry(b, wanted.get(wanted.size() - 1))) {
                 wanted.remove(wanted.size() - 1);
             }
-            environment.send(peerIndex, e.addSection(ENTRIES, b).toBytes(reservedLength));
+            environment.send(peerIndex, envelope.addSection(ENTRIES, b).toBytes(reservedLength));
         }
     }
 
@@ -541,12 +541,12 @@
             }
             byte[] value = new byte[length];
             b.get(value);
-            Table t = tables.get(type & ~TOMBSTONE_FLAG);
+            Table table = tables.get(type & ~TOMBSTONE_FLAG);
             boolean tombstone = (type & TOMBSTONE_FLAG) != 0;
-            if (t == null || writer == 0 || length > t.maxValueBytes() || tombstone && length > 0) {
+            if (table == null || writer == 0 || length > table.maxValueBytes() || tombstone && length > 0) {
                 continue;
             }
-            long maxLifetimeMs = tombstone ? t.tombstoneMs() : t.leaseMs();
+            long maxLifetimeMs = tombstone ? table.tombstoneMs() : table.leaseMs();
             boolean expires = maxLifetimeMs > 0;
             if (expires ? remainingMs <= 0 || remainingMs > maxLifetimeMs : remainingMs != NO_EXPIRY) {
                 continue;
@@ -559,12 +559,12 @@
                 continue;
             }
             merge(
-                    t,
+                    table,
                     sender,
                     peerIndex,
                     new Entry(
-                            t,
-                            idOf(t, key, writer),
+                            table,
+                            idOf(table, key, writer),
                             writer,
                             tombstone ? null : value,
                             stamp,
@@ -572,8 +572,8 @@
         }
     }
 
-    private void merge(Table t, long sender, int peerIndex, Entry received) {
-        Entry current = entries.get(t.id()).get(received.id);
+    private void merge(Table table, long sender, int peerIndex, Entry received) {
+        Entry current = entries.get(table.id()).get(received.id);
         if (current != null && current.expiresUs <= nowUs) {
             current = null;
         }
@@ -590,12 +590,14 @@
         if (received.writer == selfId) {
             // Written by an earlier process of this name: a local value is restamped, so that it wins.
             if (current != null) {
-                install(t, new Entry(t, current.id, selfId, current.value, clock.stamp(nowUs), current.expiresUs));
+                install(
+                        table,
+                        new Entry(table, current.id, selfId, current.value, clock.stamp(nowUs), current.expiresUs));
                 return;
             }
         }
         // Only owned tables need confirmation: in others a malicious member could write in its own name anyway.
-        if (t.owned() && sender != received.writer) {
+        if (table.owned() && sender != received.writer) {
             Pending pending = unconfirmed.get(received.id);
             boolean confirmed =
                     pending != null && pending.peerIndex != peerIndex && pending.entry.isSameVersion(received);
@@ -613,30 +615,30 @@
             }
         }
         unconfirmed.remove(received.id);
-        install(t, received);
+        install(table, received);
     }
 
-    private void install(Table t, Entry entry) {
-        Map<EntryId, Entry> table = entries.get(t.id());
-        table.put(entry.id, entry);
-        int log = 32 - Integer.numberOfLeadingZeros(Math.max(2, peers.size()));
+    private void install(Table table, Entry entry) {
+        Map<EntryId, Entry> tableEntries = entries.get(table.id());
+        tableEntries.put(entry.id, entry);
+        int logSize = 32 - Integer.numberOfLeadingZeros(Math.max(2, peers.size()));
         pendingUpdates.remove(entry.id);
         pendingUpdates.put(entry.id, (int)
-                Math.ceil(RETRANSMIT_FACTOR * log * (entry.writer == selfId ? WRITER_GOSSIP_FANOUT : 1)));
-        if (t.owned()) {
-            evictExcess(t, table, entry.id.key, t.maxWritersPerKey(), "writers of one key");
+                Math.ceil(RETRANSMIT_FACTOR * logSize * (entry.writer == selfId ? WRITER_GOSSIP_FANOUT : 1)));
+        if (table.owned()) {
+            evictExcess(table, tableEntries, entry.id.key, table.maxWritersPerKey(), "writers of one key");
         }
-        evictExcess(t, table, -1, t.maxEntries(), "entries");
+        evictExcess(table, tableEntries, -1, table.maxEntries(), "entries");
     }
 
     /** Evicts the last entry of a key (of the table for -1) in an order common to all members, so that all keep the same ones. */
-    private void evictExcess(Table t, Map<EntryId, Entry> table, long key, int max, String what) {
+    private void evictExcess(Table table, Map<EntryId, Entry> tableEntries, long key, int max, String what) {
         int count = 0;
         Entry last = null;
-        if (key < 0 && table.size() <= max) {
+        if (key < 0 && tableEntries.size() <= max) {
             return;
         }
-        for (Entry entry : table.values()) {
+        for (Entry entry : tableEntries.values()) {
             if (key < 0 || entry.id.key == key) {
                 count++;
                 last = last == null || Integer.compareUnsigned(treePosition(entry.id), treePosition(last.id)) > 0
@@ -645,11 +647,12 @@
             }
         }
         if (count > max) {
-            table.remove(last.id);
+            tableEntries.remove(last.id);
             pendingUpdates.remove(last.id);
             if (key < 0) {
                 logRateLimited(
-                        "full " + t.id(), "the table of " + t.name() + " is full: more than " + max + " " + what);
+                        "full " + table.id(),
+                        "the table of " + table.name() + " is full: more than " + max + " " + what);
             }
         }
     }
@@ -663,8 +666,8 @@
         }
     }
 
-    private static EntryId idOf(Table t, long key, long writer) {
-        return new EntryId(t.id(), key, t.owned() ? writer : 0);
+    private static EntryId idOf(Table table, long key, long writer) {
+        return new EntryId(table.id(), key, table.owned() ? writer : 0);
     }
 
     /** Stafford's variant 13. */
