--- a/src/main/java/rushproxy/cli/LabCommand.java
+++ b/src/main/java/rushproxy/cli/LabCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Parameters;
 import rushproxy.lab.Lab;
 import rushproxy.lab.check.Checker;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.node.Build;
 import rushproxy.lab.report.Figures;
@@ -149,7 +149,7 @@
                 s.lateness().get("beat_max"));
     }
 
-    static void print(PrintWriter out, Run run, List<Violation> violations) {
+    static void print(PrintWriter out, RecordedRun run, List<Violation> violations) {
         for (Violation v : violations.subList(0, Math.min(MOST_SHOWN, violations.size()))) {
             out.printf(
                     Locale.ROOT,
@@ -253,7 +253,7 @@
 
         @Override
         public Integer call() throws ScenarioException {
-            for (String name : ScenarioReader.NAMES) {
+            for (String name : ScenarioReader.BUNDLED_NAMES) {
                 Scenario s = ScenarioReader.read(name, Map.of());
                 spec.commandLine()
                         .getOut()
@@ -291,7 +291,7 @@
             PrintWriter out = spec.commandLine().getOut();
             try {
                 if (Files.isDirectory(Path.of(what))) {
-                    Run run = Report.readRun(Path.of(what));
+                    RecordedRun run = Report.readRun(Path.of(what));
                     List<Violation> violations = new ArrayList<>();
                     Checker.all().forEach(c -> violations.addAll(c.check(run)));
                     out.println(violations.isEmpty() ? "all rules kept" : violations.size() + " violations");
@@ -313,7 +313,7 @@
                                 Locale.ROOT,
                                 "  %8.1f s  %s%s%n",
                                 f.atUs() / 1e6,
-                                f.words(),
+                                f.describe(),
                                 f.forUs() > 0 ? String.format(Locale.ROOT, ", for %.1f s", f.forUs() / 1e6) : ""));
                 out.flush();
                 return 0;
@@ -337,7 +337,7 @@
         @Override
         public Integer call() {
             try {
-                Run run = Report.readRun(folder);
+                RecordedRun run = Report.readRun(folder);
                 Summary summary = Report.readSummary(folder);
                 Report.write(folder, run, summary);
                 print(spec.commandLine().getOut(), summary);
--- a/src/main/java/rushproxy/cli/ReleasePlan.java
+++ b/src/main/java/rushproxy/cli/ReleasePlan.java
@@ -9,7 +9,7 @@
 import rushproxy.fleet.release.Order;
 import rushproxy.fleet.release.Plan;
 import rushproxy.lab.scenario.ScenarioException;
-import rushproxy.lab.scenario.Section;
+import rushproxy.lab.scenario.TomlTable;
 
 /** Reads a release's plan from TOML, strictly: a mistake is one line that names the place. */
 final class ReleasePlan {
@@ -28,11 +28,11 @@
     }
 
     static Plan parse(String file, String text) throws ScenarioException {
-        Section s = Section.toml(file, text);
-        String name = s.text("name");
+        TomlTable s = TomlTable.parse(file, text);
+        String name = s.string("name");
         Order.Selector whom;
         try {
-            whom = Order.Selector.of(s.text("servers"));
+            whom = Order.Selector.of(s.string("servers"));
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": servers: " + e.getMessage());
         }
@@ -42,7 +42,7 @@
         double slower = s.number("slower", 1, 100, usual.slower());
         double sick = s.number("sick_at", 0.01, 1, usual.sickAt());
         List<Plan.Stage> stages = new ArrayList<>();
-        for (Section one : s.tables("stages")) {
+        for (TomlTable one : s.tables("stages")) {
             double least = one.number("least_s", 1, 86_400, usual.leastUs() / S);
             double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.mostUs() / S));
             stages.add(new Plan.Stage(
@@ -50,17 +50,17 @@
                     new Gate.Rule(
                             (long) (least * S),
                             (long) (most * S),
-                            one.count("answers", 1, 1_000_000, (int) usual.answers()),
+                            one.integer("answers", 1, 1_000_000, (int) usual.answers()),
                             falseHalts,
                             worse,
                             slower,
                             sick)));
-            one.end();
+            one.rejectUnknownKeys();
         }
         double first = stages.isEmpty() ? 0 : stages.get(0).weight();
         double safe = s.number("safe_weight", 0, 1, first);
         long back = (long) (s.number("back_s", 1, 3_600, 5) * S);
-        s.end();
+        s.rejectUnknownKeys();
         try {
             Plan plan = new Plan(name, whom, stages, safe, back);
             // Its names have to fit into an order.
--- a/src/main/java/rushproxy/lab/Expectations.java
+++ b/src/main/java/rushproxy/lab/Expectations.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.report.Figures;
 import rushproxy.lab.scenario.Scenario;
@@ -13,7 +13,7 @@
     private Expectations() {}
 
     /** A line for each that was missed. */
-    static List<String> missed(Run run, List<Violation> violations) {
+    static List<String> missed(RecordedRun run, List<Violation> violations) {
         List<String> missed = new ArrayList<>();
         for (Scenario.Expectation e : run.scenario().expectations()) {
             double is = switch (e.figure()) {
--- a/src/main/java/rushproxy/lab/Lab.java
+++ b/src/main/java/rushproxy/lab/Lab.java
@@ -26,8 +26,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import rushproxy.lab.check.Checker;
-import rushproxy.lab.check.Run;
-import rushproxy.lab.check.Starvation;
+import rushproxy.lab.check.CpuStarvation;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.node.Build;
 import rushproxy.lab.node.Keeper;
@@ -207,7 +207,7 @@
         if (failure == null && !troubles.isEmpty()) {
             failure = String.join("; ", troubles);
         }
-        Run run = new Run(scenario, seen.all());
+        RecordedRun run = new RecordedRun(scenario, seen.all());
         Summary summary = summary(run, failure, sends, beats);
         Report.write(folder, run, summary);
         return summary;
@@ -300,8 +300,8 @@
     }
 
     private void begin(Scenario.Fault f, World world, ScheduledExecutorService times, ExecutorService hands) {
-        progress.says(String.format(Locale.ROOT, "%8.1f s  %s", f.atUs() / 1e6, f.words()));
-        seen.see(Observation.What.FAULT, null, null, null, null, f.words(), f.forUs() / 1e6, 0);
+        progress.says(String.format(Locale.ROOT, "%8.1f s  %s", f.atUs() / 1e6, f.describe()));
+        seen.see(Observation.What.FAULT, null, null, null, null, f.describe(), f.forUs() / 1e6, 0);
         if (f.nodes().isEmpty() || f.what().startsWith("list-")) {
             world.begin(f);
             return;
@@ -494,7 +494,7 @@
         }
     }
 
-    private Summary summary(Run run, String failure, Histogram sends, Histogram beats) throws IOException {
+    private Summary summary(RecordedRun run, String failure, Histogram sends, Histogram beats) throws IOException {
         List<Violation> violations = new ArrayList<>(confessions());
         Checker.all().forEach(c -> violations.addAll(c.check(run)));
         violations.sort(Comparator.comparingLong(Violation::us));
@@ -518,7 +518,7 @@
                     100 * scenario.lateness().most()));
         } else {
             why.addAll(Expectations.missed(run, violations));
-            Starvation starvation = new Starvation(run);
+            CpuStarvation starvation = new CpuStarvation(run);
             Map<String, Integer> rules = new LinkedHashMap<>();
             violations.stream()
                     .filter(v -> !starvation.explains(v))
--- a/src/main/java/rushproxy/lab/check/Absences.java
+++ b/src/main/java/rushproxy/lab/check/AcceptGaps.java
@@ -13,19 +13,19 @@
  * left until the next one takes from it. Who connects then waits in the kernel's queue. Where sidecars listen themselves such a client is
  * refused, and there are no absences.
  */
-final class Absences {
+final class AcceptGaps {
     private static final String HANDS_SOCKETS_ON = "replace";
 
-    private final Map<String, Periods> byNode = new HashMap<>();
+    private final Map<String, Intervals> byNode = new HashMap<>();
 
-    Absences(Run run) {
+    AcceptGaps(RecordedRun run) {
         if (run.scenario().faults().stream().noneMatch(fault -> fault.what().equals(HANDS_SOCKETS_ON))) {
             return;
         }
         Map<String, Set<Double>> taking = new HashMap<>();
-        for (Observation o : run.of(What.NODE)) {
+        for (Observation o : run.observationsOf(What.NODE)) {
             Set<Double> processes = taking.computeIfAbsent(o.node(), n -> new HashSet<>());
-            Periods absences = byNode.computeIfAbsent(o.node(), n -> new Periods());
+            Intervals absences = byNode.computeIfAbsent(o.node(), n -> new Intervals());
             if (o.text().equals("serving") || o.text().equals("ready")) {
                 processes.add(o.number());
                 absences.end(o.us());
@@ -36,18 +36,18 @@
     }
 
     /** Whether the node had no process that took clients from the one moment to the other. */
-    boolean cover(String node, long fromUs, long toUs) {
-        Periods absences = byNode.get(node);
-        return absences != null && absences.cover(fromUs, toUs);
+    boolean covers(String node, long fromUs, long toUs) {
+        Intervals absences = byNode.get(node);
+        return absences != null && absences.covers(fromUs, toUs);
     }
 
     /**
      * Whether no process could take this request in its time: there was none from its send to the end of its client's patience. What a
      * server got by then was taken all the same.
      */
-    boolean nobodyCouldTake(Observation asked, List<Observation> ofRequest) {
+    boolean noProcessCouldAccept(Observation asked, List<Observation> ofRequest) {
         long deadlineUs = asked.us() + Math.round(asked.number() * 1e3);
         boolean got = ofRequest.stream().anyMatch(o -> o.what() == What.GOT && o.sinceUs() <= deadlineUs);
-        return !got && cover(asked.node(), asked.us(), deadlineUs);
+        return !got && covers(asked.node(), asked.us(), deadlineUs);
     }
 }
--- a/src/main/java/rushproxy/lab/check/Checker.java
+++ b/src/main/java/rushproxy/lab/check/Checker.java
@@ -7,18 +7,18 @@
     /** One word, as reports have it. */
     String rule();
 
-    List<Violation> check(Run run);
+    List<Violation> check(RecordedRun run);
 
     /** All of them. */
     static List<Checker> all() {
         return List.of(
-                new OneAnswer(),
-                new RunsOnce(),
-                new Deadlines(),
-                new Drains(),
-                new Cordons(),
-                new ColdBudget(),
-                new Made(),
-                new Departures());
+                new SingleResponseChecker(),
+                new DuplicateExecutionChecker(),
+                new DeadlineChecker(),
+                new DrainChecker(),
+                new CordonChecker(),
+                new ColdStartChecker(),
+                new ResponseOriginChecker(),
+                new DepartedClientChecker());
     }
 }
--- a/src/main/java/rushproxy/lab/check/ColdBudget.java
+++ b/src/main/java/rushproxy/lab/check/ColdStartChecker.java
@@ -12,7 +12,7 @@
  * No server that has just started is sent more than the multiple of what it can do at that moment for the stated time by
  * all sidecars together, where two thirds of it come from sidecars that were told of its start.
  */
-final class ColdBudget implements Checker {
+final class ColdStartChecker implements Checker {
     /** Costs are drawn: so much over the budget is chance. */
     private static final double CHANCE = 1.1;
 
@@ -58,9 +58,9 @@
     }
 
     @Override
-    public List<Violation> check(Run run) {
+    public List<Violation> check(RecordedRun run) {
         Scenario.Rules rules = run.scenario().rules();
-        List<Scenario.Servers> specs = new ArrayList<>();
+        List<Scenario.ServerGroup> specs = new ArrayList<>();
         run.scenario().servers().forEach(s -> {
             for (int i = 0; i < s.count(); i++) {
                 specs.add(s);
@@ -68,7 +68,7 @@
         });
         Map<String, Cold> cold = new HashMap<>();
         List<Violation> found = new ArrayList<>();
-        for (Observation o : run.all()) {
+        for (Observation o : run.observations()) {
             Cold c = o.server() == null ? null : cold.get(o.server());
             switch (o.what()) {
                 case SERVER_STARTED -> {
@@ -96,7 +96,7 @@
                     long age = c == null ? rules.rampUs() : o.us() - c.startedUs;
                     if (age < rules.rampUs()) {
                         c.add(o, rules.fallUs());
-                        Scenario.Servers spec =
+                        Scenario.ServerGroup spec =
                                 specs.get(Integer.parseInt(o.server().substring(1)));
                         double warmth = rules.coldShare() + (1 - rules.coldShare()) * age / rules.rampUs();
                         double budget =
--- a/src/main/java/rushproxy/lab/check/Starvation.java
+++ b/src/main/java/rushproxy/lab/check/CpuStarvation.java
@@ -11,18 +11,18 @@
  * Tells which lost requests say nothing of the program: those for most of whose time the laboratory's loop, or their sidecar's, was ready
  * to run and had to wait for a processor. A run with such a loss is no run of its scenario; it never counts as one that held.
  */
-public final class Starvation {
+public final class CpuStarvation {
     private static final double MOST_OF_ITS_TIME = 0.5;
     private static final String RULE = "lost";
 
-    private final Run run;
+    private final RecordedRun run;
     /** By node, null for the laboratory. */
     private final Map<String, List<Observation>> waits = new HashMap<>();
 
     /** Of what was seen in the run. */
-    public Starvation(Run run) {
+    public CpuStarvation(RecordedRun run) {
         this.run = run;
-        run.of(What.WAITED)
+        run.observationsOf(What.WAITED)
                 .forEach(o ->
                         waits.computeIfAbsent(o.node(), n -> new ArrayList<>()).add(o));
     }
@@ -32,7 +32,7 @@
         if (!lost.rule().equals(RULE) || lost.id() == null) {
             return false;
         }
-        List<Observation> ofRequest = run.byId().getOrDefault(lost.id(), List.of());
+        List<Observation> ofRequest = run.byRequestId().getOrDefault(lost.id(), List.of());
         if (ofRequest.stream().anyMatch(o -> o.what() == What.BROKE || o.what() == What.ANSWERED)) {
             return false;
         }
--- a/src/main/java/rushproxy/lab/check/Deadlines.java
+++ b/src/main/java/rushproxy/lab/check/DeadlineChecker.java
@@ -7,7 +7,7 @@
 import rushproxy.lab.world.Observation.What;
 
 /** The time that a sidecar tells a server is at most what the client has left when the request is sent, with a slack for a hold-up. */
-final class Deadlines implements Checker {
+final class DeadlineChecker implements Checker {
     private static final long SLACK_US = 150_000;
 
     @Override
@@ -16,9 +16,9 @@
     }
 
     @Override
-    public List<Violation> check(Run run) {
+    public List<Violation> check(RecordedRun run) {
         List<Violation> found = new ArrayList<>();
-        for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
+        for (Map.Entry<String, List<Observation>> e : run.byRequestId().entrySet()) {
             long untilUs = Long.MIN_VALUE;
             for (Observation o : e.getValue()) {
                 if (o.what() == What.ASKED || o.what() == What.WRITTEN) {
--- a/src/main/java/rushproxy/lab/check/Departures.java
+++ b/src/main/java/rushproxy/lab/check/DepartedClientChecker.java
@@ -10,7 +10,7 @@
  * Nothing is begun for a client that has gone, as it wished or since its time was over, and one that stops within a request is shown an
  * end. What the laboratory was late by with seeing that end is not the sidecar's; when an attempt began the kernel tells.
  */
-final class Departures implements Checker {
+final class DepartedClientChecker implements Checker {
     /** An attempt may begin this long after its client's end. */
     private static final long ALLOWED_US = 100_000;
     /** The way over the network and the sockets. */
@@ -26,10 +26,10 @@
     }
 
     @Override
-    public List<Violation> check(Run run) {
-        List<Observation> late = run.of(What.LATE);
+    public List<Violation> check(RecordedRun run) {
+        List<Observation> late = run.observationsOf(What.LATE);
         List<Violation> found = new ArrayList<>();
-        for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
+        for (Map.Entry<String, List<Observation>> e : run.byRequestId().entrySet()) {
             Observation left = e.getValue().stream()
                     .filter(o -> o.what() == What.LEFT || o.what() == What.GAVE_UP)
                     .findFirst()
@@ -45,7 +45,7 @@
                 }
             }
         }
-        for (Observation o : run.of(What.DISMISSED)) {
+        for (Observation o : run.observationsOf(What.DISMISSED)) {
             if (o.number() > DISMISSED_MS + lateUs(late, o.sinceUs(), o.us()) / 1e3 + WAY_US / 1e3) {
                 found.add(new Violation(
                         rule(),
--- a/src/main/java/rushproxy/lab/check/RunsOnce.java
+++ b/src/main/java/rushproxy/lab/check/DuplicateExecutionChecker.java
@@ -13,7 +13,7 @@
  * its group and window of the first that may have run, an unsafe one never. Nor is it refused, which would tell its client
  * that it may be sent again.
  */
-final class RunsOnce implements Checker {
+final class DuplicateExecutionChecker implements Checker {
     private static final long SLACK_US = 50_000;
 
     @Override
@@ -22,11 +22,11 @@
     }
 
     @Override
-    public List<Violation> check(Run run) {
+    public List<Violation> check(RecordedRun run) {
         List<String> zones = ScenarioReader.serverZones(run.scenario());
         List<Integer> cells = cells(run.scenario());
         List<Violation> found = new ArrayList<>();
-        for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
+        for (Map.Entry<String, List<Observation>> e : run.byRequestId().entrySet()) {
             Observation ask = e.getValue().stream()
                     .filter(o -> o.what() == What.ASKED)
                     .findFirst()
@@ -98,7 +98,7 @@
     private static List<Integer> cells(Scenario scenario) {
         List<Integer> cells = new ArrayList<>();
         int first = 0;
-        for (Scenario.Servers s : scenario.servers()) {
+        for (Scenario.ServerGroup s : scenario.servers()) {
             for (int i = 0; i < s.count(); i++) {
                 cells.add(first + i % s.pods());
             }
--- a/src/main/java/rushproxy/lab/check/Periods.java
+++ b/src/main/java/rushproxy/lab/check/Intervals.java
@@ -7,7 +7,7 @@
  * Periods in which something was so, one after the other. Observations are noted when somebody hears of them, so what is judged has to be
  * looked up by its own time, not by what had been noted last when it was noted itself.
  */
-final class Periods {
+final class Intervals {
     private record Period(long sinceUs, long untilUs) {}
 
     private final List<Period> past = new ArrayList<>();
@@ -30,13 +30,13 @@
     }
 
     /** Whether it was so from the one moment to the other, without a break. */
-    boolean cover(long fromUs, long toUs) {
+    boolean covers(long fromUs, long toUs) {
         return sinceUs != null && fromUs >= sinceUs
                 || past.stream().anyMatch(p -> fromUs >= p.sinceUs && toUs <= p.untilUs);
     }
 
     /** When the period began that this moment lies in; null where it lies in none. */
-    Long beginOf(long us) {
+    Long startOfIntervalAt(long us) {
         if (sinceUs != null && us >= sinceUs) {
             return sinceUs;
         }
--- a/src/main/java/rushproxy/lab/check/Run.java
+++ b/src/main/java/rushproxy/lab/check/RecordedRun.java
@@ -9,12 +9,12 @@
 import rushproxy.lab.world.Observation.What;
 
 /** What was seen in a run, in order, and the scenario that it was a run of: all that a checker may know. */
-public final class Run {
+public final class RecordedRun {
     private final Scenario scenario;
     private final List<Observation> all;
     private final Map<String, List<Observation>> byId = new HashMap<>();
 
-    public Run(Scenario scenario, List<Observation> all) {
+    public RecordedRun(Scenario scenario, List<Observation> all) {
         this.scenario = scenario;
         this.all = all;
         for (Observation o : all) {
@@ -28,16 +28,16 @@
         return scenario;
     }
 
-    public List<Observation> all() {
+    public List<Observation> observations() {
         return all;
     }
 
     /** Of each request that a client sent or an upstream got, by its id, what was seen of it. */
-    public Map<String, List<Observation>> byId() {
+    public Map<String, List<Observation>> byRequestId() {
         return byId;
     }
 
-    public List<Observation> of(What what) {
+    public List<Observation> observationsOf(What what) {
         return all.stream().filter(o -> o.what() == what).toList();
     }
 
--- a/src/main/java/rushproxy/lab/check/Made.java
+++ b/src/main/java/rushproxy/lab/check/ResponseOriginChecker.java
@@ -9,16 +9,16 @@
 import rushproxy.lab.world.Observation.What;
 
 /** What is served was made by an upstream for this very request, and no upstream gets what no client has asked for. */
-final class Made implements Checker {
+final class ResponseOriginChecker implements Checker {
     @Override
     public String rule() {
         return "made";
     }
 
     @Override
-    public List<Violation> check(Run run) {
+    public List<Violation> check(RecordedRun run) {
         List<Violation> found = new ArrayList<>();
-        for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
+        for (Map.Entry<String, List<Observation>> e : run.byRequestId().entrySet()) {
             Set<String> made = new HashSet<>();
             boolean asked = false;
             for (Observation o : e.getValue()) {
@@ -34,7 +34,7 @@
                 }
             }
         }
-        for (Observation o : run.of(What.GOT)) {
+        for (Observation o : run.observationsOf(What.GOT)) {
             if (o.id() == null) {
                 found.add(new Violation(
                         rule(), o.us(), null, o.server() + " got a request without an id from " + o.node()));
--- a/src/main/java/rushproxy/lab/check/Bans.java
+++ b/src/main/java/rushproxy/lab/check/SendBans.java
@@ -8,19 +8,19 @@
 import rushproxy.lab.world.Observation.What;
 
 /** When each node must send each server nothing new. */
-final class Bans {
-    private final Map<String, Periods> byPair = new HashMap<>();
+final class SendBans {
+    private final Map<String, Intervals> byPair = new HashMap<>();
 
     private static String pair(String node, String server) {
         return node + " " + server;
     }
 
-    Periods of(String node, String server) {
-        return byPair.computeIfAbsent(pair(node, server), p -> new Periods());
+    Intervals between(String node, String server) {
+        return byPair.computeIfAbsent(pair(node, server), p -> new Intervals());
     }
 
     /** The node is sent to none that it was banned from, as far as it knows. */
-    void endAll(String node, long us) {
+    void endAllOf(String node, long us) {
         byPair.forEach((pair, periods) -> {
             if (pair.startsWith(node + " ")) {
                 periods.end(us);
@@ -32,14 +32,14 @@
      * What was sent later than the grace after the begin of a ban, by its first byte, whenever within its bounds that came; {@code why}
      * tells of the begin.
      */
-    List<Violation> broken(Run run, String rule, String why) {
+    List<Violation> violations(RecordedRun run, String rule, String why) {
         long graceUs =
                 run.scenario().rules().drainGraceUs() + run.scenario().rules().slackUs();
         List<Violation> found = new ArrayList<>();
-        for (Observation got : run.of(What.GOT)) {
-            Periods bans = of(got.node(), got.server());
-            Long since = bans.beginOf(got.beganEarliestUs());
-            if (since != null && bans.cover(since, got.sinceUs()) && got.beganEarliestUs() > since + graceUs) {
+        for (Observation got : run.observationsOf(What.GOT)) {
+            Intervals bans = between(got.node(), got.server());
+            Long since = bans.startOfIntervalAt(got.beganEarliestUs());
+            if (since != null && bans.covers(since, got.sinceUs()) && got.beganEarliestUs() > since + graceUs) {
                 found.add(new Violation(
                         rule,
                         got.us(),
--- a/src/main/java/rushproxy/lab/check/OneAnswer.java
+++ b/src/main/java/rushproxy/lab/check/SingleResponseChecker.java
@@ -12,7 +12,7 @@
  * killed is not lost; what it held when it left by itself is. A stopped process owes nothing to a request whose time ends before it has
  * run again for a while.
  */
-final class OneAnswer implements Checker {
+final class SingleResponseChecker implements Checker {
     /** What came this long after SIGTERM is owed an answer even by a process that is killed then. */
     private static final long TERM_US = 700_000;
 
@@ -133,12 +133,12 @@
          * Killed between the two, and nobody else could take the request in the rest of its time. What the killed process itself held
          * had its connection broken with it: who waits on was in the kernel's queue, and is the next process's.
          */
-        boolean killedAndNobodyThere(Observation asked, long endUs, long deadlineUs, Absences absences) {
+        boolean killedAndNobodyThere(Observation asked, long endUs, long deadlineUs, AcceptGaps absences) {
             return killed(asked.us(), endUs)
                     && kills.stream()
                             .filter(k -> k.within(asked.us(), endUs))
                             .anyMatch(k -> endUs <= k.untilUs + AFTER_KILL_US
-                                    || absences.cover(asked.node(), k.untilUs + AFTER_KILL_US, deadlineUs));
+                                    || absences.covers(asked.node(), k.untilUs + AFTER_KILL_US, deadlineUs));
         }
     }
 
@@ -155,11 +155,11 @@
     }
 
     @Override
-    public List<Violation> check(Run run) {
+    public List<Violation> check(RecordedRun run) {
         Map<String, Life> lives = lives(run);
-        Absences absences = new Absences(run);
+        AcceptGaps absences = new AcceptGaps(run);
         List<Violation> found = new ArrayList<>();
-        for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
+        for (Map.Entry<String, List<Observation>> e : run.byRequestId().entrySet()) {
             Observation ask = e.getValue().stream()
                     .filter(o -> o.what() == What.ASKED)
                     .findFirst()
@@ -177,7 +177,8 @@
             long deadlineUs = ask.us() + Math.round(ask.number() * 1e3);
             for (Observation o : e.getValue()) {
                 // A connection that breaks was broken by somebody: neither a stop nor an absence does that.
-                boolean nobodyThere = life.stalled(ask.us(), deadlineUs) || absences.nobodyCouldTake(ask, e.getValue());
+                boolean nobodyThere =
+                        life.stalled(ask.us(), deadlineUs) || absences.noProcessCouldAccept(ask, e.getValue());
                 boolean killedInQueue = life.killedAndNobodyThere(ask, o.us(), deadlineUs, absences);
                 if (o.what() == What.GAVE_UP && o.text() == null && !killedInQueue && !nobodyThere) {
                     found.add(new Violation(rule(), o.us(), e.getKey(), "got no answer in its time"));
@@ -191,7 +192,7 @@
                 }
             }
         }
-        for (Observation o : run.of(What.ANSWERED)) {
+        for (Observation o : run.observationsOf(What.ANSWERED)) {
             if (o.id() == null) {
                 found.add(new Violation(rule(), o.us(), null, "an answer came that nobody had asked for: " + o.text()));
             }
@@ -203,9 +204,9 @@
         return of.stream().anyMatch(o -> o.what() == What.SPOILED);
     }
 
-    private static Map<String, Life> lives(Run run) {
+    private static Map<String, Life> lives(RecordedRun run) {
         Map<String, Life> lives = new HashMap<>();
-        for (Observation o : run.of(What.NODE)) {
+        for (Observation o : run.observationsOf(What.NODE)) {
             lives.computeIfAbsent(o.node(), n -> new Life()).see(o);
         }
         lives.values().forEach(Life::end);
--- a/src/main/java/rushproxy/lab/node/NodeConfig.java
+++ b/src/main/java/rushproxy/lab/node/NodeConfig.java
@@ -48,7 +48,7 @@
         ArrayNode zones = s.putArray("azs");
         scenario.zoneNames().forEach(zones::add);
         ArrayNode kinds = s.putArray("kinds");
-        scenario.servers().stream().map(Scenario.Servers::kind).distinct().forEach(kinds::add);
+        scenario.servers().stream().map(Scenario.ServerGroup::kind).distinct().forEach(kinds::add);
         s.put("discovery", "pushed").put("counted_by", "work").put("period_us", 5_000);
         ArrayNode profiles = s.putArray("profiles");
         for (Scenario.RequestClass c : scenario.classes()) {
--- a/src/main/java/rushproxy/lab/report/Figures.java
+++ b/src/main/java/rushproxy/lab/report/Figures.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Observation;
 import rushproxy.lab.world.Observation.What;
@@ -31,7 +31,7 @@
         @JsonProperty("runs_per_request") double runsPerRequest) {
 
     /** The first tries from {@code fromUs} on and before {@code toUs}. */
-    public static Figures of(Run run, long fromUs, long toUs) {
+    public static Figures of(RecordedRun run, long fromUs, long toUs) {
         Map<String, Double> worths = new HashMap<>();
         run.scenario().classes().forEach(c -> worths.put(c.name(), c.worth()));
         Map<String, Integer> by = new HashMap<>();
@@ -40,7 +40,7 @@
         double earned = 0;
         int all = 0;
         long runs = 0;
-        for (Observation o : run.all()) {
+        for (Observation o : run.observations()) {
             if (o.what() == What.SETTLED && o.sinceUs() >= fromUs && o.sinceUs() < toUs) {
                 String[] words = o.text().split(" ");
                 all++;
@@ -108,7 +108,7 @@
             @JsonProperty("lab_late_ms") double labLateMs) {}
 
     /** The seconds of the run, in order; latencies are null where nothing was served. */
-    public static List<Second> seconds(Run run) {
+    public static List<Second> seconds(RecordedRun run) {
         Scenario scenario = run.scenario();
         int n = (int) ((scenario.lengthUs() + 999_999) / 1_000_000);
         List<Map<String, Integer>> by = new ArrayList<>();
@@ -120,7 +120,7 @@
             latency.add(new Histogram(3));
             held.add(new TreeMap<>());
         }
-        for (Observation o : run.all()) {
+        for (Observation o : run.observations()) {
             long at = o.what() == What.SETTLED ? o.sinceUs() : o.us();
             int s = (int) Math.floorDiv(at, 1_000_000L);
             if (s < 0 || s >= n) {
--- a/src/main/java/rushproxy/lab/report/Report.java
+++ b/src/main/java/rushproxy/lab/report/Report.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeSet;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Observation;
@@ -37,11 +37,11 @@
 
     private Report() {}
 
-    public static void write(Path folder, Run run, Summary summary) throws IOException {
+    public static void write(Path folder, RecordedRun run, Summary summary) throws IOException {
         Files.createDirectories(folder);
         JSON.writerWithDefaultPrettyPrinter()
                 .writeValue(folder.resolve("scenario.json").toFile(), run.scenario());
-        lines(folder.resolve("events.jsonl"), run.all());
+        lines(folder.resolve("events.jsonl"), run.observations());
         lines(folder.resolve("figures.jsonl"), Figures.seconds(run));
         JSON.writerWithDefaultPrettyPrinter()
                 .writeValue(folder.resolve("summary.json").toFile(), summary);
@@ -58,7 +58,7 @@
     }
 
     /** What {@link #write} has written. Throws, naming file and line, where it can't be read. */
-    public static Run readRun(Path folder) throws IOException {
+    public static RecordedRun readRun(Path folder) throws IOException {
         Scenario scenario = JSON.readValue(folder.resolve("scenario.json").toFile(), Scenario.class);
         List<Observation> all = new ArrayList<>();
         Path file = folder.resolve("events.jsonl");
@@ -71,7 +71,7 @@
                 }
             }
         }
-        return new Run(scenario, all);
+        return new RecordedRun(scenario, all);
     }
 
     public static Summary readSummary(Path folder) throws IOException {
@@ -87,7 +87,7 @@
         }
     }
 
-    private static String html(Run run, Summary summary) throws IOException {
+    private static String html(RecordedRun run, Summary summary) throws IOException {
         return resource("/rushproxy/lab/report.html")
                 .replace("/*PLOT_CSS*/", resource(PLOTS + "uPlot.min.css"))
                 .replace("/*PLOT_JS*/", resource(PLOTS + "uPlot.iife.min.js"))
@@ -102,7 +102,7 @@
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    private static String body(Run run, Summary s) {
+    private static String body(RecordedRun run, Summary s) {
         StringBuilder html = new StringBuilder();
         html.append("<p>").append(escape(run.scenario().about())).append("</p>");
         if (!s.why().isEmpty()) {
@@ -169,9 +169,9 @@
 
     private record Shade(double from, double to, String words) {}
 
-    private static String data(Run run) throws IOException {
+    private static String data(RecordedRun run) throws IOException {
         List<Shade> shades = run.scenario().faults().stream()
-                .map(f -> new Shade(f.atUs() / 1e6, (f.atUs() + Math.max(f.forUs(), 100_000)) / 1e6, f.words()))
+                .map(f -> new Shade(f.atUs() / 1e6, (f.atUs() + Math.max(f.forUs(), 100_000)) / 1e6, f.describe()))
                 .toList();
         // A '<' within a script could end it.
         return JSON.copy()
--- a/src/main/java/rushproxy/lab/scenario/Scenario.java
+++ b/src/main/java/rushproxy/lab/scenario/Scenario.java
@@ -13,7 +13,7 @@
         long seed,
         long lengthUs,
         Fleet fleet,
-        List<Servers> servers,
+        List<ServerGroup> servers,
         List<RequestClass> classes,
         Traffic traffic,
         Network network,
@@ -34,7 +34,7 @@
             Map<String, String> settings) {}
 
     /** Upstreams that are alike. Work is counted in milliseconds of a core of speed 1. */
-    public record Servers(
+    public record ServerGroup(
             int count,
             String kind,
             List<String> zones,
@@ -123,7 +123,7 @@
             double stagger) {
 
         /** A few words for the timeline of a report. */
-        public String words() {
+        public String describe() {
             StringBuilder words = new StringBuilder(what);
             if (call != null) {
                 words.append(" '").append(call).append('\'');
--- a/src/main/java/rushproxy/lab/scenario/ScenarioReader.java
+++ b/src/main/java/rushproxy/lab/scenario/ScenarioReader.java
@@ -20,12 +20,12 @@
 /** Reads scenarios in TOML, strictly: what is not understood is an error that names the place, and nothing is started. */
 public final class ScenarioReader {
     /** As many as a laboratory has addresses for; a run says before its start where the machine's descriptors are fewer. */
-    private static final int MOST_NODES = 2_000;
+    private static final int MAX_NODES = 2_000;
 
-    private static final int MOST_SERVERS = 2_000;
-    private static final String SHIPPED = "/rushproxy/lab/scenarios/";
+    private static final int MAX_SERVERS = 2_000;
+    private static final String RESOURCE_DIRECTORY = "/rushproxy/lab/scenarios/";
     /** Names of the scenarios that come with the program, in the order in which they are listed. */
-    public static final List<String> NAMES = List.of(
+    public static final List<String> BUNDLED_NAMES = List.of(
             "demo",
             "calm",
             "crash-cold-return",
@@ -43,9 +43,9 @@
     private static final Set<String> SERVER_FAULTS =
             Set.of("crash", "hang", "slow", "errors", "drain", "add", "refuse", "spoil");
     private static final Set<String> CLIENT_FAULTS = Set.of("clients");
-    private static final Set<String> SPOILS = Set.of("half", "second", "reset", "bytewise", "close");
+    private static final Set<String> RESPONSE_FAULTS = Set.of("half", "second", "reset", "bytewise", "close");
     private static final Set<String> SYSTEM_FAULTS = Set.of("wall-clock", "calls", "files", "sockets", "established");
-    private static final Set<String> MISBEHAVIOURS = Set.of("leave", "stop", "slow", "crowd", "slow-read");
+    private static final Set<String> CLIENT_MISBEHAVIOURS = Set.of("leave", "stop", "slow", "crowd", "slow-read");
     private static final Set<String> LINK_FAULTS = Set.of("cut", "delay", "peer-loss", "reset");
     private static final Set<String> DISCOVERY_FAULTS =
             Set.of("list-silent", "list-late", "discovery-moves", "list-splits");
@@ -58,8 +58,8 @@
 
     /** A file, or the name of a shipped scenario; {@code changes} are of the form {@code path=value}, TOML values. */
     public static Scenario read(String nameOrFile, Map<String, String> changes) throws ScenarioException {
-        if (NAMES.contains(nameOrFile)) {
-            try (InputStream in = ScenarioReader.class.getResourceAsStream(SHIPPED + nameOrFile + ".toml")) {
+        if (BUNDLED_NAMES.contains(nameOrFile)) {
+            try (InputStream in = ScenarioReader.class.getResourceAsStream(RESOURCE_DIRECTORY + nameOrFile + ".toml")) {
                 return parse(nameOrFile, new String(in.readAllBytes(), StandardCharsets.UTF_8), changes);
             } catch (IOException e) {
                 throw new ScenarioException(nameOrFile + ": can't be read: " + e);
@@ -68,7 +68,7 @@
         try {
             return parse(nameOrFile, Files.readString(Path.of(nameOrFile)), changes);
         } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new ScenarioException(nameOrFile + ": neither a file that can be read nor one of " + NAMES);
+            throw new ScenarioException(nameOrFile + ": neither a file that can be read nor one of " + BUNDLED_NAMES);
         }
     }
 
@@ -77,9 +77,9 @@
         try {
             JsonNode root = mapper.readTree(toml);
             for (Map.Entry<String, String> change : changes.entrySet()) {
-                change(file, mapper, root, change.getKey(), change.getValue());
+                applyOverride(file, mapper, root, change.getKey(), change.getValue());
             }
-            return new ScenarioReader(file).scenario(new Section(file, "", root));
+            return new ScenarioReader(file).scenario(new TomlTable(file, "", root));
         } catch (JsonProcessingException e) {
             String place =
                     e.getLocation() == null ? "" : ", line " + e.getLocation().getLineNr();
@@ -88,7 +88,7 @@
     }
 
     /** {@code traffic.rate_per_s} or {@code servers.0.cores}: what lies there is replaced, or added. */
-    private static void change(String file, TomlMapper mapper, JsonNode root, String path, String value)
+    private static void applyOverride(String file, TomlMapper mapper, JsonNode root, String path, String value)
             throws ScenarioException {
         try {
             JsonNode to = mapper.readTree("v = " + value).get("v");
@@ -113,75 +113,75 @@
         }
     }
 
-    private Scenario scenario(Section s) throws ScenarioException {
-        String name = s.text("name");
+    private Scenario scenario(TomlTable s) throws ScenarioException {
+        String name = s.string("name");
         if (!name.matches("[a-z0-9-]{1,40}")) {
-            throw s.wrong("name", "'" + name + "' is not of small letters, digits and hyphens, 40 at most");
+            throw s.error("name", "'" + name + "' is not of small letters, digits and hyphens, 40 at most");
         }
-        String about = s.text("about", "");
+        String about = s.string("about", "");
         long seed = (long) s.number("seed", 0, 1L << 52, 1);
-        long lengthUs = us(s.number("length_s", 1, 3600), 1e6);
+        long lengthUs = toMicros(s.number("length_s", 1, 3600), 1e6);
         Scenario.Fleet fleet = fleet(s.table("fleet"));
-        List<Scenario.Servers> servers = new ArrayList<>();
+        List<Scenario.ServerGroup> servers = new ArrayList<>();
         int count = 0;
-        for (Section one : s.tables("servers")) {
+        for (TomlTable one : s.tables("servers")) {
             servers.add(servers(one, fleet.zones()));
             count += servers.get(servers.size() - 1).count();
         }
         if (servers.isEmpty()) {
-            throw s.wrong("servers", "is missing: write [[servers]]");
+            throw s.error("servers", "is missing: write [[servers]]");
         }
-        if (count > MOST_SERVERS) {
-            throw s.wrong("servers", count + " are more than " + MOST_SERVERS);
+        if (count > MAX_SERVERS) {
+            throw s.error("servers", count + " are more than " + MAX_SERVERS);
         }
         List<Scenario.RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section one : s.tables("classes")) {
+        for (TomlTable one : s.tables("classes")) {
             classes.add(requestClass(one));
             if (!names.add(classes.get(classes.size() - 1).name())) {
-                throw one.wrong("name", "is taken by another class");
+                throw one.error("name", "is taken by another class");
             }
         }
         if (classes.isEmpty()) {
-            throw s.wrong("classes", "is missing: write [[classes]]");
+            throw s.error("classes", "is missing: write [[classes]]");
         }
         Scenario.Traffic traffic = traffic(s.table("traffic"), lengthUs);
         Scenario.Network network = network(s.table("network"));
-        Section d = s.table("discovery");
+        TomlTable d = s.table("discovery");
         Scenario.Discovery discovery =
                 new Scenario.Discovery(d.number("notice_ms", 0, 60_000, 300), d.number("spread_ms", 0, 60_000, 100));
-        d.end();
-        Section r = s.table("rules");
+        d.rejectUnknownKeys();
+        TomlTable r = s.table("rules");
         Scenario.Rules rules = new Scenario.Rules(
-                us(r.number("drain_grace_ms", 0, 60_000, 500), 1e3),
+                toMicros(r.number("drain_grace_ms", 0, 60_000, 500), 1e3),
                 r.number("cold_share", 0.01, 1, 0.35),
-                us(r.number("ramp_s", 0, 600, 8.6), 1e6),
+                toMicros(r.number("ramp_s", 0, 600, 8.6), 1e6),
                 r.number("fall_multiple", 1, 100, 3),
-                us(r.number("fall_s", 0.1, 60, 2), 1e6),
-                us(r.number("slack_ms", 0, 1000, 50), 1e3));
-        r.end();
-        Section l = s.table("lateness");
+                toMicros(r.number("fall_s", 0.1, 60, 2), 1e6),
+                toMicros(r.number("slack_ms", 0, 1000, 50), 1e3));
+        r.rejectUnknownKeys();
+        TomlTable l = s.table("lateness");
         Scenario.Lateness lateness =
-                new Scenario.Lateness(us(l.number("late_ms", 1, 10_000, 20), 1e3), l.number("most", 0, 1, 0.02));
-        l.end();
+                new Scenario.Lateness(toMicros(l.number("late_ms", 1, 10_000, 20), 1e3), l.number("most", 0, 1, 0.02));
+        l.rejectUnknownKeys();
         Scenario bare = new Scenario(
                 name, about, seed, lengthUs, fleet, servers, classes, traffic, network, discovery, rules, lateness,
                 List.of(), List.of());
         Set<String> zones = new LinkedHashSet<>(bare.zoneNames());
         for (String zone : network.regions().keySet()) {
             if (!zones.contains(zone)) {
-                throw s.table("network").table("regions").wrong(zone, "is no zone of " + zones);
+                throw s.table("network").table("regions").error(zone, "is no zone of " + zones);
             }
         }
         List<Scenario.Fault> faults = new ArrayList<>();
-        for (Section one : s.tables("faults")) {
+        for (TomlTable one : s.tables("faults")) {
             faults.add(fault(one, bare));
         }
         List<Scenario.Expectation> expectations = new ArrayList<>();
-        for (Section one : s.tables("expect")) {
+        for (TomlTable one : s.tables("expect")) {
             expectations.add(expectation(one, lengthUs));
         }
-        s.end();
+        s.rejectUnknownKeys();
         return new Scenario(
                 name,
                 about,
@@ -199,107 +199,107 @@
                 List.copyOf(expectations));
     }
 
-    private static long us(double value, double perUnit) {
+    private static long toMicros(double value, double perUnit) {
         return Math.round(value * perUnit);
     }
 
-    private Scenario.Fleet fleet(Section s) throws ScenarioException {
-        int nodes = s.count("nodes", 1, MOST_NODES);
-        List<String> zones = s.texts("zones");
+    private Scenario.Fleet fleet(TomlTable s) throws ScenarioException {
+        int nodes = s.integer("nodes", 1, MAX_NODES);
+        List<String> zones = s.strings("zones");
         Map<String, String> settings = new LinkedHashMap<>();
-        for (String pair : s.texts("settings")) {
+        for (String pair : s.strings("settings")) {
             int equals = pair.indexOf('=');
             if (equals <= 0) {
-                throw s.wrong("settings", "'" + pair + "' is not of the form path=value");
+                throw s.error("settings", "'" + pair + "' is not of the form path=value");
             }
             settings.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
         Scenario.Fleet fleet = new Scenario.Fleet(
                 nodes,
                 zones.isEmpty() ? List.of("a") : zones,
-                s.count("memory_mb", 32, 4096, 144),
-                s.count("sockets", 256, 65_536, 576),
+                s.integer("memory_mb", 32, 4096, 144),
+                s.integer("sockets", 256, 65_536, 576),
                 s.number("cores", 0.05, 64, 1),
-                s.text("jar", null),
+                s.string("jar", null),
                 settings);
-        s.end();
+        s.rejectUnknownKeys();
         return fleet;
     }
 
-    private Scenario.Servers servers(Section s, List<String> fleetZones) throws ScenarioException {
-        List<String> zones = s.texts("zones");
+    private Scenario.ServerGroup servers(TomlTable s, List<String> fleetZones) throws ScenarioException {
+        List<String> zones = s.strings("zones");
         double cores = s.number("cores", 0.5, 256, 3);
-        Scenario.Servers servers = new Scenario.Servers(
-                s.count("count", 1, MOST_SERVERS),
-                s.text("kind", "std"),
+        Scenario.ServerGroup servers = new Scenario.ServerGroup(
+                s.integer("count", 1, MAX_SERVERS),
+                s.string("kind", "std"),
                 zones.isEmpty() ? fleetZones : zones,
-                s.count("pods", 1, 100, 1),
+                s.integer("pods", 1, 100, 1),
                 cores,
                 s.number("speed", 0.01, 100, 1),
-                s.count("slots", 1, 10_000, (int) Math.ceil(cores * 2)),
-                s.count("queue", 0, 100_000, 20),
+                s.integer("slots", 1, 10_000, (int) Math.ceil(cores * 2)),
+                s.integer("queue", 0, 100_000, 20),
                 s.number("crowding", 0, 10, 0.1),
                 s.number("warm_saving", 0, 0.95, 0),
-                us(s.number("warm_s", 0, 600, 5), 1e6),
-                s.count("warm_keys", 0, 1_000_000, 200),
-                s.count("connections", 1, 100_000, 1_000),
+                toMicros(s.number("warm_s", 0, 600, 5), 1e6),
+                s.integer("warm_keys", 0, 1_000_000, 200),
+                s.integer("connections", 1, 100_000, 1_000),
                 s.number("handshake_ms", 0, 1_000, 1),
-                s.word("reports", Set.of("none", "inline", "on_probe"), "none"));
-        s.end();
+                s.oneOf("reports", Set.of("none", "inline", "on_probe"), "none"));
+        s.rejectUnknownKeys();
         return servers;
     }
 
-    private Scenario.RequestClass requestClass(Section s) throws ScenarioException {
-        long deadlineUs = us(s.number("deadline_ms", 10, 600_000), 1e3);
+    private Scenario.RequestClass requestClass(TomlTable s) throws ScenarioException {
+        long deadlineUs = toMicros(s.number("deadline_ms", 10, 600_000), 1e3);
         Scenario.RequestClass c = new Scenario.RequestClass(
-                s.text("name"),
+                s.string("name"),
                 s.number("share", 0, 1e6, 1),
                 s.number("work_ms", 0.01, 60_000),
                 s.number("work_spread", 0, 3, 0.4),
-                us(s.number("aim_ms", 1, 600_000, deadlineUs / 1e3), 1e3),
+                toMicros(s.number("aim_ms", 1, 600_000, deadlineUs / 1e3), 1e3),
                 deadlineUs,
                 s.number("worth", 0, 1e6, 1),
-                s.word("semantics", Set.of("safe", "keyed", "unsafe"), "safe"),
-                s.word("group", Set.of("all", "zone", "cell"), "all"),
-                us(s.number("window_ms", 0, 600_000, 5_000), 1e3));
+                s.oneOf("semantics", Set.of("safe", "keyed", "unsafe"), "safe"),
+                s.oneOf("group", Set.of("all", "zone", "cell"), "all"),
+                toMicros(s.number("window_ms", 0, 600_000, 5_000), 1e3));
         if (!c.name().matches("[a-z0-9-]{1,40}")) {
-            throw s.wrong("name", "'" + c.name() + "' is not of small letters, digits and hyphens, 40 at most");
+            throw s.error("name", "'" + c.name() + "' is not of small letters, digits and hyphens, 40 at most");
         }
-        s.end();
+        s.rejectUnknownKeys();
         return c;
     }
 
-    private Scenario.Traffic traffic(Section s, long lengthUs) throws ScenarioException {
+    private Scenario.Traffic traffic(TomlTable s, long lengthUs) throws ScenarioException {
         List<Scenario.Burst> bursts = new ArrayList<>();
         double rate = s.number("rate_per_s", 0.1, 100_000);
-        long rampUs = us(s.number("ramp_s", 0, 600, 0), 1e6);
+        long rampUs = toMicros(s.number("ramp_s", 0, 600, 0), 1e6);
         double skew = s.number("skew", 0, 3, 0);
-        int keys = s.count("keys", 1, 10_000_000, 1_000);
+        int keys = s.integer("keys", 1, 10_000_000, 1_000);
         double zipf = s.number("zipf", 0, 5, 1);
-        int retries = s.count("retries", 0, 20, 2);
+        int retries = s.integer("retries", 0, 20, 2);
         double tryShare = s.number("try_share", 0.05, 1, 0.55);
-        long backoffUs = us(s.number("backoff_ms", 0, 60_000, 50), 1e3);
+        long backoffUs = toMicros(s.number("backoff_ms", 0, 60_000, 50), 1e3);
         double honour = s.number("honour", 0, 1, 0.5);
-        for (Section one : s.tables("bursts")) {
+        for (TomlTable one : s.tables("bursts")) {
             Scenario.Burst burst = new Scenario.Burst(
-                    us(one.number("at_s", 0, lengthUs / 1e6), 1e6),
-                    us(one.number("for_s", 0.01, 3600), 1e6),
+                    toMicros(one.number("at_s", 0, lengthUs / 1e6), 1e6),
+                    toMicros(one.number("for_s", 0.01, 3600), 1e6),
                     one.number("factor", 0, 100));
-            one.end();
+            one.rejectUnknownKeys();
             bursts.add(burst);
         }
-        s.end();
+        s.rejectUnknownKeys();
         return new Scenario.Traffic(rate, rampUs, skew, keys, zipf, retries, tryShare, backoffUs, honour, bursts);
     }
 
-    private Scenario.Network network(Section s) throws ScenarioException {
+    private Scenario.Network network(TomlTable s) throws ScenarioException {
         Map<String, String> regions = new HashMap<>();
-        Section table = s.table("regions");
+        TomlTable table = s.table("regions");
         if (s.has("regions")) {
-            for (String region : table.names()) {
-                for (String zone : table.texts(region)) {
+            for (String region : table.keys()) {
+                for (String zone : table.strings(region)) {
                     if (regions.put(zone, region) != null) {
-                        throw table.wrong(region, "zone '" + zone + "' lies in two regions");
+                        throw table.error(region, "zone '" + zone + "' lies in two regions");
                     }
                 }
             }
@@ -315,31 +315,32 @@
                 s.number("peer_twice", 0, 1, 0),
                 s.number("peer_late_ms", 0, 10_000, 2),
                 regions);
-        s.end();
+        s.rejectUnknownKeys();
         return network;
     }
 
-    private Scenario.Fault fault(Section s, Scenario of) throws ScenarioException {
+    private Scenario.Fault fault(TomlTable s, Scenario of) throws ScenarioException {
         Set<String> words = new HashSet<>(NODE_FAULTS);
         words.addAll(SERVER_FAULTS);
         words.addAll(LINK_FAULTS);
         words.addAll(DISCOVERY_FAULTS);
         words.addAll(CLIENT_FAULTS);
-        String what = s.word("do", words, "");
-        long atUs = us(s.number("at_s", 0, of.lengthUs() / 1e6), 1e6);
-        long forUs = us(s.number("for_s", 0, 3600, 0), 1e6);
+        String what = s.oneOf("do", words, "");
+        long atUs = toMicros(s.number("at_s", 0, of.lengthUs() / 1e6), 1e6);
+        long forUs = toMicros(s.number("for_s", 0, 3600, 0), 1e6);
         List<String> nodes = NODE_FAULTS.contains(what) || DISCOVERY_FAULTS.contains(what)
-                ? pick(s, "nodes", of.nodeNames(), nodeZones(of), DISCOVERY_FAULTS.contains(what))
+                ? selectNames(s, "nodes", of.nodeNames(), nodeZones(of), DISCOVERY_FAULTS.contains(what))
+                : List.of();
+        List<String> servers = SERVER_FAULTS.contains(what)
+                ? selectNames(s, "servers", serverNames(of), serverZones(of), false)
                 : List.of();
-        List<String> servers =
-                SERVER_FAULTS.contains(what) ? pick(s, "servers", serverNames(of), serverZones(of), false) : List.of();
         List<String> from = List.of();
         List<String> to = List.of();
         boolean silent = true;
         if (LINK_FAULTS.contains(what)) {
-            from = ends(s, "from", of);
-            to = ends(s, "to", of);
-            silent = s.flag("silent", true);
+            from = linkEndpoints(s, "from", of);
+            to = linkEndpoints(s, "to", of);
+            silent = s.bool("silent", true);
         }
         double factor = switch (what) {
             case "slow" -> s.number("factor", 1, 1_000);
@@ -348,17 +349,17 @@
             case "peer-loss", "spoil", "clients" -> s.number("part", 0, 1);
             case "system" -> s.number("by", -1e9, 1e9);
             case "list-splits" -> s.number("part", 0, 1, 0.5);
-            case "cut" -> s.flag("one_way", false) ? 1 : 2;
+            case "cut" -> s.bool("one_way", false) ? 1 : 2;
             default -> 0;
         };
         String call = switch (what) {
-            case "call" -> s.text("call");
-            case "spoil" -> s.word("how", SPOILS, "");
-            case "system" -> s.word("how", SYSTEM_FAULTS, "");
-            case "clients" -> s.word("how", MISBEHAVIOURS, "");
+            case "call" -> s.string("call");
+            case "spoil" -> s.oneOf("how", RESPONSE_FAULTS, "");
+            case "system" -> s.oneOf("how", SYSTEM_FAULTS, "");
+            case "clients" -> s.oneOf("how", CLIENT_MISBEHAVIOURS, "");
             default -> null;
         };
-        String jar = what.equals("jar") ? s.text("jar") : null;
+        String jar = what.equals("jar") ? s.string("jar") : null;
         double stagger = s.number("stagger_s", 0, 600, 0);
         boolean lasts = Set.of(
                         "hang",
@@ -377,21 +378,22 @@
                         "system")
                 .contains(what);
         if (lasts && forUs == 0) {
-            throw s.wrong("for_s", "is missing: '" + what + "' lasts");
+            throw s.error("for_s", "is missing: '" + what + "' lasts");
         }
-        s.end();
+        s.rejectUnknownKeys();
         return new Scenario.Fault(atUs, what, nodes, servers, forUs, factor, from, to, silent, call, jar, stagger);
     }
 
     /** Names, {@code zone:a}, {@code part:0.3} (the first of them, spread over the zones) or {@code all}. */
-    private static List<String> pick(Section s, String key, List<String> names, List<String> zones, boolean allIfAbsent)
+    private static List<String> selectNames(
+            TomlTable s, String key, List<String> names, List<String> zones, boolean allIfAbsent)
             throws ScenarioException {
-        List<String> asked = s.texts(key);
+        List<String> asked = s.strings(key);
         if (asked.isEmpty()) {
             if (allIfAbsent) {
                 return names;
             }
-            throw s.wrong(key, "is missing");
+            throw s.error(key, "is missing");
         }
         Set<String> picked = new LinkedHashSet<>();
         for (String one : asked) {
@@ -400,7 +402,7 @@
             } else if (one.startsWith("zone:")) {
                 String zone = one.substring(5);
                 if (!zones.contains(zone)) {
-                    throw s.wrong(key, "there is nobody in a zone '" + zone + "'");
+                    throw s.error(key, "there is nobody in a zone '" + zone + "'");
                 }
                 for (int i = 0; i < names.size(); i++) {
                     if (zones.get(i).equals(zone)) {
@@ -412,7 +414,7 @@
             } else if (names.contains(one)) {
                 picked.add(one);
             } else {
-                throw s.wrong(
+                throw s.error(
                         key,
                         "there is no '" + one + "'; there are " + names.get(0) + " to " + names.get(names.size() - 1));
             }
@@ -421,10 +423,10 @@
     }
 
     /** Either end of a link: nodes, servers, {@code zone:a}, {@code nodes:a}, {@code servers:a}, {@code discovery}, {@code all}. */
-    private static List<String> ends(Section s, String key, Scenario of) throws ScenarioException {
-        List<String> asked = s.texts(key);
+    private static List<String> linkEndpoints(TomlTable s, String key, Scenario of) throws ScenarioException {
+        List<String> asked = s.strings(key);
         if (asked.isEmpty()) {
-            throw s.wrong(key, "is missing");
+            throw s.error(key, "is missing");
         }
         List<String> nodes = of.nodeNames();
         List<String> servers = serverNames(of);
@@ -436,7 +438,7 @@
                     && !one.equals("discovery")
                     && !nodes.contains(one)
                     && !servers.contains(one)) {
-                throw s.wrong(key, "there is no '" + one + "'");
+                throw s.error(key, "there is no '" + one + "'");
             }
         }
         return asked;
@@ -450,13 +452,13 @@
 
     /** {@code s0}, {@code s1} and so on, over the groups in the order of the file. */
     public static List<String> serverNames(Scenario of) {
-        int all = of.servers().stream().mapToInt(Scenario.Servers::count).sum();
+        int all = of.servers().stream().mapToInt(Scenario.ServerGroup::count).sum();
         return java.util.stream.IntStream.range(0, all).mapToObj(i -> "s" + i).toList();
     }
 
     public static List<String> serverZones(Scenario of) {
         List<String> zones = new ArrayList<>();
-        for (Scenario.Servers g : of.servers()) {
+        for (Scenario.ServerGroup g : of.servers()) {
             for (int i = 0; i < g.count(); i++) {
                 zones.add(g.zones().get(i % g.zones().size()));
             }
@@ -464,7 +466,7 @@
         return zones;
     }
 
-    private static final Set<String> FIGURES = Set.of(
+    private static final Set<String> EXPECTED_FIGURES = Set.of(
             "served",
             "worth",
             "refused",
@@ -476,15 +478,15 @@
             "rules_broken",
             "runs_per_request");
 
-    private Scenario.Expectation expectation(Section s, long lengthUs) throws ScenarioException {
+    private Scenario.Expectation expectation(TomlTable s, long lengthUs) throws ScenarioException {
         double max = Double.MAX_VALUE;
         Scenario.Expectation e = new Scenario.Expectation(
-                s.word("figure", FIGURES, ""),
+                s.oneOf("figure", EXPECTED_FIGURES, ""),
                 s.number("at_least", -max, max, -max),
                 s.number("at_most", -max, max, max),
-                us(s.number("from_s", 0, lengthUs / 1e6, 0), 1e6),
-                us(s.number("to_s", 0, 36_000, lengthUs / 1e6), 1e6));
-        s.end();
+                toMicros(s.number("from_s", 0, lengthUs / 1e6, 0), 1e6),
+                toMicros(s.number("to_s", 0, 36_000, lengthUs / 1e6), 1e6));
+        s.rejectUnknownKeys();
         return e;
     }
 }
--- a/src/main/java/rushproxy/lab/scenario/Section.java
+++ b/src/main/java/rushproxy/lab/scenario/TomlTable.java
@@ -10,25 +10,25 @@
 import java.util.TreeSet;
 
 /**
- * One table of a TOML document, read strictly: every value has a type and bounds, and {@link #end} complains of each key
+ * One table of a TOML document, read strictly: every value has a type and bounds, and {@link #rejectUnknownKeys} complains of each key
  * that nobody asked for. Every complaint names the place by its path, {@code faults[2].at_s} say.
  */
-public final class Section {
+public final class TomlTable {
     private final String file;
     private final String path;
     private final JsonNode node;
-    private final Set<String> asked = new LinkedHashSet<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
-    Section(String file, String path, JsonNode node) {
+    TomlTable(String file, String path, JsonNode node) {
         this.file = file;
         this.path = path;
         this.node = node;
     }
 
     /** The whole document; throws with the place where it is no TOML. */
-    public static Section toml(String file, String text) throws ScenarioException {
+    public static TomlTable parse(String file, String text) throws ScenarioException {
         try {
-            return new Section(file, "", new TomlMapper().readTree(text));
+            return new TomlTable(file, "", new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
             throw new ScenarioException(file + ": line "
                     + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()) + ": " + e.getOriginalMessage());
@@ -39,36 +39,36 @@
         return path.isEmpty() ? "the document" : path;
     }
 
-    ScenarioException wrong(String key, String why) {
+    ScenarioException error(String key, String why) {
         return new ScenarioException(file + ": " + (path.isEmpty() ? key : path + "." + key) + ": " + why);
     }
 
-    private JsonNode find(String key) {
-        asked.add(key);
+    private JsonNode lookUp(String key) {
+        knownKeys.add(key);
         return node.get(key);
     }
 
     public boolean has(String key) {
-        return find(key) != null;
+        return lookUp(key) != null;
     }
 
-    private JsonNode need(String key) throws ScenarioException {
-        JsonNode value = find(key);
+    private JsonNode require(String key) throws ScenarioException {
+        JsonNode value = lookUp(key);
         if (value == null) {
-            throw wrong(key, "is missing");
+            throw error(key, "is missing");
         }
         return value;
     }
 
     /** A number within the bounds, both allowed. */
     public double number(String key, double least, double most) throws ScenarioException {
-        JsonNode value = need(key);
+        JsonNode value = require(key);
         if (!value.isNumber()) {
-            throw wrong(key, "is no number but " + value);
+            throw error(key, "is no number but " + value);
         }
         double number = value.asDouble();
         if (!(number >= least && number <= most)) {
-            throw wrong(key, number + " is not between " + least + " and " + most);
+            throw error(key, number + " is not between " + least + " and " + most);
         }
         return number;
     }
@@ -77,60 +77,60 @@
         return has(key) ? number(key, least, most) : absent;
     }
 
-    public int count(String key, int least, int most) throws ScenarioException {
-        JsonNode value = need(key);
+    public int integer(String key, int least, int most) throws ScenarioException {
+        JsonNode value = require(key);
         if (!value.isIntegralNumber()) {
-            throw wrong(key, "is no whole number but " + value);
+            throw error(key, "is no whole number but " + value);
         }
         return (int) number(key, least, most);
     }
 
-    public int count(String key, int least, int most, int absent) throws ScenarioException {
-        return has(key) ? count(key, least, most) : absent;
+    public int integer(String key, int least, int most, int absent) throws ScenarioException {
+        return has(key) ? integer(key, least, most) : absent;
     }
 
-    public String text(String key) throws ScenarioException {
-        JsonNode value = need(key);
+    public String string(String key) throws ScenarioException {
+        JsonNode value = require(key);
         if (!value.isTextual()) {
-            throw wrong(key, "is no text but " + value);
+            throw error(key, "is no text but " + value);
         }
         return value.asText();
     }
 
-    public String text(String key, String absent) throws ScenarioException {
-        return has(key) ? text(key) : absent;
+    public String string(String key, String absent) throws ScenarioException {
+        return has(key) ? string(key) : absent;
     }
 
     /** One of the words. */
-    String word(String key, Set<String> words, String absent) throws ScenarioException {
-        String word = text(key, absent);
+    String oneOf(String key, Set<String> words, String absent) throws ScenarioException {
+        String word = string(key, absent);
         if (!words.contains(word)) {
-            throw wrong(key, "'" + word + "' is none of " + new TreeSet<>(words));
+            throw error(key, "'" + word + "' is none of " + new TreeSet<>(words));
         }
         return word;
     }
 
-    boolean flag(String key, boolean absent) throws ScenarioException {
+    boolean bool(String key, boolean absent) throws ScenarioException {
         if (!has(key)) {
             return absent;
         }
-        JsonNode value = need(key);
+        JsonNode value = require(key);
         if (!value.isBoolean()) {
-            throw wrong(key, "is neither true nor false but " + value);
+            throw error(key, "is neither true nor false but " + value);
         }
         return value.asBoolean();
     }
 
     /** A text or a list of texts; none where the key is absent. */
-    List<String> texts(String key) throws ScenarioException {
-        JsonNode value = find(key);
+    List<String> strings(String key) throws ScenarioException {
+        JsonNode value = lookUp(key);
         List<String> texts = new ArrayList<>();
         if (value == null) {
             return texts;
         }
         for (JsonNode one : value.isArray() ? value : List.of(value)) {
             if (!one.isTextual()) {
-                throw wrong(key, "holds " + one + ", which is no text");
+                throw error(key, "holds " + one + ", which is no text");
             }
             texts.add(one.asText());
         }
@@ -138,53 +138,53 @@
     }
 
     /** The table under the key, an empty one where there is none. */
-    Section table(String key) throws ScenarioException {
-        JsonNode value = find(key);
+    TomlTable table(String key) throws ScenarioException {
+        JsonNode value = lookUp(key);
         if (value != null && !value.isObject()) {
-            throw wrong(key, "is no table but " + value);
+            throw error(key, "is no table but " + value);
         }
-        return new Section(
+        return new TomlTable(
                 file,
                 path.isEmpty() ? key : path + "." + key,
                 value == null ? com.fasterxml.jackson.databind.node.JsonNodeFactory.instance.objectNode() : value);
     }
 
-    public List<Section> tables(String key) throws ScenarioException {
-        JsonNode value = find(key);
-        List<Section> tables = new ArrayList<>();
+    public List<TomlTable> tables(String key) throws ScenarioException {
+        JsonNode value = lookUp(key);
+        List<TomlTable> tables = new ArrayList<>();
         if (value == null) {
             return tables;
         }
         if (!value.isArray()) {
-            throw wrong(key, "is no list of tables: write [[" + key + "]]");
+            throw error(key, "is no list of tables: write [[" + key + "]]");
         }
         for (JsonNode one : value) {
             if (!one.isObject()) {
-                throw wrong(key, "holds " + one + ", which is no table");
+                throw error(key, "holds " + one + ", which is no table");
             }
-            tables.add(new Section(file, (path.isEmpty() ? key : path + "." + key) + "[" + tables.size() + "]", one));
+            tables.add(new TomlTable(file, (path.isEmpty() ? key : path + "." + key) + "[" + tables.size() + "]", one));
         }
         return tables;
     }
 
     /** The keys of a table whose names are free. */
-    List<String> names() {
+    List<String> keys() {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
     /** All that the section may hold has been asked for: what is left is a mistake, and the likeliest word is named. */
-    public void end() throws ScenarioException {
+    public void rejectUnknownKeys() throws ScenarioException {
         for (var names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!asked.contains(name)) {
+            if (!knownKeys.contains(name)) {
                 String near = nearest(name);
-                throw wrong(
+                throw error(
                         name,
                         "is unknown"
                                 + (near == null
-                                        ? "; known are " + new TreeSet<>(asked)
+                                        ? "; known are " + new TreeSet<>(knownKeys)
                                         : "; is '" + near + "' meant?"));
             }
         }
@@ -192,13 +192,13 @@
 
     private String nearest(String name) {
         String stem = stem(name);
-        for (String known : asked) {
+        for (String known : knownKeys) {
             // Another unit of the same thing is the likeliest mistake.
             if (stem(known).equals(stem)) {
                 return known;
             }
         }
-        for (String known : asked) {
+        for (String known : knownKeys) {
             if (distance(known, name) <= 2) {
                 return known;
             }
--- a/src/main/java/rushproxy/lab/world/UpstreamModel.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamModel.java
@@ -40,7 +40,7 @@
 
     private record Sent(long atUs, double workMs) {}
 
-    private final Scenario.Servers spec;
+    private final Scenario.ServerGroup spec;
     private final Scenario.Rules rules;
     private final List<Job> working = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
@@ -55,7 +55,7 @@
     private boolean hung;
 
     /** {@code startedUs} may lie so far back that it is warm. */
-    public UpstreamModel(Scenario.Servers spec, Scenario.Rules rules, long startedUs) {
+    public UpstreamModel(Scenario.ServerGroup spec, Scenario.Rules rules, long startedUs) {
         this.spec = spec;
         this.rules = rules;
         this.startedUs = startedUs;
@@ -224,7 +224,7 @@
         return startedUs;
     }
 
-    public Scenario.Servers spec() {
+    public Scenario.ServerGroup spec() {
         return spec;
     }
 }
--- a/src/main/java/rushproxy/lab/world/UpstreamServer.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamServer.java
@@ -62,7 +62,7 @@
     /** A second answer comes this much after its time at most. */
     private static final long SECOND_LATE_US = 1_000;
 
-    private final rushproxy.lab.scenario.Scenario.Servers spec;
+    private final rushproxy.lab.scenario.Scenario.ServerGroup spec;
     private final rushproxy.lab.scenario.Scenario.Rules rules;
     private final EventLoop loop;
     private final Observations seen;
@@ -90,7 +90,7 @@
             int number,
             String zone,
             int cell,
-            rushproxy.lab.scenario.Scenario.Servers spec,
+            rushproxy.lab.scenario.Scenario.ServerGroup spec,
             rushproxy.lab.scenario.Scenario.Rules rules,
             EventLoop loop,
             Observations seen,
@@ -166,7 +166,7 @@
         return startedAtMs;
     }
 
-    rushproxy.lab.scenario.Scenario.Servers spec() {
+    rushproxy.lab.scenario.Scenario.ServerGroup spec() {
         return spec;
     }
 
--- a/src/main/java/rushproxy/lab/world/World.java
+++ b/src/main/java/rushproxy/lab/world/World.java
@@ -134,7 +134,7 @@
         List<String> zones = ScenarioReader.serverZones(scenario);
         int number = 0;
         int cells = 0;
-        for (Scenario.Servers spec : scenario.servers()) {
+        for (Scenario.ServerGroup spec : scenario.servers()) {
             for (int i = 0; i < spec.count(); i++) {
                 int server = number++;
                 List<InetSocketAddress> at = new ArrayList<>();
--- a/src/test/java/rushproxy/lab/CheckersIT.java
+++ b/src/test/java/rushproxy/lab/CheckersIT.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.scenario.Scenario;
@@ -51,7 +51,7 @@
                 .findFirst()
                 .orElseThrow()
                 .id();
-        Run run = Report.readRun(folder);
+        RecordedRun run = Report.readRun(folder);
         assertTrue(run.history(id).contains("ASKED"), run.history(id));
     }
 
@@ -91,7 +91,7 @@
         assertTrue(s.figures().requests() > 100, s.figures().toString());
         // No fault is noted before its time, by which tests look for what it did.
         assertTrue(
-                Report.readRun(folder).of(rushproxy.lab.world.Observation.What.FAULT).stream()
+                Report.readRun(folder).observationsOf(rushproxy.lab.world.Observation.What.FAULT).stream()
                         .allMatch(fault -> fault.us() >= 1_000_000),
                 "a fault began early");
     }
--- a/src/test/java/rushproxy/lab/FirstLossIT.java
+++ b/src/test/java/rushproxy/lab/FirstLossIT.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.node.Build;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.world.Observation;
@@ -35,7 +35,7 @@
                 }),
                 new Build(build.root(), build.command().replace(" -jar ", " " + logs + " -jar ")),
                 folder);
-        Run run = Report.readRun(folder);
+        RecordedRun run = Report.readRun(folder);
         for (String node : List.of("n0", "n1", "n2", "n3")) {
             Observation started = seen(run, node, "started");
             List<String> classes = Files.readAllLines(folder.resolve((long) started.number() + ".loaded"));
@@ -49,8 +49,8 @@
         }
     }
 
-    private static Observation seen(Run run, String node, String what) {
-        return run.of(Observation.What.NODE).stream()
+    private static Observation seen(RecordedRun run, String node, String what) {
+        return run.observationsOf(Observation.What.NODE).stream()
                 .filter(o -> o.node().equals(node) && o.text().equals(what))
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/rushproxy/lab/MembersIT.java
+++ b/src/test/java/rushproxy/lab/MembersIT.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.world.Observation;
@@ -30,16 +30,16 @@
         return LabRig.fault(atS, "call", "nodes = \"all\"; call = \"members\"");
     }
 
-    private Run play(double lengthS, String... faults) throws Exception {
+    private RecordedRun play(double lengthS, String... faults) throws Exception {
         Summary s = LabRig.run(LabRig.scenario(8, lengthS, ON, faults), LabRig.sidecar(), folder);
         assertEquals("held", s.verdict(), s.why() + " " + s.violations());
         return Report.readRun(folder);
     }
 
     /** The views that were asked for in the second after the time, by who gave them; the dead give none. */
-    private static Map<String, JsonNode> views(Run run, double atS) throws Exception {
+    private static Map<String, JsonNode> views(RecordedRun run, double atS) throws Exception {
         Map<String, JsonNode> views = new HashMap<>();
-        for (Observation o : run.of(Observation.What.CALLED)) {
+        for (Observation o : run.observationsOf(Observation.What.CALLED)) {
             if (o.us() >= atS * 1e6 && o.text().startsWith("members -> ACK {") && !views.containsKey(o.node())) {
                 views.put(o.node(), new ObjectMapper().readTree(o.text().substring("members -> ACK ".length())));
             }
@@ -56,7 +56,7 @@
 
     @Test
     void aSplitIsSeenByBothSidesAndHeals() throws Exception {
-        Run run = play(
+        RecordedRun run = play(
                 38,
                 asked(2.5),
                 LabRig.fault(3, "cut", "from = \"nodes:a\"; to = \"nodes:b\"; for_s = 8"),
@@ -77,7 +77,7 @@
 
     @Test
     void killsAreFoundOutAndTheKilledAreBack() throws Exception {
-        Run run = play(
+        RecordedRun run = play(
                 30,
                 LabRig.fault(3, "kill", "nodes = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\"]; for_s = 8"),
                 asked(10),
@@ -95,7 +95,7 @@
 
     @Test
     void aStoppedProcessIsDeadThenBackAndARestartIsNoDeath() throws Exception {
-        Run run = play(
+        RecordedRun run = play(
                 30,
                 LabRig.fault(3, "stall", "nodes = \"n3\"; for_s = 10"),
                 asked(11),
--- a/src/test/java/rushproxy/lab/SharedIT.java
+++ b/src/test/java/rushproxy/lab/SharedIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.world.Observation;
@@ -23,7 +23,8 @@
     @TempDir
     Path folder;
 
-    private Run play(double lengthS, String fleet, Map<String, String> values, String... faults) throws Exception {
+    private RecordedRun play(double lengthS, String fleet, Map<String, String> values, String... faults)
+            throws Exception {
         Summary s = LabRig.run(
                 LabRig.scenario(8, lengthS, "settings = ['fleet=" + fleet + "']", values, faults),
                 LabRig.sidecar(),
@@ -33,9 +34,9 @@
     }
 
     /** The answers of all nodes to one question, however long they take on a busy machine: those up to the next question. */
-    private static List<JsonNode> views(Run run, String call, double atS, double nextS) throws Exception {
+    private static List<JsonNode> views(RecordedRun run, String call, double atS, double nextS) throws Exception {
         List<JsonNode> views = new ArrayList<>();
-        for (Observation o : run.of(Observation.What.CALLED)) {
+        for (Observation o : run.observationsOf(Observation.What.CALLED)) {
             if (o.us() >= atS * 1e6 && o.us() < nextS * 1e6 && o.text().startsWith(call + " -> ACK {")) {
                 views.add(new ObjectMapper().readTree(o.text().substring(call.length() + " -> ACK ".length())));
             }
@@ -49,7 +50,7 @@
 
     @Test
     void allLeaveAServerThatIsSilentAndHaveItBack() throws Exception {
-        Run run = play(
+        RecordedRun run = play(
                 32,
                 "{\"members\":true,\"shared\":true}",
                 Map.of(
@@ -85,7 +86,7 @@
                                     || !c.path("kind").asText().equals("silent"),
                             v.toString()));
         }
-        long back = run.of(Observation.What.GOT).stream()
+        long back = run.observationsOf(Observation.What.GOT).stream()
                 .filter(o -> o.server().equals("s0") && o.us() > 28e6)
                 .count();
         assertTrue(back > 0, "it serves again");
@@ -94,7 +95,7 @@
     /** 40 a second for a class of which more is asked: together no more, also while halves don't hear each other. */
     @Test
     void aLimitHoldsThroughASplit() throws Exception {
-        Run run = play(
+        RecordedRun run = play(
                 30,
                 "{\"members\":true,\"shared\":true,\"limits\":[{\"name\":\"some\",\"per_second\":40}]}",
                 Map.of(),
@@ -111,7 +112,7 @@
         }
         for (int from = 4; from < 28; from += 4) {
             int start = from;
-            long served = run.of(Observation.What.GOT).stream()
+            long served = run.observationsOf(Observation.What.GOT).stream()
                     .filter(o -> o.us() >= start * 1e6 && o.us() < (start + 4) * 1e6)
                     .count();
             // Each bucket may let one burst through.
--- a/src/test/java/rushproxy/lab/SoakIT.java
+++ b/src/test/java/rushproxy/lab/SoakIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.soak.Soak;
@@ -66,9 +66,9 @@
                 LabRig.wrong("drops-queue"),
                 folder);
         assertEquals("broken", s.verdict(), s.why().toString());
-        Run run = Report.readRun(folder);
+        RecordedRun run = Report.readRun(folder);
         // The first process was ready before time began.
-        long servingUs = run.of(What.NODE).stream()
+        long servingUs = run.observationsOf(What.NODE).stream()
                 .filter(o -> o.text().equals("serving") && o.us() > 0)
                 .findFirst()
                 .orElseThrow()
@@ -76,7 +76,7 @@
         assertTrue(
                 s.violations().stream()
                         .filter(v -> v.rule().equals("lost"))
-                        .flatMap(v -> run.byId().get(v.id()).stream())
+                        .flatMap(v -> run.byRequestId().get(v.id()).stream())
                         .anyMatch(o -> o.what() == What.ASKED
                                 && o.us() < servingUs
                                 && o.us() + o.number() * 1e3 > servingUs + ENOUGH_US),
--- a/src/test/java/rushproxy/lab/check/AbsencesTest.java
+++ b/src/test/java/rushproxy/lab/check/AcceptGapsTest.java
@@ -8,13 +8,13 @@
 import rushproxy.lab.scenario.ScenarioReader;
 
 /** Where the laboratory holds the clients' socket, only a request that no process could take in its time is nobody's. */
-class AbsencesTest {
+class AcceptGapsTest {
     private static final String REPLACEMENT = "[[faults]]\nat_s = 9\ndo = \"replace\"\nnodes = \"n0\"\n";
     private static final long PATIENCE_MS = 870;
 
     /** A process that left at 1.95 s by its own words, its end heard of at 2 s; the next takes clients at 3.5 s and is ready at 4 s. */
-    private static Seen restarted() {
-        return new Seen()
+    private static RecordedRunBuilder restarted() {
+        return new RecordedRunBuilder()
                 .node(0, "started")
                 .node(500, "ready")
                 .node(1_000, "term")
@@ -24,13 +24,15 @@
                 .node(4_000, "ready");
     }
 
-    private static int violations(Seen seen, String faults) throws Exception {
+    private static int violations(RecordedRunBuilder seen, String faults) throws Exception {
         Scenario scenario = ScenarioReader.parse(
                 "test",
                 "name = \"test\"\nlength_s = 10\n[fleet]\nnodes = 1\n[[servers]]\ncount = 1\n[[classes]]\nname = \"read\"\ndeadline_ms = 800\nwork_ms = 4\n"
                         + "[traffic]\nrate_per_s = 1\n" + faults,
                 Map.of());
-        return new OneAnswer().check(new Run(scenario, seen.run().all())).size();
+        return new SingleResponseChecker()
+                .check(new RecordedRun(scenario, seen.run().observations()))
+                .size();
     }
 
     private static int lost(long askedMs) throws Exception {
@@ -56,7 +58,7 @@
     /** Guards against a process that drops its queue and hides behind the kill of the one before: the kill breaks what that one held. */
     @Test
     void whoWaitedThroughAKillIsTheNextProcesss() throws Exception {
-        Seen killed = new Seen()
+        RecordedRunBuilder killed = new RecordedRunBuilder()
                 .node(0, "started")
                 .node(500, "ready")
                 .node(1_900, "kill")
@@ -82,14 +84,16 @@
     /** Guards against excusing a request that a process took and sent on. */
     @Test
     void whatAServerHasGotWasTaken() throws Exception {
-        Seen got = restarted().asked(2_010, "a").got(2_020, 2_021, "a").gaveUp(2_880, "a");
+        RecordedRunBuilder got =
+                restarted().asked(2_010, "a").got(2_020, 2_021, "a").gaveUp(2_880, "a");
         assertEquals(1, violations(got, REPLACEMENT));
     }
 
     /** Guards against calling lost what a late process took when its client had gone: whoever sends that on breaks another rule. */
     @Test
     void whatAServerGotAfterItsTimeIsNotLost() throws Exception {
-        Seen late = restarted().asked(2_010, "a").gaveUp(2_880, "a").got(3_600, 3_601, "a");
+        RecordedRunBuilder late =
+                restarted().asked(2_010, "a").gaveUp(2_880, "a").got(3_600, 3_601, "a");
         assertEquals(0, violations(late, REPLACEMENT));
     }
 
--- a/src/test/java/rushproxy/lab/check/ColdBudgetTest.java
+++ b/src/test/java/rushproxy/lab/check/ColdStartCheckerTest.java
@@ -9,7 +9,7 @@
 import rushproxy.lab.world.Observation.What;
 
 /** Work counts as sent by who knew of the start by what its sender knew when it sent it, as long as it is in the window. */
-class ColdBudgetTest {
+class ColdStartCheckerTest {
     private static final long STARTED_MS = 77;
 
     private static Observation seen(long us, What what, String id, String text, double number, long sinceUs) {
@@ -27,7 +27,9 @@
         all.add(seen(toldUs, What.TOLD, null, "Ready", STARTED_MS, 0));
         all.add(new Observation(2_000, What.GOT, "n0", "s0", "a", null, null, 1e9, latestUs, earliestUs, 0));
         all.sort(java.util.Comparator.comparingLong(Observation::us));
-        return new ColdBudget().check(new Run(Seen.scenario(), all)).size();
+        return new ColdStartChecker()
+                .check(new RecordedRun(RecordedRunBuilder.scenario(), all))
+                .size();
     }
 
     @Test
--- a/src/test/java/rushproxy/lab/check/CordonsTest.java
+++ b/src/test/java/rushproxy/lab/check/CordonCheckerTest.java
@@ -9,20 +9,22 @@
  * the laboratory notes the answer later: a run in which that note came 60 ms late was called broken, by requests that were sent in
  * between ("sent by n2 to s2 4832 ms after it was called out", 4.83 s after the call at 1.2 s, in the moment of the call back).
  */
-class CordonsTest {
-    private static Seen cordoned() {
-        return new Seen().called(1_000, 1_010, "cordon s0 -> ACK").called(6_000, 6_060, "uncordon s0 -> ACK");
+class CordonCheckerTest {
+    private static RecordedRunBuilder cordoned() {
+        return new RecordedRunBuilder()
+                .called(1_000, 1_010, "cordon s0 -> ACK")
+                .called(6_000, 6_060, "uncordon s0 -> ACK");
     }
 
     private static int sentAt(long ms) {
-        return cordoned().got(ms, ms + 1, "a").violations(new Cordons());
+        return cordoned().got(ms, ms + 1, "a").violations(new CordonChecker());
     }
 
     @Test
     void whatIsSentBeforeTheCallBackBreaksTheRule() {
-        assertEquals(1, sentAt(1_011 + Seen.graceMs()));
+        assertEquals(1, sentAt(1_011 + RecordedRunBuilder.graceMs()));
         assertEquals(1, sentAt(5_999));
-        assertEquals(1, cordoned().got(5_999, 6_300, "a").violations(new Cordons()));
+        assertEquals(1, cordoned().got(5_999, 6_300, "a").violations(new CordonChecker()));
     }
 
     @Test
@@ -33,7 +35,7 @@
 
     @Test
     void theGraceRunsFromTheAnswer() {
-        assertEquals(0, sentAt(1_010 + Seen.graceMs()));
+        assertEquals(0, sentAt(1_010 + RecordedRunBuilder.graceMs()));
         assertEquals(0, sentAt(999));
     }
 
@@ -41,22 +43,24 @@
     @Test
     void aCallWithoutAnAnswerCountsAfterASecond() {
         for (String answer : new String[] {"no answer: Read timed out", "ACK"}) {
-            Seen seen =
-                    new Seen().called(1_000, 4_000, "cordon s0 -> " + answer).got(2_001 + Seen.graceMs(), 2_600, "a");
-            assertEquals(1, seen.violations(new Cordons()), answer);
+            RecordedRunBuilder seen = new RecordedRunBuilder()
+                    .called(1_000, 4_000, "cordon s0 -> " + answer)
+                    .got(2_001 + RecordedRunBuilder.graceMs(), 2_600, "a");
+            assertEquals(1, seen.violations(new CordonChecker()), answer);
         }
         assertEquals(
                 0,
-                new Seen()
+                new RecordedRunBuilder()
                         .called(1_000, 1_010, "cordon s0 -> NAK no such upstream")
                         .got(3_000, 3_001, "a")
-                        .violations(new Cordons()));
+                        .violations(new CordonChecker()));
     }
 
     /** Two calls out need one call back. */
     @Test
     void calledOutAgainItIsOutAgain() {
-        Seen seen = cordoned().called(1_500, 1_510, "cordon s0 -> ACK").called(7_000, 7_010, "cordon s0 -> ACK");
-        assertEquals(1, seen.got(6_500, 6_501, "a").got(8_000, 8_001, "b").violations(new Cordons()));
+        RecordedRunBuilder seen =
+                cordoned().called(1_500, 1_510, "cordon s0 -> ACK").called(7_000, 7_010, "cordon s0 -> ACK");
+        assertEquals(1, seen.got(6_500, 6_501, "a").got(8_000, 8_001, "b").violations(new CordonChecker()));
     }
 }
--- a/src/test/java/rushproxy/lab/check/StarvationTest.java
+++ b/src/test/java/rushproxy/lab/check/CpuStarvationTest.java
@@ -12,7 +12,7 @@
  * A loss is the machine's where the laboratory's loop or the request's sidecar waited for a processor for most of its time. Beside eight
  * busy processes on the same three cores the laboratory took 0.05 to 0.29 s for what a server does in 4 ms, and called the sidecars late.
  */
-class StarvationTest {
+class CpuStarvationTest {
     private static final long ASKED_US = 1_000_000;
     private static final long LOST_US = 1_900_000;
 
@@ -23,7 +23,7 @@
     private static boolean explained(String rule, Observation... waits) {
         List<Observation> all = new ArrayList<>(List.of(waits));
         all.add(new Observation(ASKED_US, What.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US));
-        return new Starvation(new Run(Seen.scenario(), all))
+        return new CpuStarvation(new RecordedRun(RecordedRunBuilder.scenario(), all))
                 .explains(new Violation(rule, LOST_US, "a", "got no answer in its time"));
     }
 
@@ -52,13 +52,13 @@
     @Test
     void whatSomebodyDidIsNeverTheMachines() {
         for (What done : List.of(What.BROKE, What.ANSWERED)) {
-            Run run = new Run(
-                    Seen.scenario(),
+            RecordedRun run = new RecordedRun(
+                    RecordedRunBuilder.scenario(),
                     List.of(
                             new Observation(ASKED_US, What.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US),
                             waited("n0", ASKED_US, LOST_US, 900),
                             new Observation(LOST_US, done, "n0", null, "a", "a", "closed", 0, ASKED_US)));
-            assertEquals(false, new Starvation(run).explains(new Violation("lost", LOST_US, "a", "")));
+            assertEquals(false, new CpuStarvation(run).explains(new Violation("lost", LOST_US, "a", "")));
         }
     }
 
--- a/src/test/java/rushproxy/lab/check/DeadlinesTest.java
+++ b/src/test/java/rushproxy/lab/check/DeadlineCheckerTest.java
@@ -9,13 +9,15 @@
 import rushproxy.lab.world.Observation.What;
 
 /** A request with 800 ms is asked at 1 s: 300 ms of them are left at 1.5 s. */
-class DeadlinesTest {
+class DeadlineCheckerTest {
     private static int violations(long toldMs, Observation... more) {
         List<Observation> all =
-                new ArrayList<>(new Seen().asked(1_000, "a").run().all());
+                new ArrayList<>(new RecordedRunBuilder().asked(1_000, "a").run().observations());
         all.addAll(List.of(more));
         all.add(new Observation(1_600_000, What.GOT, "n0", "s0", "a", null, null, 4, 1_590_000, 1_500_000, toldMs));
-        return new Deadlines().check(new Run(Seen.scenario(), all)).size();
+        return new DeadlineChecker()
+                .check(new RecordedRun(RecordedRunBuilder.scenario(), all))
+                .size();
     }
 
     /** Guards against a server that is told more time than its client has, by more than a hold-up may add. */
--- a/src/test/java/rushproxy/lab/check/RunsOnceTest.java
+++ b/src/test/java/rushproxy/lab/check/DuplicateExecutionCheckerTest.java
@@ -10,7 +10,7 @@
 import rushproxy.lab.world.Observation.What;
 
 /** A repeat counts by when its sidecar can have sent it, whenever the laboratory read it. */
-class RunsOnceTest {
+class DuplicateExecutionCheckerTest {
     private static final long WINDOW_US = 600_000;
     private static final long SLACK_US = 50_000;
     private static final long FIRST_US = 1_000_000;
@@ -25,8 +25,8 @@
                 "name = \"test\"\nlength_s = 10\n[fleet]\nnodes = 1\n[[servers]]\ncount = 2\n[[classes]]\nname = \"log\"\n"
                         + "deadline_ms = 3000\nwork_ms = 4\nsemantics = \"keyed\"\ngroup = \"all\"\nwindow_ms = 600\n[traffic]\nrate_per_s = 1\n";
         Observation asked = new Observation(900_000, What.ASKED, "n0", null, "a", "a", "log", 3_000, 900_000);
-        return new RunsOnce()
-                .check(new Run(ScenarioReader.parse("test", scenario, Map.of()), List.of(asked, first, second)))
+        return new DuplicateExecutionChecker()
+                .check(new RecordedRun(ScenarioReader.parse("test", scenario, Map.of()), List.of(asked, first, second)))
                 .size();
     }
 
--- a/src/test/java/rushproxy/lab/check/Seen.java
+++ b/src/test/java/rushproxy/lab/check/RecordedRunBuilder.java
@@ -10,7 +10,7 @@
 import rushproxy.lab.world.Observation.What;
 
 /** What was seen of a run that a test makes up: node {@code n0}, server {@code s0}, times in milliseconds. */
-final class Seen {
+final class RecordedRunBuilder {
     private final List<Observation> all = new ArrayList<>();
 
     static Scenario scenario() {
@@ -27,62 +27,63 @@
         return (rules.drainGraceUs() + rules.slackUs()) / 1_000;
     }
 
-    private Seen add(long ms, What what, String server, String id, String text, double number, long sinceMs) {
+    private RecordedRunBuilder add(
+            long ms, What what, String server, String id, String text, double number, long sinceMs) {
         all.add(new Observation(ms * 1_000, what, "n0", server, id, null, text, number, sinceMs * 1_000));
         return this;
     }
 
-    Seen called(long sentMs, long answeredMs, String words) {
+    RecordedRunBuilder called(long sentMs, long answeredMs, String words) {
         return add(answeredMs, What.CALLED, null, null, words, 0, sentMs);
     }
 
-    Seen told(long ms, String state) {
+    RecordedRunBuilder told(long ms, String state) {
         return add(ms, What.TOLD, "s0", null, state, 0, 0);
     }
 
-    Seen node(long ms, String text) {
+    RecordedRunBuilder node(long ms, String text) {
         return add(ms, What.NODE, null, null, text, 1, 0);
     }
 
-    Seen late(long ms, double byMs) {
+    RecordedRunBuilder late(long ms, double byMs) {
         return add(ms, What.LATE, null, null, null, byMs, 0);
     }
 
-    Seen asked(long ms, String id) {
+    RecordedRunBuilder asked(long ms, String id) {
         return add(ms, What.ASKED, null, id, "read", 800, ms);
     }
 
     /** A server has got the request, its first byte at {@code firstMs}. */
-    Seen got(long firstMs, long lastMs, String id) {
+    RecordedRunBuilder got(long firstMs, long lastMs, String id) {
         return got(firstMs, firstMs, lastMs, id);
     }
 
     /** Its first byte came between the two. */
-    Seen got(long earliestMs, long latestMs, long lastMs, String id) {
+    RecordedRunBuilder got(long earliestMs, long latestMs, long lastMs, String id) {
         all.add(new Observation(
                 lastMs * 1_000, What.GOT, "n0", "s0", id, null, null, 4, latestMs * 1_000, earliestMs * 1_000, 0));
         return this;
     }
 
-    Seen gaveUp(long ms, String id) {
+    RecordedRunBuilder gaveUp(long ms, String id) {
         return add(ms, What.GAVE_UP, null, id, null, 800, ms);
     }
 
-    Seen broke(long ms, String id) {
+    RecordedRunBuilder broke(long ms, String id) {
         return add(ms, What.BROKE, null, id, "closed", 0, ms);
     }
 
     /** The end of a process that had left before it was heard of. */
-    Seen left(long ms, long leftMs) {
+    RecordedRunBuilder left(long ms, long leftMs) {
         return add(ms, What.NODE, null, null, "exit 0", 1, leftMs);
     }
 
-    Seen left(long ms, String id) {
+    RecordedRunBuilder left(long ms, String id) {
         return add(ms, What.LEFT, null, id, null, 0, ms);
     }
 
-    Run run() {
-        return new Run(
+    RecordedRun run() {
+        return new RecordedRun(
                 scenario(),
                 all.stream().sorted(Comparator.comparingLong(Observation::us)).toList());
     }
--- a/src/test/java/rushproxy/lab/check/OneAnswerTest.java
+++ b/src/test/java/rushproxy/lab/check/SingleResponseCheckerTest.java
@@ -9,7 +9,7 @@
 import rushproxy.lab.world.Observation.What;
 
 /** What a killed process held is excused, from the order to its end, and nothing before or after. */
-class OneAnswerTest {
+class SingleResponseCheckerTest {
     private static Observation node(long us, String text) {
         return new Observation(us, What.NODE, "n0", null, null, null, text, 0, 0);
     }
@@ -25,8 +25,8 @@
         all.add(node(3_000_000, "kill"));
         all.add(node(3_060_000, "exit 137"));
         all.add(node(9_000_000, "exit 0"));
-        return new OneAnswer()
-                .check(new Run(ScenarioReader.read("demo", java.util.Map.of()), all))
+        return new SingleResponseChecker()
+                .check(new RecordedRun(ScenarioReader.read("demo", java.util.Map.of()), all))
                 .size();
     }
 
@@ -52,8 +52,8 @@
                 node(4_000_000, "started"),
                 new Observation(askedUs, What.ASKED, "n0", null, "a", "a", "read", 800, askedUs),
                 new Observation(brokeUs, What.BROKE, "n0", null, "a", null, "reset", 0, sentUs, connectsUs, 0)));
-        return new OneAnswer()
-                .check(new Run(ScenarioReader.read("demo", java.util.Map.of()), all))
+        return new SingleResponseChecker()
+                .check(new RecordedRun(ScenarioReader.read("demo", java.util.Map.of()), all))
                 .size();
     }
 
@@ -74,12 +74,15 @@
     /** Its end was heard of after the next process had started: what that one is asked is its own to answer. */
     @Test
     void anEndThatIsHeardOfLateExcusesNothingOfTheNextProcess() throws Exception {
-        Seen seen = new Seen().node(3_000, "kill").node(3_100, "started").node(3_400, "exit 137");
-        assertEquals(1, seen.asked(3_200, "a").gaveUp(4_070, "a").violations(new OneAnswer()));
+        RecordedRunBuilder seen = new RecordedRunBuilder()
+                .node(3_000, "kill")
+                .node(3_100, "started")
+                .node(3_400, "exit 137");
+        assertEquals(1, seen.asked(3_200, "a").gaveUp(4_070, "a").violations(new SingleResponseChecker()));
     }
 
-    private static Seen stopped() {
-        return new Seen()
+    private static RecordedRunBuilder stopped() {
+        return new RecordedRunBuilder()
                 .node(1_000, "stop")
                 .node(1_010, "stop sent")
                 .node(1_950, "cont")
@@ -89,31 +92,31 @@
     /** Guards against excusing whoever asks around a stop: with half a second and more after it there is time for an answer. */
     @Test
     void whoHasTimeLeftAfterAStopIsOwedAnAnswer() throws Exception {
-        assertEquals(0, stopped().asked(1_500, "a").gaveUp(2_370, "a").violations(new OneAnswer()));
-        assertEquals(1, stopped().asked(1_800, "a").gaveUp(2_670, "a").violations(new OneAnswer()));
-        assertEquals(1, stopped().asked(2_300, "a").gaveUp(3_170, "a").violations(new OneAnswer()));
+        assertEquals(0, stopped().asked(1_500, "a").gaveUp(2_370, "a").violations(new SingleResponseChecker()));
+        assertEquals(1, stopped().asked(1_800, "a").gaveUp(2_670, "a").violations(new SingleResponseChecker()));
+        assertEquals(1, stopped().asked(2_300, "a").gaveUp(3_170, "a").violations(new SingleResponseChecker()));
     }
 
     /** Guards against excusing a process that closes connections with no answer once it goes on. */
     @Test
     void aStopBreaksNoConnection() throws Exception {
-        assertEquals(1, stopped().asked(1_500, "a").broke(1_970, "a").violations(new OneAnswer()));
+        assertEquals(1, stopped().asked(1_500, "a").broke(1_970, "a").violations(new SingleResponseChecker()));
     }
 
     /** Signals take their time to be sent: only a stop that was longer than a short one for certain excuses. */
     @Test
     void aStopIsExcusedByWhatIsSureOfItsLength() throws Exception {
-        Seen slowSignal = new Seen()
+        RecordedRunBuilder slowSignal = new RecordedRunBuilder()
                 .node(1_000, "stop")
                 .node(1_300, "stop sent")
                 .node(1_450, "cont")
                 .node(1_460, "cont sent");
-        assertEquals(1, slowSignal.asked(1_350, "a").gaveUp(2_220, "a").violations(new OneAnswer()));
-        Seen longStop = new Seen()
+        assertEquals(1, slowSignal.asked(1_350, "a").gaveUp(2_220, "a").violations(new SingleResponseChecker()));
+        RecordedRunBuilder longStop = new RecordedRunBuilder()
                 .node(1_000, "stop")
                 .node(1_010, "stop sent")
                 .node(1_450, "cont")
                 .node(1_900, "cont sent");
-        assertEquals(0, longStop.asked(1_350, "a").gaveUp(2_220, "a").violations(new OneAnswer()));
+        assertEquals(0, longStop.asked(1_350, "a").gaveUp(2_220, "a").violations(new SingleResponseChecker()));
     }
 }
--- a/src/test/java/rushproxy/lab/scenario/ScenarioReaderTest.java
+++ b/src/test/java/rushproxy/lab/scenario/ScenarioReaderTest.java
@@ -53,7 +53,7 @@
 
     @Test
     void allThatComeWithTheProgramAreGood() throws Exception {
-        for (String name : ScenarioReader.NAMES) {
+        for (String name : ScenarioReader.BUNDLED_NAMES) {
             assertEquals(name, ScenarioReader.read(name, Map.of()).name());
         }
     }
--- a/src/test/java/rushproxy/lab/world/UpstreamModelTest.java
+++ b/src/test/java/rushproxy/lab/world/UpstreamModelTest.java
@@ -15,12 +15,12 @@
 class UpstreamModelTest {
     private static final Scenario.Rules RULES = new Scenario.Rules(500_000, 0.5, 10_000_000, 3, 1_000_000, 0);
 
-    private static Scenario.Servers spec(double cores, double speed, int slots, int queue, double crowding) {
-        return new Scenario.Servers(
+    private static Scenario.ServerGroup spec(double cores, double speed, int slots, int queue, double crowding) {
+        return new Scenario.ServerGroup(
                 1, "k", List.of("a"), 1, cores, speed, slots, queue, crowding, 0.5, 2_000_000, 10, 100, 0, "none");
     }
 
-    private static UpstreamModel warm(Scenario.Servers spec) {
+    private static UpstreamModel warm(Scenario.ServerGroup spec) {
         return new UpstreamModel(spec, RULES, -RULES.rampUs());
     }
 
