--- a/src/main/java/rushproxy/lab/check/SingleResponseChecker.java
+++ b/src/main/java/rushproxy/lab/check/SingleResponseChecker.java
@@ -123,7 +123,7 @@
          * Returns whether a kill broke this connection. The connection must have been opened before the process exited, even if a delayed
          * laboratory sent on it only later. A request sent after the next process started may belong to that process.
          */
-        boolean brokenByKill(Observation asked, Observation broke) {
+        boolean isBrokenByKill(Observation asked, Observation broke) {
             return kills.stream()
                             .anyMatch(k -> k.overlaps(broke.beganEarliestUs(), broke.us())
                                     && broke.sinceUs() <= nextStartUs(k) + 1_000)
@@ -143,7 +143,7 @@
          * connections that the killed process had accepted broke with it. A client that still waits was in the kernel's accept queue,
          * which the next process has to serve.
          */
-        boolean killedWithoutSuccessor(Observation asked, long endUs, long deadlineUs, AcceptGaps gaps) {
+        boolean isKilledWithoutSuccessor(Observation asked, long endUs, long deadlineUs, AcceptGaps gaps) {
             return isExcusedByKill(asked.us(), endUs)
                     && kills.stream()
                             .filter(k -> k.overlaps(asked.us(), endUs))
@@ -189,10 +189,10 @@
                 // Stalls and accept gaps excuse missing responses, but not broken connections, which they cannot cause.
                 boolean noProcessAvailable = timeline.isStalledAtDeadline(request.us(), deadlineUs)
                         || gaps.noProcessCouldAccept(request, e.getValue());
-                boolean killedInQueue = timeline.killedWithoutSuccessor(request, o.us(), deadlineUs, gaps);
+                boolean killedInQueue = timeline.isKilledWithoutSuccessor(request, o.us(), deadlineUs, gaps);
                 if (o.what() == What.GAVE_UP && o.text() == null && !killedInQueue && !noProcessAvailable) {
                     violations.add(new Violation(rule(), o.us(), e.getKey(), "got no response before its deadline"));
-                } else if (o.what() == What.BROKE && !timeline.brokenByKill(request, o)) {
+                } else if (o.what() == What.BROKE && !timeline.isBrokenByKill(request, o)) {
                     if ("part".equals(o.text()) && wasTruncated(e.getValue())) {
                         // A sidecar cannot complete a response that the upstream truncated; the client was informed in
                         // time.
--- a/src/test/java/rushproxy/lab/check/AcceptGapsTest.java
+++ b/src/test/java/rushproxy/lab/check/AcceptGapsTest.java
@@ -15,13 +15,13 @@
     /** A process that stopped accepting at 1.95 s, with its exit observed at 2 s; the next one accepts from 3.5 s on and is ready at 4 s. */
     private static RecordedRunBuilder restarted() {
         return new RecordedRunBuilder()
-                .node(0, "started")
-                .node(500, "ready")
-                .node(1_000, "term")
-                .left(2_000, 1_950)
-                .node(2_050, "started")
-                .node(3_500, "serving")
-                .node(4_000, "ready");
+                .processEvent(0, "started")
+                .processEvent(500, "ready")
+                .processEvent(1_000, "term")
+                .processExited(2_000, 1_950)
+                .processEvent(2_050, "started")
+                .processEvent(3_500, "serving")
+                .processEvent(4_000, "ready");
     }
 
     private static int violations(RecordedRunBuilder builder, String faults) throws Exception {
@@ -31,7 +31,7 @@
                         + "[traffic]\nrate_per_s = 1\n" + faults,
                 Map.of());
         return new SingleResponseChecker()
-                .check(new RecordedRun(scenario, builder.run().observations()))
+                .check(new RecordedRun(scenario, builder.build().observations()))
                 .size();
     }
 
@@ -62,13 +62,13 @@
     @Test
     void requestQueuedDuringKillBelongsToNextProcess() throws Exception {
         RecordedRunBuilder killed = new RecordedRunBuilder()
-                .node(0, "started")
-                .node(500, "ready")
-                .node(1_900, "kill")
-                .node(2_000, "exit 137")
-                .node(2_050, "started");
+                .processEvent(0, "started")
+                .processEvent(500, "ready")
+                .processEvent(1_900, "kill")
+                .processEvent(2_000, "exit 137")
+                .processEvent(2_050, "started");
         assertEquals(0, violations(killed.asked(1_950, "a").gaveUp(2_820, "a"), REPLACEMENT));
-        assertEquals(1, violations(killed.node(2_740, "serving"), REPLACEMENT));
+        assertEquals(1, violations(killed.processEvent(2_740, "serving"), REPLACEMENT));
     }
 
     /** Guards against excusing requests that arrived before the old process stopped accepting. */
--- a/src/test/java/rushproxy/lab/check/CordonCheckerTest.java
+++ b/src/test/java/rushproxy/lab/check/CordonCheckerTest.java
@@ -11,8 +11,8 @@
 class CordonCheckerTest {
     private static RecordedRunBuilder cordoned() {
         return new RecordedRunBuilder()
-                .called(1_000, 1_010, "cordon s0 -> ACK")
-                .called(6_000, 6_060, "uncordon s0 -> ACK");
+                .adminCall(1_000, 1_010, "cordon s0 -> ACK")
+                .adminCall(6_000, 6_060, "uncordon s0 -> ACK");
     }
 
     private static int sentAt(long ms) {
@@ -43,14 +43,14 @@
     void cordonWithoutTimelyReplyStartsAfterOneSecond() {
         for (String reply : new String[] {"no answer: Read timed out", "ACK"}) {
             RecordedRunBuilder builder = new RecordedRunBuilder()
-                    .called(1_000, 4_000, "cordon s0 -> " + reply)
+                    .adminCall(1_000, 4_000, "cordon s0 -> " + reply)
                     .got(2_001 + RecordedRunBuilder.graceMs(), 2_600, "a");
             assertEquals(1, builder.violations(new CordonChecker()), reply);
         }
         assertEquals(
                 0,
                 new RecordedRunBuilder()
-                        .called(1_000, 1_010, "cordon s0 -> NAK no such upstream")
+                        .adminCall(1_000, 1_010, "cordon s0 -> NAK no such upstream")
                         .got(3_000, 3_001, "a")
                         .violations(new CordonChecker()));
     }
@@ -59,7 +59,7 @@
     @Test
     void repeatedCordonNeedsOneUncordon() {
         RecordedRunBuilder builder =
-                cordoned().called(1_500, 1_510, "cordon s0 -> ACK").called(7_000, 7_010, "cordon s0 -> ACK");
+                cordoned().adminCall(1_500, 1_510, "cordon s0 -> ACK").adminCall(7_000, 7_010, "cordon s0 -> ACK");
         assertEquals(1, builder.got(6_500, 6_501, "a").got(8_000, 8_001, "b").violations(new CordonChecker()));
     }
 }
--- a/src/test/java/rushproxy/lab/check/DeadlineCheckerTest.java
+++ b/src/test/java/rushproxy/lab/check/DeadlineCheckerTest.java
@@ -11,8 +11,8 @@
 /** A request with a deadline of 800 ms is sent at 1 s, so 300 ms are left at 1.5 s; the checker allows 150 ms more. */
 class DeadlineCheckerTest {
     private static int violations(long toldMs, Observation... more) {
-        List<Observation> all =
-                new ArrayList<>(new RecordedRunBuilder().asked(1_000, "a").run().observations());
+        List<Observation> all = new ArrayList<>(
+                new RecordedRunBuilder().asked(1_000, "a").build().observations());
         all.addAll(List.of(more));
         all.add(new Observation(1_600_000, What.GOT, "n0", "s0", "a", null, null, 4, 1_590_000, 1_500_000, toldMs));
         return new DeadlineChecker()
--- a/src/test/java/rushproxy/lab/check/DepartedClientCheckerTest.java
+++ b/src/test/java/rushproxy/lab/check/DepartedClientCheckerTest.java
@@ -9,7 +9,7 @@
     private static final long TOO_LATE_MS = 201;
 
     private static RecordedRunBuilder left() {
-        return new RecordedRunBuilder().asked(1_000, "a").left(1_100, "a");
+        return new RecordedRunBuilder().asked(1_000, "a").clientLeft(1_100, "a");
     }
 
     @Test
@@ -38,7 +38,7 @@
     /** Guards against excusing an attempt that certainly started too late by the laboratory's lateness. */
     @Test
     void laboratoryLatenessDoesNotExcuseLateAttempt() {
-        RecordedRunBuilder late = left().late(2_000, 300).got(1_100 + TOO_LATE_MS, 1_600, 1_610, "a");
+        RecordedRunBuilder late = left().laboratoryLateness(2_000, 300).got(1_100 + TOO_LATE_MS, 1_600, 1_610, "a");
         assertEquals(1, late.violations(new DepartedClientChecker()));
     }
 }
--- a/src/test/java/rushproxy/lab/check/RecordedRunBuilder.java
+++ b/src/test/java/rushproxy/lab/check/RecordedRunBuilder.java
@@ -33,19 +33,19 @@
         return this;
     }
 
-    RecordedRunBuilder called(long sentMs, long answeredMs, String words) {
+    RecordedRunBuilder adminCall(long sentMs, long answeredMs, String words) {
         return add(answeredMs, What.CALLED, null, null, words, 0, sentMs);
     }
 
-    RecordedRunBuilder told(long ms, String state) {
+    RecordedRunBuilder discoveryUpdate(long ms, String state) {
         return add(ms, What.TOLD, "s0", null, state, 0, 0);
     }
 
-    RecordedRunBuilder node(long ms, String text) {
+    RecordedRunBuilder processEvent(long ms, String text) {
         return add(ms, What.NODE, null, null, text, 1, 0);
     }
 
-    RecordedRunBuilder late(long ms, double byMs) {
+    RecordedRunBuilder laboratoryLateness(long ms, double byMs) {
         return add(ms, What.LATE, null, null, null, byMs, 0);
     }
 
@@ -74,15 +74,15 @@
     }
 
     /** Adds the exit of a process, observed at {@code ms}, that had stopped accepting at {@code leftMs}. */
-    RecordedRunBuilder left(long ms, long leftMs) {
+    RecordedRunBuilder processExited(long ms, long leftMs) {
         return add(ms, What.NODE, null, null, "exit 0", 1, leftMs);
     }
 
-    RecordedRunBuilder left(long ms, String id) {
+    RecordedRunBuilder clientLeft(long ms, String id) {
         return add(ms, What.LEFT, null, id, null, 0, ms);
     }
 
-    RecordedRun run() {
+    RecordedRun build() {
         return new RecordedRun(
                 scenario(),
                 observations.stream()
@@ -91,6 +91,6 @@
     }
 
     int violations(Checker checker) {
-        return checker.check(run()).size();
+        return checker.check(build()).size();
     }
 }
--- a/src/test/java/rushproxy/lab/check/SingleResponseCheckerTest.java
+++ b/src/test/java/rushproxy/lab/check/SingleResponseCheckerTest.java
@@ -75,18 +75,18 @@
     @Test
     void lateObservedExitDoesNotExcuseNextProcess() throws Exception {
         RecordedRunBuilder builder = new RecordedRunBuilder()
-                .node(3_000, "kill")
-                .node(3_100, "started")
-                .node(3_400, "exit 137");
+                .processEvent(3_000, "kill")
+                .processEvent(3_100, "started")
+                .processEvent(3_400, "exit 137");
         assertEquals(1, builder.asked(3_200, "a").gaveUp(4_070, "a").violations(new SingleResponseChecker()));
     }
 
     private static RecordedRunBuilder stopped() {
         return new RecordedRunBuilder()
-                .node(1_000, "stop")
-                .node(1_010, "stop sent")
-                .node(1_950, "cont")
-                .node(1_960, "cont sent");
+                .processEvent(1_000, "stop")
+                .processEvent(1_010, "stop sent")
+                .processEvent(1_950, "cont")
+                .processEvent(1_960, "cont sent");
     }
 
     /** Guards against excusing every request near a stop: a deadline over half a second after it leaves time for a response. */
@@ -107,16 +107,16 @@
     @Test
     void onlyCertainLengthOfStopCounts() throws Exception {
         RecordedRunBuilder slowSignal = new RecordedRunBuilder()
-                .node(1_000, "stop")
-                .node(1_300, "stop sent")
-                .node(1_450, "cont")
-                .node(1_460, "cont sent");
+                .processEvent(1_000, "stop")
+                .processEvent(1_300, "stop sent")
+                .processEvent(1_450, "cont")
+                .processEvent(1_460, "cont sent");
         assertEquals(1, slowSignal.asked(1_350, "a").gaveUp(2_220, "a").violations(new SingleResponseChecker()));
         RecordedRunBuilder longStop = new RecordedRunBuilder()
-                .node(1_000, "stop")
-                .node(1_010, "stop sent")
-                .node(1_450, "cont")
-                .node(1_900, "cont sent");
+                .processEvent(1_000, "stop")
+                .processEvent(1_010, "stop sent")
+                .processEvent(1_450, "cont")
+                .processEvent(1_900, "cont sent");
         assertEquals(0, longStop.asked(1_350, "a").gaveUp(2_220, "a").violations(new SingleResponseChecker()));
     }
 }
