--- a/src/main/java/rushproxy/lab/Lab.java
+++ b/src/main/java/rushproxy/lab/Lab.java
@@ -41,7 +41,7 @@
 import rushproxy.lab.scenario.ScenarioReader;
 import rushproxy.lab.world.Addresses;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observations;
+import rushproxy.lab.world.ObservationLog;
 import rushproxy.lab.world.World;
 
 /**
@@ -91,7 +91,7 @@
     private final ConcurrentLinkedQueue<String> troubles = new ConcurrentLinkedQueue<>();
 
     private final Counts counts = new Counts();
-    private final Observations seen = new Observations(counts::add);
+    private final ObservationLog seen = new ObservationLog(counts::add);
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final CompletableFuture<Void> reported = new CompletableFuture<>();
     private long endedUs = Long.MAX_VALUE;
@@ -159,23 +159,23 @@
         Histogram beats = new Histogram(3);
         ExecutorService hands = Executors.newCachedThreadPool();
         ScheduledExecutorService times = Executors.newSingleThreadScheduledExecutor();
-        try (Addresses addresses = Addresses.take();
+        try (Addresses addresses = Addresses.claim();
                 Keeper keeper = new Keeper()) {
             World world = new World(scenario, seen, addresses);
             try {
                 world.open();
-                World.rehearse(scenario);
+                World.warmUp(scenario);
                 startAll(world, addresses, hands, keeper);
                 progress.says(scenario.name() + ": " + nodes.size() + " sidecars are ready; seed " + scenario.seed());
-                CompletableFuture<Void> settled = world.ask();
+                CompletableFuture<Void> settled = world.startTraffic();
                 long zero = System.nanoTime();
                 for (Scenario.Fault f : scenario.faults()) {
                     // By the clock of what is seen: a fault that is noted before its time is judged as one of another
                     // moment.
-                    long inUs = Math.max(0, f.atUs() - seen.us());
+                    long inUs = Math.max(0, f.atUs() - seen.nowUs());
                     times.schedule(() -> begin(f, world, times, hands), inUs, TimeUnit.MICROSECONDS);
                 }
-                ProcessorWaits waits = new ProcessorWaits(seen, world.processorFigures());
+                ProcessorWaits waits = new ProcessorWaits(seen, world.schedstatPath());
                 times.scheduleWithFixedDelay(
                         () -> waits.look(nodes), 0, ProcessorWaits.EVERY_MS, TimeUnit.MILLISECONDS);
                 times.scheduleAtFixedRate(
@@ -191,17 +191,17 @@
             } finally {
                 times.shutdownNow();
                 measure(world);
-                endedUs = seen.us();
+                endedUs = seen.nowUs();
                 nodes.forEach(Node::end);
                 hands.shutdownNow();
                 hands.awaitTermination(10, TimeUnit.SECONDS);
                 world.close();
                 sends = world.sendLateness();
-                beats = world.lateness();
+                beats = world.loopLateness();
             }
         }
         seen.all().stream()
-                .filter(o -> o.what() == Observation.What.TROUBLE)
+                .filter(o -> o.what() == Observation.EventType.TROUBLE)
                 .limit(5)
                 .forEach(o -> troubles.add(o.text()));
         if (failure == null && !troubles.isEmpty()) {
@@ -296,14 +296,14 @@
         } catch (TimeoutException e) {
             troubles.add("the clients had not settled " + TAIL_MS / 1_000 + " s after the end");
         }
-        world.stopAsking();
+        world.stopTraffic();
     }
 
     private void begin(Scenario.Fault f, World world, ScheduledExecutorService times, ExecutorService hands) {
         progress.says(String.format(Locale.ROOT, "%8.1f s  %s", f.atUs() / 1e6, f.words()));
-        seen.see(Observation.What.FAULT, null, null, null, null, f.words(), f.forUs() / 1e6, 0);
+        seen.add(Observation.EventType.FAULT, null, null, null, null, f.words(), f.forUs() / 1e6, 0);
         if (f.nodes().isEmpty() || f.what().startsWith("list-")) {
-            world.begin(f);
+            world.startFault(f);
             return;
         }
         int i = 0;
@@ -422,7 +422,7 @@
         }
         Set<String> asked = new HashSet<>();
         for (Observation o : seen.all()) {
-            if (o.what() != Observation.What.NODE) {
+            if (o.what() != Observation.EventType.NODE) {
                 continue;
             }
             String process = o.node() + " " + Math.round(o.number());
@@ -450,20 +450,20 @@
     }
 
     private void restart(Node node, World world) throws IOException, InterruptedException, Node.Trouble {
-        world.leaving(node.number, true);
+        world.setNodeLeaving(node.number, true);
         node.stop(patienceMs());
         again(node);
-        world.leaving(node.number, false);
+        world.setNodeLeaving(node.number, false);
     }
 
     /** As {@link #restart}, the signals in a series: a reload just before the end is asked for, another in it, and the end asked for twice. */
     private void restartBySeries(Node node, World world) throws IOException, InterruptedException, Node.Trouble {
         world.moveDiscovery(node.number);
         node.reload();
-        world.leaving(node.number, true);
+        world.setNodeLeaving(node.number, true);
         node.stopBySeries(patienceMs());
         again(node);
-        world.leaving(node.number, false);
+        world.setNodeLeaving(node.number, false);
     }
 
     /** Discovery moves some times in a row, each told by SIGHUP, with no pause between them. A platform tells no process that starts or ends. */
@@ -487,7 +487,7 @@
     private void measure(World world) throws InterruptedException {
         for (int i = 0; i < nodes.size(); i++) {
             Map<String, Double> cost = nodes.get(i).cost();
-            long[] peers = world.peerCost(i);
+            long[] peers = world.peerTraffic(i);
             cost.put("datagrams", (double) peers[0]);
             cost.put("datagram_bytes", (double) peers[1]);
             costs.put(nodes.get(i).name, cost);
@@ -556,13 +556,13 @@
         private int other;
 
         synchronized void add(Observation o) {
-            if (o.what() == Observation.What.SETTLED) {
+            if (o.what() == Observation.EventType.SETTLED) {
                 if (o.text().startsWith("served")) {
                     served++;
                 } else {
                     other++;
                 }
-            } else if (o.what() == Observation.What.ASKED) {
+            } else if (o.what() == Observation.EventType.ASKED) {
                 asked++;
             }
         }
--- a/src/main/java/rushproxy/lab/check/Absences.java
+++ b/src/main/java/rushproxy/lab/check/Absences.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * When a node had no process that took clients from the socket that the laboratory holds for it: from the moment in which its last process
@@ -23,7 +23,7 @@
             return;
         }
         Map<String, Set<Double>> taking = new HashMap<>();
-        for (Observation o : run.of(What.NODE)) {
+        for (Observation o : run.of(EventType.NODE)) {
             Set<Double> processes = taking.computeIfAbsent(o.node(), n -> new HashSet<>());
             Periods absences = byNode.computeIfAbsent(o.node(), n -> new Periods());
             if (o.text().equals("serving") || o.text().equals("ready")) {
@@ -47,7 +47,7 @@
      */
     boolean nobodyCouldTake(Observation asked, List<Observation> ofRequest) {
         long deadlineUs = asked.us() + Math.round(asked.number() * 1e3);
-        boolean got = ofRequest.stream().anyMatch(o -> o.what() == What.GOT && o.sinceUs() <= deadlineUs);
+        boolean got = ofRequest.stream().anyMatch(o -> o.what() == EventType.GOT && o.sinceUs() <= deadlineUs);
         return !got && cover(asked.node(), asked.us(), deadlineUs);
     }
 }
--- a/src/main/java/rushproxy/lab/check/Bans.java
+++ b/src/main/java/rushproxy/lab/check/Bans.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** When each node must send each server nothing new. */
 final class Bans {
@@ -36,15 +36,15 @@
         long graceUs =
                 run.scenario().rules().drainGraceUs() + run.scenario().rules().slackUs();
         List<Violation> found = new ArrayList<>();
-        for (Observation got : run.of(What.GOT)) {
+        for (Observation got : run.of(EventType.GOT)) {
             Periods bans = of(got.node(), got.server());
-            Long since = bans.beginOf(got.beganEarliestUs());
-            if (since != null && bans.cover(since, got.sinceUs()) && got.beganEarliestUs() > since + graceUs) {
+            Long since = bans.beginOf(got.earliestStartUs());
+            if (since != null && bans.cover(since, got.sinceUs()) && got.earliestStartUs() > since + graceUs) {
                 found.add(new Violation(
                         rule,
                         got.us(),
                         got.id(),
-                        "sent by " + got.node() + " to " + got.server() + " " + (got.beganEarliestUs() - since) / 1_000
+                        "sent by " + got.node() + " to " + got.server() + " " + (got.earliestStartUs() - since) / 1_000
                                 + " ms after " + why));
             }
         }
--- a/src/main/java/rushproxy/lab/check/ColdBudget.java
+++ b/src/main/java/rushproxy/lab/check/ColdBudget.java
@@ -40,7 +40,7 @@
         void add(Observation got, long fallUs) {
             Long told = toldUs.get(got.node());
             Sent sent =
-                    new Sent(got.us(), got.number(), told != null && got.beganEarliestUs() >= told ? got.number() : 0);
+                    new Sent(got.us(), got.number(), told != null && got.earliestStartUs() >= told ? got.number() : 0);
             window.add(sent);
             work += sent.work;
             informed += sent.informed;
--- a/src/main/java/rushproxy/lab/check/Cordons.java
+++ b/src/main/java/rushproxy/lab/check/Cordons.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Nothing new goes to a server that operators have called out. The ban begins with the grace after the sidecar's yes, or after the time
@@ -20,7 +20,7 @@
     @Override
     public List<Violation> check(Run run) {
         Bans bans = new Bans();
-        for (Observation call : run.of(What.CALLED)) {
+        for (Observation call : run.of(EventType.CALLED)) {
             String[] words = call.text().split(" ");
             // One that got no answer may have been obeyed.
             boolean refused = call.text().contains(" -> NAK");
--- a/src/main/java/rushproxy/lab/check/Deadlines.java
+++ b/src/main/java/rushproxy/lab/check/Deadlines.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** The time that a sidecar tells a server is at most what the client has left when the request is sent, with a slack for a hold-up. */
 final class Deadlines implements Checker {
@@ -21,13 +21,13 @@
         for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
             long untilUs = Long.MIN_VALUE;
             for (Observation o : e.getValue()) {
-                if (o.what() == What.ASKED || o.what() == What.WRITTEN) {
+                if (o.what() == EventType.ASKED || o.what() == EventType.WRITTEN) {
                     untilUs = Math.max(untilUs, o.us() + Math.round(o.number() * 1e3));
                 }
             }
             for (Observation o : e.getValue()) {
-                long leftUs = untilUs - o.beganEarliestUs();
-                if (o.what() == What.GOT && untilUs != Long.MIN_VALUE && o.toldMs() * 1_000 > leftUs + SLACK_US) {
+                long leftUs = untilUs - o.earliestStartUs();
+                if (o.what() == EventType.GOT && untilUs != Long.MIN_VALUE && o.toldMs() * 1_000 > leftUs + SLACK_US) {
                     found.add(new Violation(
                             rule(),
                             o.us(),
--- a/src/main/java/rushproxy/lab/check/Departures.java
+++ b/src/main/java/rushproxy/lab/check/Departures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Nothing is begun for a client that has gone, as it wished or since its time was over, and one that stops within a request is shown an
@@ -27,25 +27,27 @@
 
     @Override
     public List<Violation> check(Run run) {
-        List<Observation> late = run.of(What.LATE);
+        List<Observation> late = run.of(EventType.LATE);
         List<Violation> found = new ArrayList<>();
         for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
             Observation left = e.getValue().stream()
-                    .filter(o -> o.what() == What.LEFT || o.what() == What.GAVE_UP)
+                    .filter(o -> o.what() == EventType.LEFT || o.what() == EventType.GAVE_UP)
                     .findFirst()
                     .orElse(null);
             for (Observation o : e.getValue()) {
-                if (left != null && o.what() == What.GOT && o.beganEarliestUs() > left.us() + ALLOWED_US + WAY_US) {
+                if (left != null
+                        && o.what() == EventType.GOT
+                        && o.earliestStartUs() > left.us() + ALLOWED_US + WAY_US) {
                     found.add(new Violation(
                             rule(),
                             o.us(),
                             e.getKey(),
-                            "came to " + o.server() + " " + (o.beganEarliestUs() - left.us()) / 1_000
+                            "came to " + o.server() + " " + (o.earliestStartUs() - left.us()) / 1_000
                                     + " ms after its client had gone"));
                 }
             }
         }
-        for (Observation o : run.of(What.DISMISSED)) {
+        for (Observation o : run.of(EventType.DISMISSED)) {
             if (o.number() > DISMISSED_MS + lateUs(late, o.sinceUs(), o.us()) / 1e3 + WAY_US / 1e3) {
                 found.add(new Violation(
                         rule(),
--- a/src/main/java/rushproxy/lab/check/OneAnswer.java
+++ b/src/main/java/rushproxy/lab/check/OneAnswer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Each request that a running sidecar has taken gets exactly one final answer in time. What a process held that was
@@ -116,7 +116,7 @@
          */
         boolean brokenByKill(Observation asked, Observation broke) {
             return kills.stream()
-                            .anyMatch(k -> k.within(broke.beganEarliestUs(), broke.us())
+                            .anyMatch(k -> k.within(broke.earliestStartUs(), broke.us())
                                     && broke.sinceUs() <= nextStartUs(k) + 1_000)
                     && !toldToStopBefore(asked.us(), broke.us());
         }
@@ -161,15 +161,16 @@
         List<Violation> found = new ArrayList<>();
         for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
             Observation ask = e.getValue().stream()
-                    .filter(o -> o.what() == What.ASKED)
+                    .filter(o -> o.what() == EventType.ASKED)
                     .findFirst()
                     .orElse(null);
             if (ask == null) {
                 continue;
             }
             Life life = lives.computeIfAbsent(ask.node(), n -> new Life());
-            List<Observation> answers =
-                    e.getValue().stream().filter(o -> o.what() == What.ANSWERED).toList();
+            List<Observation> answers = e.getValue().stream()
+                    .filter(o -> o.what() == EventType.ANSWERED)
+                    .toList();
             if (answers.size() > 1) {
                 found.add(new Violation(
                         rule(), answers.get(1).us(), e.getKey(), "was answered " + answers.size() + " times"));
@@ -179,9 +180,9 @@
                 // A connection that breaks was broken by somebody: neither a stop nor an absence does that.
                 boolean nobodyThere = life.stalled(ask.us(), deadlineUs) || absences.nobodyCouldTake(ask, e.getValue());
                 boolean killedInQueue = life.killedAndNobodyThere(ask, o.us(), deadlineUs, absences);
-                if (o.what() == What.GAVE_UP && o.text() == null && !killedInQueue && !nobodyThere) {
+                if (o.what() == EventType.GAVE_UP && o.text() == null && !killedInQueue && !nobodyThere) {
                     found.add(new Violation(rule(), o.us(), e.getKey(), "got no answer in its time"));
-                } else if (o.what() == What.BROKE && !life.brokenByKill(ask, o)) {
+                } else if (o.what() == EventType.BROKE && !life.brokenByKill(ask, o)) {
                     if ("part".equals(o.text()) && spoilt(e.getValue())) {
                         // What an upstream broke off can't be made whole: its client has seen that, and in its time.
                         continue;
@@ -191,7 +192,7 @@
                 }
             }
         }
-        for (Observation o : run.of(What.ANSWERED)) {
+        for (Observation o : run.of(EventType.ANSWERED)) {
             if (o.id() == null) {
                 found.add(new Violation(rule(), o.us(), null, "an answer came that nobody had asked for: " + o.text()));
             }
@@ -200,12 +201,12 @@
     }
 
     private static boolean spoilt(List<Observation> of) {
-        return of.stream().anyMatch(o -> o.what() == What.SPOILED);
+        return of.stream().anyMatch(o -> o.what() == EventType.SPOILED);
     }
 
     private static Map<String, Life> lives(Run run) {
         Map<String, Life> lives = new HashMap<>();
-        for (Observation o : run.of(What.NODE)) {
+        for (Observation o : run.of(EventType.NODE)) {
             lives.computeIfAbsent(o.node(), n -> new Life()).see(o);
         }
         lives.values().forEach(Life::end);
--- a/src/main/java/rushproxy/lab/check/Run.java
+++ b/src/main/java/rushproxy/lab/check/Run.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** What was seen in a run, in order, and the scenario that it was a run of: all that a checker may know. */
 public final class Run {
@@ -37,7 +37,7 @@
         return byId;
     }
 
-    public List<Observation> of(What what) {
+    public List<Observation> of(EventType what) {
         return all.stream().filter(o -> o.what() == what).toList();
     }
 
--- a/src/main/java/rushproxy/lab/check/RunsOnce.java
+++ b/src/main/java/rushproxy/lab/check/RunsOnce.java
@@ -6,7 +6,7 @@
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.scenario.ScenarioReader;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Nothing that may have run is sent again unless its class allows: a safe one as often as one likes, a keyed one within
@@ -28,7 +28,7 @@
         List<Violation> found = new ArrayList<>();
         for (Map.Entry<String, List<Observation>> e : run.byId().entrySet()) {
             Observation ask = e.getValue().stream()
-                    .filter(o -> o.what() == What.ASKED)
+                    .filter(o -> o.what() == EventType.ASKED)
                     .findFirst()
                     .orElse(null);
             Scenario.RequestClass spec = ask == null ? null : run.requestClass(ask.text());
@@ -40,7 +40,7 @@
             List<Observation> all = e.getValue();
             for (int i = 0; i < all.size(); i++) {
                 Observation o = all.get(i);
-                if (o.what() == What.GOT) {
+                if (o.what() == EventType.GOT) {
                     if (ran != null && !mayFollow(spec, ran, o, zones, cells)) {
                         found.add(new Violation(
                                 rule(),
@@ -53,7 +53,7 @@
                         ran = o;
                     }
                 }
-                boolean refusal = o.what() == What.ANSWERED
+                boolean refusal = o.what() == EventType.ANSWERED
                         && (o.text().startsWith("503") || o.text().startsWith("429"));
                 if (refusal
                         && ran != null
@@ -72,7 +72,7 @@
     private static boolean turnedAway(List<Observation> all, int got) {
         for (Observation o : all.subList(got + 1, all.size())) {
             if (o.server() != null && o.server().equals(all.get(got).server())) {
-                return o.what() == What.TURNED_AWAY;
+                return o.what() == EventType.TURNED_AWAY;
             }
         }
         return false;
@@ -91,7 +91,7 @@
             case "cell" -> cells.get(a).equals(cells.get(b));
             default -> true;
         };
-        return together && next.beganEarliestUs() - ran.sinceUs() <= spec.windowUs() + SLACK_US;
+        return together && next.earliestStartUs() - ran.sinceUs() <= spec.windowUs() + SLACK_US;
     }
 
     /** The pod of each server, numbered through all groups. */
--- a/src/main/java/rushproxy/lab/check/Starvation.java
+++ b/src/main/java/rushproxy/lab/check/Starvation.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Tells which lost requests say nothing of the program: those for most of whose time the laboratory's loop, or their sidecar's, was ready
@@ -22,7 +22,7 @@
     /** Of what was seen in the run. */
     public Starvation(Run run) {
         this.run = run;
-        run.of(What.WAITED)
+        run.of(EventType.WAITED)
                 .forEach(o ->
                         waits.computeIfAbsent(o.node(), n -> new ArrayList<>()).add(o));
     }
@@ -33,11 +33,11 @@
             return false;
         }
         List<Observation> ofRequest = run.byId().getOrDefault(lost.id(), List.of());
-        if (ofRequest.stream().anyMatch(o -> o.what() == What.BROKE || o.what() == What.ANSWERED)) {
+        if (ofRequest.stream().anyMatch(o -> o.what() == EventType.BROKE || o.what() == EventType.ANSWERED)) {
             return false;
         }
         Observation asked = ofRequest.stream()
-                .filter(o -> o.what() == What.ASKED)
+                .filter(o -> o.what() == EventType.ASKED)
                 .findFirst()
                 .orElse(null);
         if (asked == null || lost.us() <= asked.us()) {
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -19,8 +19,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Addresses;
-import rushproxy.lab.world.Observation.What;
-import rushproxy.lab.world.Observations;
+import rushproxy.lab.world.Observation.EventType;
+import rushproxy.lab.world.ObservationLog;
 import rushproxy.lab.world.World;
 
 /**
@@ -50,7 +50,7 @@
     private final Scenario scenario;
     private final World world;
     private final Addresses addresses;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Path folder;
     private final NodeLog log;
     private final UniformRandomProvider random;
@@ -79,7 +79,7 @@
             Scenario scenario,
             World world,
             Addresses addresses,
-            Observations seen,
+            ObservationLog seen,
             Path folder,
             Build build,
             UniformRandomProvider random,
@@ -147,7 +147,7 @@
         try {
             new AddressProbe(address).close();
         } catch (IOException e) {
-            throw new Trouble(name + ": the address for its " + whose + ", " + Addresses.text(address)
+            throw new Trouble(name + ": the address for its " + whose + ", " + Addresses.format(address)
                     + ", is taken by somebody else");
         }
     }
@@ -164,10 +164,10 @@
         builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
         builder.environment().put("BALANCER_CONFIG", config.toAbsolutePath().toString());
         builder.environment().put("BALANCER_NAME", name);
-        builder.environment().put("BALANCER_LISTEN", Addresses.text(addresses.listen(number)));
-        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.text(addresses.admin(number, process)));
+        builder.environment().put("BALANCER_LISTEN", Addresses.format(addresses.listen(number)));
+        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.format(addresses.admin(number, process)));
         // For commands to a run that is on its way.
-        Files.writeString(folder.resolve("admin"), Addresses.text(addresses.admin(number, process)) + "\n");
+        Files.writeString(folder.resolve("admin"), Addresses.format(addresses.admin(number, process)) + "\n");
         builder.environment()
                 .put("TMPDIR", folder.resolve("tmp").toAbsolutePath().toString());
         if (systemFaults != null) {
@@ -193,7 +193,7 @@
             processes.add(p);
             keeper.keep(p);
             current = process;
-            seen.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
+            seen.add(EventType.NODE, name, null, null, null, "started", p.pid(), 0);
             p.onExit().thenAccept(this::ended);
         }
     }
@@ -204,7 +204,7 @@
         boolean left = termUs != null && gone.exitValue() == 0;
         OptionalLong leftAfterUs = left ? log.lastLeftAfterUs() : OptionalLong.empty();
         long leftUs = leftAfterUs.isPresent() ? termUs + leftAfterUs.getAsLong() : 0;
-        seen.see(What.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
+        seen.add(EventType.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
     }
 
     private Process last() {
@@ -227,7 +227,7 @@
         while (true) {
             if (shared != null && !serving && log.saysItServes(logBefore)) {
                 serving = true;
-                seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
+                seen.add(EventType.NODE, name, null, null, null, "serving", last().pid(), 0);
             }
             // Before somebody takes from a socket that is held nobody answers.
             if (ready(shared == null || serving ? CALL_MS : FIRST_CALL_MS)) {
@@ -245,7 +245,7 @@
             }
             Thread.sleep(POLL_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "ready", last().pid(), 0);
+        seen.add(EventType.NODE, name, null, null, null, "ready", last().pid(), 0);
     }
 
     private synchronized boolean isEnded() {
@@ -273,7 +273,7 @@
 
     private String call(String line, int process) {
         String answer;
-        long sentUs = seen.us();
+        long sentUs = seen.nowUs();
         try (Socket s = new Socket()) {
             s.connect(addresses.admin(number, process), CALL_MS);
             s.setSoTimeout(CALL_MS);
@@ -282,7 +282,7 @@
         } catch (IOException e) {
             answer = "no answer: " + e.getMessage();
         }
-        seen.see(What.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
+        seen.add(EventType.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
         return answer;
     }
 
@@ -294,15 +294,15 @@
     private void signal(String signal, Process to) throws IOException, InterruptedException {
         if (to.isAlive()) {
             if (signal.equals("TERM")) {
-                termsUs.putIfAbsent(to.pid(), seen.us());
+                termsUs.putIfAbsent(to.pid(), seen.nowUs());
             }
-            seen.see(What.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
+            seen.add(EventType.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
             new ProcessBuilder("kill", "-" + signal, Long.toString(to.pid()))
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start()
                     .waitFor();
-            seen.see(
-                    What.NODE,
+            seen.add(
+                    EventType.NODE,
                     name,
                     null,
                     null,
@@ -370,7 +370,7 @@
             }
             Thread.sleep(POLL_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
+        seen.add(EventType.NODE, name, null, null, null, "serving", last().pid(), 0);
         stop(old, patienceMs);
     }
 
--- a/src/main/java/rushproxy/lab/node/NodeConfig.java
+++ b/src/main/java/rushproxy/lab/node/NodeConfig.java
@@ -20,18 +20,18 @@
             throws java.io.IOException {
         ObjectNode c = JSON.createObjectNode();
         c.put("name", "n" + node)
-                .put("listen", Addresses.text(addresses.listen(node)))
-                .put("discovery", Addresses.text(discovery))
+                .put("listen", Addresses.format(addresses.listen(node)))
+                .put("discovery", Addresses.format(discovery))
                 .put("seed", Long.toHexString(seed))
-                .put("admin_addr", Addresses.text(addresses.admin(node, 0)))
-                .put("peer_listen", Addresses.text(addresses.peerListen(node)));
+                .put("admin_addr", Addresses.format(addresses.admin(node, 0)))
+                .put("peer_listen", Addresses.format(addresses.peerListen(node)));
         c.putObject("limits")
                 .put("cores", scenario.fleet().cores())
                 .put("memory_mb", scenario.fleet().memoryMb())
                 .put("sockets", scenario.fleet().sockets());
         ArrayNode peers = c.putArray("peers");
         for (int i = 0; i < scenario.fleet().nodes(); i++) {
-            peers.add(Addresses.text(addresses.peer(node, i)));
+            peers.add(Addresses.format(addresses.peer(node, i)));
         }
         c.set("known", known);
         c.set("settings", settings(scenario, node));
--- a/src/main/java/rushproxy/lab/node/ProcessorWaits.java
+++ b/src/main/java/rushproxy/lab/node/ProcessorWaits.java
@@ -8,8 +8,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rushproxy.lab.world.Observation.What;
-import rushproxy.lab.world.Observations;
+import rushproxy.lab.world.Observation.EventType;
+import rushproxy.lab.world.ObservationLog;
 
 /**
  * Sees by the kernel's figures for how long event loops were ready to run and had to wait for a processor: the laboratory's own, and that
@@ -27,7 +27,7 @@
 
     private static final double US_A_MS = 1e3;
 
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Path laboratory;
     private final Map<String, Watched> watched = new HashMap<>();
 
@@ -49,7 +49,7 @@
     }
 
     /** {@code laboratory}: the kernel's figures for the laboratory's loop; null where it has none. */
-    public ProcessorWaits(Observations seen, Path laboratory) {
+    public ProcessorWaits(ObservationLog seen, Path laboratory) {
         this.seen = seen;
         this.laboratory = laboratory == null ? null : laboratory.getParent();
     }
@@ -88,7 +88,7 @@
     }
 
     private void look(String node, Watched of) {
-        long now = seen.us();
+        long now = seen.nowUs();
         ThreadSample loop;
         ThreadSample machine;
         try {
@@ -103,7 +103,7 @@
         } else {
             double waitedMs = of.wait.since(loop, machine, (now - of.sinceUs) / US_A_MS);
             if (waitedMs >= LEAST_MS) {
-                seen.see(What.WAITED, node, null, null, null, null, waitedMs, of.sinceUs);
+                seen.add(EventType.WAITED, node, null, null, null, null, waitedMs, of.sinceUs);
             }
         }
         of.sinceUs = now;
--- a/src/main/java/rushproxy/lab/report/Figures.java
+++ b/src/main/java/rushproxy/lab/report/Figures.java
@@ -10,7 +10,7 @@
 import rushproxy.lab.check.Run;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * What became of the first tries of a run, or of a stretch of it, by the time at which they were meant to leave. Parts are
@@ -41,7 +41,7 @@
         int all = 0;
         long runs = 0;
         for (Observation o : run.all()) {
-            if (o.what() == What.SETTLED && o.sinceUs() >= fromUs && o.sinceUs() < toUs) {
+            if (o.what() == EventType.SETTLED && o.sinceUs() >= fromUs && o.sinceUs() < toUs) {
                 String[] words = o.text().split(" ");
                 all++;
                 by.merge(words[0], 1, Integer::sum);
@@ -52,7 +52,7 @@
                     latency.recordValue(Math.round(o.number() * 1e3));
                 }
             } else if (o.us() >= fromUs && o.us() < toUs) {
-                runs += o.what() == What.GOT ? 1 : o.what() == What.TURNED_AWAY ? -1 : 0;
+                runs += o.what() == EventType.GOT ? 1 : o.what() == EventType.TURNED_AWAY ? -1 : 0;
             }
         }
         double n = Math.max(1, all);
@@ -121,20 +121,20 @@
             held.add(new TreeMap<>());
         }
         for (Observation o : run.all()) {
-            long at = o.what() == What.SETTLED ? o.sinceUs() : o.us();
+            long at = o.what() == EventType.SETTLED ? o.sinceUs() : o.us();
             int s = (int) Math.floorDiv(at, 1_000_000L);
             if (s < 0 || s >= n) {
                 continue;
             }
-            if (o.what() == What.SETTLED) {
+            if (o.what() == EventType.SETTLED) {
                 String how = o.text().split(" ")[0];
                 by.get(s).merge(how, 1, Integer::sum);
                 if (how.equals("served") || how.equals("late")) {
                     latency.get(s).recordValue(Math.round(o.number() * 1e3));
                 }
-            } else if (o.what() == What.HELD) {
+            } else if (o.what() == EventType.HELD) {
                 held.get(s).put(o.text(), o.number());
-            } else if (o.what() == What.LATE) {
+            } else if (o.what() == EventType.LATE) {
                 late[s] = Math.max(late[s], o.number());
             }
         }
--- a/src/main/java/rushproxy/lab/scale/RealSidecars.java
+++ b/src/main/java/rushproxy/lab/scale/RealSidecars.java
@@ -74,14 +74,14 @@
     private ObjectNode config(int member) throws IOException {
         ObjectNode c = JSON.createObjectNode();
         c.put("name", LoopbackFleet.name(member))
-                .put("listen", Addresses.text(addresses.listen(member)))
+                .put("listen", Addresses.format(addresses.listen(member)))
                 .put("discovery", addresses.listen(member).getAddress().getHostAddress() + ":" + NO_DISCOVERY_PORT)
-                .put("admin_addr", Addresses.text(addresses.admin(member, 0)))
+                .put("admin_addr", Addresses.format(addresses.admin(member, 0)))
                 .put("seed", Long.toHexString(plan.seed() + member))
-                .put("peer_listen", Addresses.text(peers.get(member)));
+                .put("peer_listen", Addresses.format(peers.get(member)));
         c.putObject("limits").put("cores", 1).put("memory_mb", MEMORY_MB).put("sockets", 256);
         ArrayNode all = c.putArray("peers");
-        peers.forEach(p -> all.add(Addresses.text(p)));
+        peers.forEach(p -> all.add(Addresses.format(p)));
         c.putObject("fleet").put("members", true);
         c.putObject("known").put("generation", 1).put("reset", true).putArray("instances");
         c.set("settings", settings(member));
--- a/src/main/java/rushproxy/lab/scale/ScaleRun.java
+++ b/src/main/java/rushproxy/lab/scale/ScaleRun.java
@@ -68,7 +68,7 @@
     public static ScaleResult real(ScalePlan plan, Build build, Path folder, Consumer<String> progress)
             throws IOException {
         WorkMeter work = new WorkMeter();
-        try (Addresses addresses = Addresses.take()) {
+        try (Addresses addresses = Addresses.claim()) {
             List<InetSocketAddress> peers = IntStream.range(0, plan.members())
                     .mapToObj(addresses::peerListen)
                     .toList();
--- a/src/main/java/rushproxy/lab/world/Strangers.java
+++ b/src/main/java/rushproxy/lab/world/AbusiveConnections.java
@@ -12,10 +12,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** Connections to sidecars that bring no request of the application: some stop within one, others only take places. */
-final class Strangers {
+final class AbusiveConnections {
     private static final int CONNECT_MS = 1_000;
     private static final String HALF_A_REQUEST = "POST /api HTTP/1.1\r\nHost: a\r\nX-Tx";
     private static final String QUESTION = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -25,10 +25,10 @@
     private static final long CROWD_STAYS_US = 3_000_000;
 
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final List<InetSocketAddress> sidecars;
 
-    Strangers(EventLoop loop, Observations seen, List<InetSocketAddress> sidecars) {
+    AbusiveConnections(EventLoop loop, ObservationLog seen, List<InetSocketAddress> sidecars) {
         this.loop = loop;
         this.seen = seen;
         this.sidecars = sidecars;
@@ -36,11 +36,19 @@
 
     /** Stops in the middle of a request and stays: it is owed an error or a close. */
     void stopHalfWay(int node) {
-        long sinceUs = seen.us();
-        connect(node, new Stranger(HALF_A_REQUEST) {
+        long sinceUs = seen.nowUs();
+        connect(node, new AbusiveConnection(HALF_A_REQUEST) {
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                seen.see(What.DISMISSED, "n" + node, null, null, null, null, (seen.us() - sinceUs) / 1e3, sinceUs);
+                seen.add(
+                        EventType.DISMISSED,
+                        "n" + node,
+                        null,
+                        null,
+                        null,
+                        null,
+                        (seen.nowUs() - sinceUs) / 1e3,
+                        sinceUs);
             }
         });
     }
@@ -48,7 +56,7 @@
     /** Connections that take places and stay for a while: half of them ask something once, the others say nothing. */
     void crowd(int node) {
         for (int i = 0; i < CROWD; i++) {
-            connect(node, new Stranger(i % 2 == 0 ? QUESTION : "") {
+            connect(node, new AbusiveConnection(i % 2 == 0 ? QUESTION : "") {
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
                     super.channelActive(ctx);
@@ -58,7 +66,7 @@
         }
     }
 
-    private void connect(int node, Stranger stranger) {
+    private void connect(int node, AbusiveConnection stranger) {
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -68,10 +76,10 @@
     }
 
     /** Says its words, and reads what comes without a look at it. */
-    private abstract static class Stranger extends ChannelInboundHandlerAdapter {
+    private abstract static class AbusiveConnection extends ChannelInboundHandlerAdapter {
         private final String words;
 
-        Stranger(String words) {
+        AbusiveConnection(String words) {
             this.words = words;
         }
 
--- a/src/main/java/rushproxy/lab/world/Addresses.java
+++ b/src/main/java/rushproxy/lab/world/Addresses.java
@@ -32,7 +32,7 @@
     }
 
     /** The first block that nobody holds. */
-    public static Addresses take() throws IOException {
+    public static Addresses claim() throws IOException {
         for (int b = FIRST_BLOCK; b < FIRST_BLOCK + BLOCKS; b++) {
             try {
                 return new Addresses(b, new ServerSocket(LOCK_PORT, 1, InetAddress.getByName("127." + b + ".255.1")));
@@ -85,7 +85,7 @@
         return at(PEERS, from, FIRST_PEER + to);
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
--- a/src/main/java/rushproxy/lab/world/ArrivalClock.java
+++ b/src/main/java/rushproxy/lab/world/ArrivalTimeEstimator.java
@@ -5,7 +5,7 @@
  * the sender is judged by when it sent. The kernel knows the age of the last data alone, so that is the first byte's own age where one
  * segment has come since the read before; of several the first came by then, and not before that read.
  */
-final class ArrivalClock {
+final class ArrivalTimeEstimator {
     /** The kernel counts in steps of up to 10 ms. */
     static final long STEP_US = 10_000;
 
@@ -13,14 +13,14 @@
     /** All that came before was read; of a new connection nothing is known but that somebody listened. */
     private long emptyUs;
 
-    ArrivalClock(long listensSinceUs) {
+    ArrivalTimeEstimator(long listensSinceUs) {
         emptyUs = listensSinceUs;
     }
 
     /** The kernel was asked at {@code fromUs} at the earliest and {@code untilUs} at the latest; the read follows. */
-    ArrivalTime beforeRead(ReceivedData.Received received, long fromUs, long untilUs) {
+    ArrivalTime beforeRead(TcpReceiveInfo.Received received, long fromUs, long untilUs) {
         int fresh = received.dataSegments() - segments;
-        boolean knows = received.lastAgoUs() != ReceivedData.UNKNOWN && received.dataSegments() > 0;
+        boolean knows = received.lastAgoUs() != TcpReceiveInfo.UNKNOWN && received.dataSegments() > 0;
         ArrivalTime first = !knows || fresh == 0
                 ? ArrivalTime.readAt(untilUs)
                 : between(
--- a/src/main/java/rushproxy/lab/world/Clients.java
+++ b/src/main/java/rushproxy/lab/world/Clients.java
@@ -36,7 +36,7 @@
 import java.util.function.DoubleSupplier;
 import org.HdrHistogram.Histogram;
 import rushproxy.lab.scenario.Scenario;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * The applications beside the sidecars: an open loop of first tries, their retries, and a pool of connections for each
@@ -57,19 +57,19 @@
     private static final long SLACK_US = 70_000;
 
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Scenario scenario;
     private final DoubleSupplier chance;
     private final List<Traffic.Arrival> arrivals;
     private final List<InetSocketAddress> sidecars;
-    private final List<ArrayDeque<Line>> idle;
-    private final Map<String, UpstreamServer.Needs> asked = new HashMap<>();
+    private final List<ArrayDeque<Connection>> idle;
+    private final Map<String, UpstreamServer.RequestProfile> asked = new HashMap<>();
     /** By how much first tries left later than they were meant to, in microseconds. */
     final Histogram lateness = new Histogram(3);
     /** By node: from then on nobody connects anew, as its platform has told it to leave. */
     private final long[] connectsUntilUs;
     /** Those that send no whole request. */
-    private final Strangers strangers;
+    private final AbusiveConnections strangers;
 
     private int next;
     private int open;
@@ -81,7 +81,7 @@
 
     Clients(
             EventLoop loop,
-            Observations seen,
+            ObservationLog seen,
             Scenario scenario,
             DoubleSupplier chance,
             List<Traffic.Arrival> arrivals,
@@ -92,10 +92,10 @@
         this.chance = chance;
         this.arrivals = arrivals;
         this.sidecars = sidecars;
-        strangers = new Strangers(loop, seen, sidecars);
+        strangers = new AbusiveConnections(loop, seen, sidecars);
         connectsUntilUs = new long[sidecars.size()];
         Arrays.fill(connectsUntilUs, Long.MAX_VALUE);
-        idle = sidecars.stream().map(s -> new ArrayDeque<Line>()).toList();
+        idle = sidecars.stream().map(s -> new ArrayDeque<Connection>()).toList();
     }
 
     /** {@code settled} runs when all first tries are over. */
@@ -105,13 +105,13 @@
     }
 
     /** What a request that a client has sent needs; null for any other id. */
-    UpstreamServer.Needs needs(String id) {
+    UpstreamServer.RequestProfile needs(String id) {
         return asked.get(id);
     }
 
     /** The node was told to leave: new connections come for some tenths of a second more. */
     void leaving(int node) {
-        connectsUntilUs[node] = seen.us() + Math.round(CONNECTS_ON_US * (1 + chance.getAsDouble()));
+        connectsUntilUs[node] = seen.nowUs() + Math.round(CONNECTS_ON_US * (1 + chance.getAsDouble()));
     }
 
     /** The node is ready again. */
@@ -136,11 +136,11 @@
     }
 
     private void look() {
-        long now = seen.us();
+        long now = seen.nowUs();
         while (next < arrivals.size() && arrivals.get(next).atUs() <= now) {
             open++;
             lateness.recordValue(now - arrivals.get(next).atUs());
-            new Asked(arrivals.get(next++)).attempt(0);
+            new LogicalRequest(arrivals.get(next++)).attempt(0);
         }
         if (next < arrivals.size()) {
             loop.schedule(this::look, arrivals.get(next).atUs() - now, TimeUnit.MICROSECONDS);
@@ -152,21 +152,21 @@
     }
 
     /** What a client wants, from its first try to the end of the last. */
-    private final class Asked {
+    private final class LogicalRequest {
         private final Traffic.Arrival arrival;
         private final long untilUs;
         private final String idempotencyKey;
         private int tries;
         private String worst = "failed";
 
-        Asked(Traffic.Arrival arrival) {
+        LogicalRequest(Traffic.Arrival arrival) {
             this.arrival = arrival;
             untilUs = arrival.atUs() + arrival.spec().deadlineUs();
             idempotencyKey = arrival.spec().semantics().equals("keyed") ? arrival.id() + "k" : null;
         }
 
         void attempt(long meantUs) {
-            long now = seen.us();
+            long now = seen.nowUs();
             long left = untilUs - now;
             long wait = Math.min(
                     left,
@@ -178,16 +178,16 @@
             String id = arrival.id() + Integer.toHexString(tries++);
             asked.put(
                     id,
-                    new UpstreamServer.Needs(
+                    new UpstreamServer.RequestProfile(
                             arrival.workMs(),
                             arrival.key(),
                             idempotencyKey,
                             arrival.spec().group(),
                             arrival.spec().windowUs()));
-            new Try(this, id, tries == 1 ? arrival.atUs() : meantUs, wait).begin(true);
+            new Attempt(this, id, tries == 1 ? arrival.atUs() : meantUs, wait).begin(true);
         }
 
-        void ended(Try t, String how, double retryAfterMs) {
+        void ended(Attempt t, String how, double retryAfterMs) {
             worst = how;
             boolean refused = how.equals("refused");
             String semantics = arrival.spec().semantics();
@@ -196,7 +196,7 @@
                     || how.equals("unreached")
                     || semantics.equals("keyed")
                             && arrival.spec().group().equals("all")
-                            && seen.us() - arrival.atUs() < arrival.spec().windowUs();
+                            && seen.nowUs() - arrival.atUs() < arrival.spec().windowUs();
             if (!again || tries > scenario.traffic().retries()) {
                 settle(how);
                 return;
@@ -205,17 +205,17 @@
             if (retryAfterMs > 0 && chance.getAsDouble() < scenario.traffic().honour()) {
                 waitUs = retryAfterMs * 1_000;
             }
-            long meant = seen.us() + (long) waitUs;
+            long meant = seen.nowUs() + (long) waitUs;
             loop.schedule(() -> attempt(meant), (long) waitUs, TimeUnit.MICROSECONDS);
         }
 
         void settle(String how) {
-            long us = seen.us() - arrival.atUs();
+            long us = seen.nowUs() - arrival.atUs();
             String word = how.equals("served") && us > arrival.spec().aimUs()
                     ? "late"
                     : how.equals("unreached") ? "failed" : how;
-            seen.see(
-                    What.SETTLED,
+            seen.add(
+                    EventType.SETTLED,
                     "n" + arrival.node(),
                     null,
                     null,
@@ -231,12 +231,12 @@
     }
 
     /** One try, until its answer or its end without one. */
-    private final class Try {
-        private final Asked of;
+    private final class Attempt {
+        private final LogicalRequest of;
         private final String id;
         private final long meantUs;
         private final long waitUs;
-        private Line line;
+        private Connection line;
         private Future<?> patience;
         /** Its client waits until then. */
         private long waitsUntilUs;
@@ -245,7 +245,7 @@
         private boolean again;
         private boolean over;
 
-        Try(Asked of, String id, long meantUs, long waitUs) {
+        Attempt(LogicalRequest of, String id, long meantUs, long waitUs) {
             this.of = of;
             this.id = id;
             this.meantUs = meantUs;
@@ -258,22 +258,22 @@
 
         void begin(boolean pooled) {
             if (patience == null) {
-                waitsUntilUs = seen.us() + waitUs;
+                waitsUntilUs = seen.nowUs() + waitUs;
                 patience = loop.schedule(this::giveUp, waitUs + SLACK_US, TimeUnit.MICROSECONDS);
             }
-            ArrayDeque<Line> pool = idle.get(of.arrival.node());
-            for (Line l; pooled && (l = pool.pollFirst()) != null; ) {
-                if (l.channel.isActive() && seen.us() - l.idleSinceUs < IDLE_US) {
+            ArrayDeque<Connection> pool = idle.get(of.arrival.node());
+            for (Connection l; pooled && (l = pool.pollFirst()) != null; ) {
+                if (l.channel.isActive() && seen.nowUs() - l.idleSinceUs < IDLE_US) {
                     send(l);
                     return;
                 }
                 l.channel.close();
             }
-            if (seen.us() > connectsUntilUs[of.arrival.node()]) {
+            if (seen.nowUs() > connectsUntilUs[of.arrival.node()]) {
                 unreached("the sidecar is leaving");
                 return;
             }
-            Line fresh = new Line(of.arrival.node());
+            Connection fresh = new Connection(of.arrival.node());
             ChannelFuture connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
@@ -304,15 +304,15 @@
         }
 
         private void unreached(String why) {
-            seen.see(What.UNREACHED, node(), null, id, of.arrival.id(), why, 0, meantUs);
+            seen.add(EventType.UNREACHED, node(), null, id, of.arrival.id(), why, 0, meantUs);
             end("unreached", 0);
         }
 
-        private void send(Line to) {
+        private void send(Connection to) {
             line = to;
             to.busy = this;
             // What it has waited for its connection it does not wait again.
-            long left = Math.max(1, (waitsUntilUs - seen.us()) / 1_000);
+            long left = Math.max(1, (waitsUntilUs - seen.nowUs()) / 1_000);
             boolean get = of.arrival.spec().semantics().equals("safe");
             DefaultFullHttpRequest m = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -334,10 +334,10 @@
             if (of.tries > 1) {
                 m.headers().set("X-Resent", "1");
             }
-            sentUs = seen.us();
+            sentUs = seen.nowUs();
             if (!again) {
-                seen.see(
-                        What.ASKED,
+                seen.add(
+                        EventType.ASKED,
                         node(),
                         null,
                         id,
@@ -349,7 +349,7 @@
             if (misbehavesNow("leave")) {
                 loop.schedule(this::leave, Math.round(waitUs * chance.getAsDouble()), TimeUnit.MICROSECONDS);
             }
-            if (misbehavesNow("crowd") && seen.us() < connectsUntilUs[of.arrival.node()]) {
+            if (misbehavesNow("crowd") && seen.nowUs() < connectsUntilUs[of.arrival.node()]) {
                 strangers.crowd(of.arrival.node());
             }
             if (misbehavesNow("slow-read")) {
@@ -367,13 +367,13 @@
 
         /** The last byte has left: the client's time begins. */
         private void written(long leftMs) {
-            if (again || seen.us() - sentUs > AT_ONCE_US) {
-                seen.see(What.WRITTEN, node(), null, id, of.arrival.id(), null, leftMs, sentUs);
+            if (again || seen.nowUs() - sentUs > AT_ONCE_US) {
+                seen.add(EventType.WRITTEN, node(), null, id, of.arrival.id(), null, leftMs, sentUs);
             }
         }
 
         void answered(int status, String body, double retryAfterMs) {
-            seen.see(What.ANSWERED, node(), null, id, of.arrival.id(), status + " " + body, retryAfterMs, sentUs);
+            seen.add(EventType.ANSWERED, node(), null, id, of.arrival.id(), status + " " + body, retryAfterMs, sentUs);
             end(status == 200 ? "served" : status == 429 || status == 503 ? "refused" : "failed", retryAfterMs);
         }
 
@@ -385,12 +385,12 @@
                 begin(false);
                 return;
             }
-            seen.broke(node(), id, of.arrival.id(), part ? "part" : how, used ? 0 : line.connectsUs, sentUs);
+            seen.addBroken(node(), id, of.arrival.id(), part ? "part" : how, used ? 0 : line.connectsUs, sentUs);
             end("failed", 0);
         }
 
         /** Takes its answer only a while after it may have come. */
-        private void readSlowly(Line to) {
+        private void readSlowly(Connection to) {
             to.channel.config().setAutoRead(false);
             loop.schedule(
                     () -> to.channel.config().setAutoRead(true),
@@ -399,7 +399,7 @@
         }
 
         /** In pieces of a few bytes; its time runs from the last of them. */
-        private void writeSlowly(Line to, DefaultFullHttpRequest m, long leftMs) {
+        private void writeSlowly(Connection to, DefaultFullHttpRequest m, long leftMs) {
             EmbeddedChannel encoder = new EmbeddedChannel(new HttpRequestEncoder());
             encoder.writeOutbound(m);
             ByteBuf all = Unpooled.buffer();
@@ -439,7 +439,7 @@
             line.busy = null;
             line.channel.close();
             // Noted after it: a laboratory that is held up here must not count its client as gone before it was.
-            seen.see(What.LEFT, node(), null, id, of.arrival.id(), null, 0, sentUs);
+            seen.add(EventType.LEFT, node(), null, id, of.arrival.id(), null, 0, sentUs);
             of.settle("failed");
         }
 
@@ -452,8 +452,8 @@
                 line.channel.close();
             }
             // Noted after the close, as in leave().
-            seen.see(
-                    What.GAVE_UP,
+            seen.add(
+                    EventType.GAVE_UP,
                     node(),
                     null,
                     id,
@@ -482,19 +482,19 @@
     }
 
     /** One connection to a sidecar. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int node;
         /** When it was begun. */
-        private final long connectsUs = seen.us();
+        private final long connectsUs = seen.nowUs();
 
         private Channel channel;
-        private Try busy;
+        private Attempt busy;
         private boolean used;
         private boolean reset;
         private boolean part;
         private long idleSinceUs;
 
-        Line(int node) {
+        Connection(int node) {
             this.node = node;
         }
 
@@ -512,10 +512,18 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse m) {
             part = false;
-            Try of = busy;
+            Attempt of = busy;
             if (of == null) {
                 // A second answer, or one to nobody.
-                seen.see(What.ANSWERED, "n" + node, null, null, null, m.status().code() + " unasked", 0, 0);
+                seen.add(
+                        EventType.ANSWERED,
+                        "n" + node,
+                        null,
+                        null,
+                        null,
+                        m.status().code() + " unasked",
+                        0,
+                        0);
                 ctx.close();
                 return;
             }
@@ -526,7 +534,7 @@
             boolean keep = HttpUtil.isKeepAlive(m);
             String after = m.headers().get("Retry-After");
             used = true;
-            idleSinceUs = seen.us();
+            idleSinceUs = seen.nowUs();
             busy = null;
             of.answered(m.status().code(), m.content().toString(StandardCharsets.US_ASCII), seconds(after) * 1_000);
             if (!keep) {
@@ -547,7 +555,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.get(node).remove(this);
-            Try of = busy;
+            Attempt of = busy;
             busy = null;
             if (of != null && !of.over) {
                 of.broke(used, part, reset ? "reset" : "closed");
@@ -559,7 +567,7 @@
             reset = true;
             // An answer that was broken off is told by the end of its connection.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
-                seen.see(What.TROUBLE, "n" + node, null, null, null, "a client failed: " + cause, 0, 0);
+                seen.add(EventType.TROUBLE, "n" + node, null, null, null, "a client failed: " + cause, 0, 0);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/lab/world/Link.java
+++ b/src/main/java/rushproxy/lab/world/Link.java
@@ -16,13 +16,13 @@
 
     private final EventLoop loop;
     private final Network network;
-    private final Network.End node;
-    private final Network.End far;
-    private final Way inward = new Way(true);
-    private final Way outward = new Way(false);
+    private final Network.Endpoint node;
+    private final Network.Endpoint far;
+    private final Direction inward = new Direction(true);
+    private final Direction outward = new Direction(false);
 
     /** Inward is from the node. */
-    Link(EventLoop loop, Network network, Network.End node, Network.End far) {
+    Link(EventLoop loop, Network network, Network.Endpoint node, Network.Endpoint far) {
         this.loop = loop;
         this.network = network;
         this.node = node;
@@ -44,22 +44,22 @@
         outward.passing.clear();
     }
 
-    private final class Way {
-        private record Passing(long atNanos, Runnable arrive) {}
+    private final class Direction {
+        private record InTransit(long atNanos, Runnable arrive) {}
 
         private final boolean inward;
-        private final ArrayDeque<Passing> passing = new ArrayDeque<>();
+        private final ArrayDeque<InTransit> passing = new ArrayDeque<>();
         private long notBeforeNanos;
         private Future<?> timer;
 
-        Way(boolean inward) {
+        Direction(boolean inward) {
             this.inward = inward;
         }
 
         void add(Runnable arrive) {
             long us = inward ? network.delayUs(node, far) : network.delayUs(far, node);
             notBeforeNanos = Math.max(notBeforeNanos, System.nanoTime() + 1_000 * us);
-            passing.add(new Passing(notBeforeNanos, arrive));
+            passing.add(new InTransit(notBeforeNanos, arrive));
             look();
         }
 
--- a/src/main/java/rushproxy/lab/world/Network.java
+++ b/src/main/java/rushproxy/lab/world/Network.java
@@ -12,14 +12,14 @@
  */
 final class Network {
     /** An end of a link. {@code kind}: "nodes", "servers" or "discovery". */
-    record End(String name, String kind, String zone) {}
+    record Endpoint(String name, String kind, String zone) {}
 
     /** A fault that is on. {@code from} and {@code to} are as the scenario names them. */
-    private record Active(Object key, String what, List<String> from, List<String> to, double factor) {}
+    private record ActiveFault(Object key, String what, List<String> from, List<String> to, double factor) {}
 
     private final Scenario.Network spec;
     private final UniformRandomProvider random;
-    private final List<Active> active = new ArrayList<>();
+    private final List<ActiveFault> active = new ArrayList<>();
 
     Network(Scenario.Network spec, UniformRandomProvider random) {
         this.spec = spec;
@@ -27,14 +27,14 @@
     }
 
     void begin(Scenario.Fault fault) {
-        active.add(new Active(fault, fault.what(), fault.from(), fault.to(), fault.factor()));
+        active.add(new ActiveFault(fault, fault.what(), fault.from(), fault.to(), fault.factor()));
     }
 
     void end(Scenario.Fault fault) {
         active.removeIf(a -> a.key == fault);
     }
 
-    private static boolean names(List<String> ends, End end) {
+    private static boolean names(List<String> ends, Endpoint end) {
         for (String e : ends) {
             int colon = e.indexOf(':');
             boolean is = switch (colon < 0 ? e : e.substring(0, colon)) {
@@ -52,8 +52,8 @@
     }
 
     /** Whether what is on its way from the one to the other stays where it is. A cut with factor 2 goes both ways. */
-    boolean cut(End from, End to) {
-        for (Active a : active) {
+    boolean cut(Endpoint from, Endpoint to) {
+        for (ActiveFault a : active) {
             if (a.what.equals("cut")
                     && (names(a.from, from) && names(a.to, to)
                             || a.factor == 2 && names(a.from, to) && names(a.to, from))) {
@@ -64,16 +64,16 @@
     }
 
     /** A fault that both ends feel, in whichever order it names them. */
-    static boolean between(Scenario.Fault fault, End a, End b) {
+    static boolean between(Scenario.Fault fault, Endpoint a, Endpoint b) {
         return names(fault.from(), a) && names(fault.to(), b) || names(fault.from(), b) && names(fault.to(), a);
     }
 
     /** One-way delay now, in microseconds. */
-    long delayUs(End from, End to) {
+    long delayUs(Endpoint from, Endpoint to) {
         double ms = from.zone.equals(to.zone)
                 ? spec.sameMs()
                 : region(from).equals(region(to)) ? spec.crossMs() : spec.regionMs();
-        for (Active a : active) {
+        for (ActiveFault a : active) {
             if (a.what.equals("delay")
                     && (names(a.from, from) && names(a.to, to) || names(a.from, to) && names(a.to, from))) {
                 ms += a.factor;
@@ -82,14 +82,14 @@
         return Math.round(1_000 * ms * (1 + spec.jitter() * random.nextDouble()));
     }
 
-    private String region(End end) {
+    private String region(Endpoint end) {
         return spec.regions().getOrDefault(end.zone, end.zone);
     }
 
     /** How often a datagram arrives: 0 where it is lost, else 1 or 2. */
-    int copies(End from, End to) {
+    int copies(Endpoint from, Endpoint to) {
         double loss = spec.peerLoss();
-        for (Active a : active) {
+        for (ActiveFault a : active) {
             if (a.what.equals("peer-loss")
                     && (names(a.from, from) && names(a.to, to) || names(a.from, to) && names(a.to, from))) {
                 loss = 1 - (1 - loss) * (1 - a.factor);
@@ -102,7 +102,7 @@
     }
 
     /** Datagrams overtake each other within this. */
-    long peerDelayUs(End from, End to) {
+    long peerDelayUs(Endpoint from, Endpoint to) {
         return delayUs(from, to) + Math.round(1_000 * spec.peerLateMs() * random.nextDouble());
     }
 
--- a/src/main/java/rushproxy/lab/world/Observation.java
+++ b/src/main/java/rushproxy/lab/world/Observation.java
@@ -23,7 +23,7 @@
         @JsonProperty("us") @JsonInclude(JsonInclude.Include.ALWAYS)
         long us,
 
-        @JsonProperty("what") What what,
+        @JsonProperty("what") EventType what,
         @JsonProperty("node") String node,
         @JsonProperty("server") String server,
         @JsonProperty("id") String id,
@@ -37,7 +37,7 @@
     /** What began at one moment that is known, or with none. */
     public Observation(
             long us,
-            What what,
+            EventType what,
             String node,
             String server,
             String id,
@@ -49,12 +49,12 @@
     }
 
     /** What ended now surely did not begin before. */
-    public long beganEarliestUs() {
+    public long earliestStartUs() {
         return sinceEarliestUs == 0 ? sinceUs : sinceEarliestUs;
     }
 
     /** Kinds of events; after each what {@code text}, {@code number} and {@code sinceUs} say. */
-    public enum What {
+    public enum EventType {
         /** A client has written a whole request: its class, the time it waits in ms, when it was meant to leave. */
         ASKED,
         /** That took more than a moment, or it was sent once more: the last byte left by now; the time it waits since then in ms. */
--- a/src/main/java/rushproxy/lab/world/Observations.java
+++ b/src/main/java/rushproxy/lab/world/ObservationLog.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Everything that was seen in a run, in order. Written by any thread. It is as long as the run's traffic, which is drawn ahead
  * and bounded.
  */
-public final class Observations {
+public final class ObservationLog {
     private final List<Observation> all = new ArrayList<>();
     private final Consumer<Observation> each;
     /** What comes before time begins has negative times. */
@@ -18,40 +18,57 @@
     private long zeroNanos = System.nanoTime() + BEFORE_NANOS;
 
     /** {@code each} hears of every observation at once, under this lock: it must be quick. */
-    public Observations(Consumer<Observation> each) {
+    public ObservationLog(Consumer<Observation> each) {
         this.each = each;
     }
 
     /** Time begins: what was seen until now was before it, at negative times. */
-    public synchronized void begin(long nanos) {
+    public synchronized void startClock(long nanos) {
         zeroNanos = nanos;
     }
 
-    public synchronized long us() {
+    public synchronized long nowUs() {
         return (System.nanoTime() - zeroNanos) / 1_000;
     }
 
-    public void see(
-            What what, String node, String server, String id, String first, String text, double number, long sinceUs) {
+    public void add(
+            EventType what,
+            String node,
+            String server,
+            String id,
+            String first,
+            String text,
+            double number,
+            long sinceUs) {
         synchronized (this) {
-            note(new Observation(us(), what, node, server, id, first, text, number, sinceUs));
+            append(new Observation(nowUs(), what, node, server, id, first, text, number, sinceUs));
         }
     }
 
     /** A connection to a node ended before its answer; {@code connectsUs}: when it was begun for this request, 0 where it was used before. */
-    void broke(String node, String id, String first, String how, long connectsUs, long sentUs) {
+    void addBroken(String node, String id, String first, String how, long connectsUs, long sentUs) {
         synchronized (this) {
-            note(new Observation(
-                    us(), What.BROKE, node, null, id, first, how, connectsUs == 0 ? 1 : 0, sentUs, connectsUs, 0));
+            append(new Observation(
+                    nowUs(),
+                    EventType.BROKE,
+                    node,
+                    null,
+                    id,
+                    first,
+                    how,
+                    connectsUs == 0 ? 1 : 0,
+                    sentUs,
+                    connectsUs,
+                    0));
         }
     }
 
     /** A server has got a request whole, whose first byte came at {@code first}; it was told to answer within {@code toldMs}, 0 for none. */
-    void got(String node, String server, String id, String key, double workMs, ArrivalTime first, long toldMs) {
+    void addReceived(String node, String server, String id, String key, double workMs, ArrivalTime first, long toldMs) {
         synchronized (this) {
-            note(new Observation(
-                    us(),
-                    What.GOT,
+            append(new Observation(
+                    nowUs(),
+                    EventType.GOT,
                     node,
                     server,
                     id,
@@ -64,7 +81,7 @@
         }
     }
 
-    private void note(Observation o) {
+    private void append(Observation o) {
         all.add(o);
         each.accept(o);
     }
--- a/src/main/java/rushproxy/lab/world/PeerRelay.java
+++ b/src/main/java/rushproxy/lab/world/PeerRelay.java
@@ -21,13 +21,13 @@
 final class PeerRelay {
     private final EventLoop loop;
     private final Network network;
-    private final List<Network.End> nodes;
+    private final List<Network.Endpoint> nodes;
     private final Addresses addresses;
     private final Channel[][] sockets;
     private final long[] sent;
     private final long[] bytes;
 
-    PeerRelay(EventLoop loop, Network network, List<Network.End> nodes, Addresses addresses) {
+    PeerRelay(EventLoop loop, Network network, List<Network.Endpoint> nodes, Addresses addresses) {
         this.loop = loop;
         this.network = network;
         this.nodes = nodes;
--- a/src/main/java/rushproxy/lab/world/Registry.java
+++ b/src/main/java/rushproxy/lab/world/Registry.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import rushproxy.lab.scenario.Scenario;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * Discovery: the true state of the upstreams, and an agent on each node's machine that has the news late and tells it to
@@ -42,16 +42,16 @@
     private static final long OLD_ADDRESS_MS = 1_500;
 
     /** One server as discovery knows it, {@code number} its place among all changes. {@code state}: Ready, Terminating or Gone. */
-    private record Line(long number, UpstreamServer server, String state, long startedAtMs) {}
+    private record Instance(long number, UpstreamServer server, String state, long startedAtMs) {}
 
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Scenario.Discovery spec;
     private final DoubleSupplier chance;
     private final List<Agent> agents = new ArrayList<>();
     private long changes;
 
-    Registry(EventLoop loop, Observations seen, Scenario.Discovery spec, DoubleSupplier chance) {
+    Registry(EventLoop loop, ObservationLog seen, Scenario.Discovery spec, DoubleSupplier chance) {
         this.loop = loop;
         this.seen = seen;
         this.spec = spec;
@@ -59,17 +59,20 @@
     }
 
     /** The agents of all nodes, in their order; {@code reach.at(node, server)} is the server's address for the node. */
-    interface Reach {
+    interface AddressResolver {
         InetSocketAddress at(int node, int server);
     }
 
     List<ChannelFuture> start(
-            List<String> nodes, List<InetSocketAddress> addresses, Reach reach, List<UpstreamServer> servers) {
+            List<String> nodes,
+            List<InetSocketAddress> addresses,
+            AddressResolver reach,
+            List<UpstreamServer> servers) {
         List<ChannelFuture> binds = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
             Agent agent = new Agent(i, nodes.get(i), reach);
             for (UpstreamServer s : servers) {
-                agent.lines.put(s.id, new Line(0, s, "Ready", s.startedAtMs()));
+                agent.lines.put(s.id, new Instance(0, s, "Ready", s.startedAtMs()));
                 agent.changedAt.put(s.id, agent.generation);
             }
             agents.add(agent);
@@ -80,7 +83,7 @@
 
     /** The server's true state has changed: each agent hears of it in its own time. */
     void changed(UpstreamServer server, String state) {
-        Line line = new Line(++changes, server, state, server.startedAtMs());
+        Instance line = new Instance(++changes, server, state, server.startedAtMs());
         for (Agent agent : agents) {
             double lateMs = spec.noticeMs() + spec.spreadMs() * chance.getAsDouble() + agent.lateMs;
             loop.schedule(() -> agent.news(line), Math.round(1_000 * lateMs), TimeUnit.MICROSECONDS);
@@ -118,11 +121,11 @@
     private final class Agent {
         private final int number;
         private final String node;
-        private final Reach reach;
-        private final Map<String, Line> lines = new LinkedHashMap<>();
+        private final AddressResolver reach;
+        private final Map<String, Instance> lines = new LinkedHashMap<>();
         private final Map<String, Long> changedAt = new LinkedHashMap<>();
-        private final List<Line> held = new ArrayList<>();
-        private final List<Line> missed = new ArrayList<>();
+        private final List<Instance> held = new ArrayList<>();
+        private final List<Instance> missed = new ArrayList<>();
         private final Set<Watch> watches = new HashSet<>();
         private final Set<Channel> connections = new HashSet<>();
         private long generation = 1;
@@ -131,7 +134,7 @@
         private double lateMs;
         private double missing;
 
-        Agent(int number, String node, Reach reach) {
+        Agent(int number, String node, AddressResolver reach) {
             this.number = number;
             this.node = node;
             this.reach = reach;
@@ -173,7 +176,7 @@
             Set.copyOf(connections).forEach(Channel::close);
         }
 
-        void news(Line line) {
+        void news(Instance line) {
             if (silent) {
                 held.add(line);
             } else if (missing > 0 && chance.getAsDouble() < missing) {
@@ -184,8 +187,8 @@
             }
         }
 
-        private void put(Line line) {
-            Line before = lines.get(line.server.id);
+        private void put(Instance line) {
+            Instance before = lines.get(line.server.id);
             // News may overtake older news of the same server.
             if (before != null && before.number > line.number) {
                 return;
@@ -209,7 +212,7 @@
             }
         }
 
-        private void release(List<Line> late) {
+        private void release(List<Instance> late) {
             late.forEach(this::put);
             late.clear();
             tellAll();
@@ -228,12 +231,12 @@
             ObjectNode list = JSON.createObjectNode();
             list.put("generation", generation).put("reset", index < 0);
             ArrayNode instances = list.putArray("instances");
-            for (Line line : lines.values()) {
+            for (Instance line : lines.values()) {
                 if (index < 0 ? !line.state.equals("Gone") : changedAt.get(line.server.id) > index) {
                     instances
                             .addObject()
                             .put("instanceId", line.server.id)
-                            .put("hostPort", Addresses.text(reach.at(number, line.server.number)))
+                            .put("hostPort", Addresses.format(reach.at(number, line.server.number)))
                             .put("zone", line.server.zone)
                             .put("machineType", line.server.spec().kind())
                             .put("cell", line.server.cell)
@@ -250,14 +253,14 @@
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
             response.headers().set("Content-Length", body.length);
-            List<Line> told = lines.values().stream()
+            List<Instance> told = lines.values().stream()
                     .filter(l -> index < 0 || changedAt.get(l.server.id) > index)
                     .toList();
-            long fromUs = seen.us();
+            long fromUs = seen.nowUs();
             channel.writeAndFlush(response).addListener(f -> {
                 if (f.isSuccess()) {
-                    for (Line l : told) {
-                        seen.see(What.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, fromUs);
+                    for (Instance l : told) {
+                        seen.add(EventType.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, fromUs);
                     }
                 }
             });
--- a/src/main/java/rushproxy/lab/world/ReceivedData.java
+++ b/src/main/java/rushproxy/lab/world/TcpReceiveInfo.java
@@ -12,7 +12,7 @@
  * What the kernel tells of the data that a connection has received (TCP_INFO), also while nobody has read it. It takes Netty's native
  * library and a part of the runtime that is not public; where either is missing nothing is known.
  */
-final class ReceivedData {
+final class TcpReceiveInfo {
     /** The kernel does not tell. */
     static final long UNKNOWN = -1;
 
@@ -37,24 +37,24 @@
     private static final int DATA_SEGS_IN = 152;
     private static final int LENGTH = 160;
 
-    private static final ReceivedData KERNEL = find();
+    private static final TcpReceiveInfo KERNEL = find();
 
     private final Field descriptor;
     private final ByteBuffer info = ByteBuffer.allocateDirect(LENGTH).order(ByteOrder.nativeOrder());
 
-    private ReceivedData(Field descriptor) {
+    private TcpReceiveInfo(Field descriptor) {
         this.descriptor = descriptor;
     }
 
     /** Null where a part is missing. */
-    private static ReceivedData find() {
+    private static TcpReceiveInfo find() {
         try {
             if (!Epoll.isAvailable()) {
                 return null;
             }
             Field descriptor = Class.forName("sun.nio.ch.SocketChannelImpl").getDeclaredField("fdVal");
             descriptor.setAccessible(true);
-            return new ReceivedData(descriptor);
+            return new TcpReceiveInfo(descriptor);
         } catch (ReflectiveOperationException | RuntimeException | LinkageError e) {
             return null;
         }
--- a/src/main/java/rushproxy/lab/world/TimedListener.java
+++ b/src/main/java/rushproxy/lab/world/TimestampingServerChannel.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /** A listener whose connections tell when the bytes came that they read. */
-final class TimedListener extends NioServerSocketChannel {
-    private final Observations clock;
+final class TimestampingServerChannel extends NioServerSocketChannel {
+    private final ObservationLog clock;
     private final long listensSinceUs;
 
-    TimedListener(Observations clock) {
+    TimestampingServerChannel(ObservationLog clock) {
         this.clock = clock;
-        listensSinceUs = clock.us();
+        listensSinceUs = clock.nowUs();
     }
 
     @Override
@@ -30,14 +30,14 @@
 
     /** One that was accepted. */
     static final class Connection extends NioSocketChannel {
-        private final Observations clock;
-        private final ArrivalClock arrivals;
+        private final ObservationLog clock;
+        private final ArrivalTimeEstimator arrivals;
         private ArrivalTime lastRead;
 
-        private Connection(Channel parent, SocketChannel socket, Observations clock, long listensSinceUs) {
+        private Connection(Channel parent, SocketChannel socket, ObservationLog clock, long listensSinceUs) {
             super(parent, socket);
             this.clock = clock;
-            arrivals = new ArrivalClock(listensSinceUs);
+            arrivals = new ArrivalTimeEstimator(listensSinceUs);
         }
 
         /** When the first byte of what was read last had come. */
@@ -47,9 +47,9 @@
 
         @Override
         protected int doReadBytes(ByteBuf to) throws Exception {
-            long fromUs = clock.us();
-            ReceivedData.Received received = ReceivedData.received(javaChannel());
-            lastRead = arrivals.beforeRead(received, fromUs, clock.us());
+            long fromUs = clock.nowUs();
+            TcpReceiveInfo.Received received = TcpReceiveInfo.received(javaChannel());
+            lastRead = arrivals.beforeRead(received, fromUs, clock.nowUs());
             return super.doReadBytes(to);
         }
     }
--- a/src/main/java/rushproxy/lab/world/UpstreamModel.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamModel.java
@@ -38,14 +38,14 @@
         }
     }
 
-    private record Sent(long atUs, double workMs) {}
+    private record OfferedWork(long atUs, double workMs) {}
 
     private final Scenario.Servers spec;
     private final Scenario.Rules rules;
     private final List<Job> working = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final Map<Long, Long> keys;
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+    private final ArrayDeque<OfferedWork> sent = new ArrayDeque<>();
     private double sentMs;
     private double slowness = 1;
     private final long startedUs;
@@ -117,7 +117,7 @@
         while (!sent.isEmpty() && sent.peekFirst().atUs <= nowUs - rules.fallUs()) {
             sentMs -= sent.pollFirst().workMs;
         }
-        sent.addLast(new Sent(nowUs, workMs));
+        sent.addLast(new OfferedWork(nowUs, workMs));
         sentMs += workMs;
         boolean cold = nowUs - startedUs < rules.rampUs();
         double budget = rules.fallMultiple() * capacityMsPerS(nowUs) * rules.fallUs() / 1e6;
--- a/src/main/java/rushproxy/lab/world/UpstreamServer.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamServer.java
@@ -29,7 +29,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * One upstream on its sockets, an address for each node, in front of an {@link UpstreamModel}. Lives on the world's event
@@ -44,15 +44,15 @@
     private static final int MAX_BODY = 1 << 20;
 
     /** What a request that a client has sent needs and what its repeats mean. */
-    record Needs(double workMs, long key, String idempotencyKey, String group, long windowUs) {}
+    record RequestProfile(double workMs, long key, String idempotencyKey, String group, long windowUs) {}
 
     /** What all upstreams share: the requests that clients have made, and the pods' memory of keys. */
-    interface Shared {
+    interface SharedState {
         /** Null where no client has made a request of this id. */
-        Needs needs(String id);
+        RequestProfile needs(String id);
 
         /** True where the key's effect was had in this server's group within its window; else remembers it from now on. */
-        boolean repeated(UpstreamServer at, Needs needs);
+        boolean repeated(UpstreamServer at, RequestProfile needs);
     }
 
     final int number;
@@ -65,15 +65,15 @@
     private final rushproxy.lab.scenario.Scenario.Servers spec;
     private final rushproxy.lab.scenario.Scenario.Rules rules;
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Network network;
-    private final Network.End end;
-    private final List<Network.End> nodes;
+    private final Network.Endpoint end;
+    private final List<Network.Endpoint> nodes;
     private final List<InetSocketAddress> addresses;
-    private final Shared shared;
+    private final SharedState shared;
     private final DoubleSupplier chance;
     private final Runnable fell;
-    private final List<Pair> pairs = new ArrayList<>();
+    private final List<NodeListener> pairs = new ArrayList<>();
     private final Set<Connection> connections = new HashSet<>();
     private final List<UpstreamModel.Job> unseen = new ArrayList<>();
     private UpstreamModel model;
@@ -93,11 +93,11 @@
             rushproxy.lab.scenario.Scenario.Servers spec,
             rushproxy.lab.scenario.Scenario.Rules rules,
             EventLoop loop,
-            Observations seen,
+            ObservationLog seen,
             Network network,
-            List<Network.End> nodes,
+            List<Network.Endpoint> nodes,
             List<InetSocketAddress> addresses,
-            Shared shared,
+            SharedState shared,
             DoubleSupplier chance,
             Runnable fell) {
         this.number = number;
@@ -109,7 +109,7 @@
         this.loop = loop;
         this.seen = seen;
         this.network = network;
-        this.end = new Network.End(id, "servers", zone);
+        this.end = new Network.Endpoint(id, "servers", zone);
         this.nodes = nodes;
         this.addresses = addresses;
         this.shared = shared;
@@ -119,16 +119,16 @@
 
     /** {@code warm}: it has run for long already. The listeners are open when the result is done. */
     List<ChannelFuture> start(boolean warm) {
-        long now = seen.us();
+        long now = seen.nowUs();
         startedAtMs = warm ? 0 : System.currentTimeMillis();
         model = new UpstreamModel(spec, rules, warm ? now - rules.rampUs() - 1 : now);
         errors = 0;
         refuses = false;
         spoils = null;
-        seen.see(What.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
+        seen.add(EventType.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
         List<ChannelFuture> binds = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
-            Pair pair = new Pair(nodes.get(i), addresses.get(i));
+            NodeListener pair = new NodeListener(nodes.get(i), addresses.get(i));
             pairs.add(pair);
             binds.add(pair.listen());
         }
@@ -140,14 +140,14 @@
         if (model == null) {
             return;
         }
-        seen.see(What.SERVER_ENDED, null, id, null, null, why, 0, 0);
+        seen.add(EventType.SERVER_ENDED, null, id, null, null, why, 0, 0);
         model = null;
         unseen.clear();
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        pairs.forEach(Pair::close);
+        pairs.forEach(NodeListener::close);
         pairs.clear();
         for (Connection c : Set.copyOf(connections)) {
             c.reset();
@@ -170,7 +170,7 @@
         return spec;
     }
 
-    Network.End place() {
+    Network.Endpoint place() {
         return end;
     }
 
@@ -180,14 +180,14 @@
 
     void hang(boolean on) {
         if (model != null) {
-            model.hang(seen.us(), on);
+            model.hang(seen.nowUs(), on);
             look();
         }
     }
 
     void slow(double factor) {
         if (model != null) {
-            model.slow(seen.us(), factor);
+            model.slow(seen.nowUs(), factor);
             look();
         }
     }
@@ -210,7 +210,7 @@
 
     /** A network fault has begun or ended: whether new connections of a node come up may have changed. */
     void linksChanged() {
-        pairs.forEach(Pair::look);
+        pairs.forEach(NodeListener::look);
     }
 
     /** Connections between this server and the nodes that the fault touches break. */
@@ -235,10 +235,10 @@
         if (model == null) {
             return;
         }
-        long now = seen.us();
+        long now = seen.nowUs();
         for (UpstreamModel.Job job : model.done(now)) {
             started(job);
-            ((Work) job.tag).done();
+            ((PendingRequest) job.tag).done();
         }
         for (UpstreamModel.Job job : List.copyOf(unseen)) {
             if (job.startedUs() >= 0) {
@@ -261,10 +261,10 @@
 
     private void started(UpstreamModel.Job job) {
         if (unseen.remove(job)) {
-            Work work = (Work) job.tag;
+            PendingRequest work = (PendingRequest) job.tag;
             boolean repeat = work.needs.idempotencyKey() != null && shared.repeated(this, work.needs);
-            seen.see(
-                    repeat ? What.DROPPED : What.RAN,
+            seen.add(
+                    repeat ? EventType.DROPPED : EventType.RAN,
                     work.connection.node.name(),
                     id,
                     work.id,
@@ -276,12 +276,12 @@
     }
 
     /** One request from its last byte to its answer. */
-    private final class Work {
+    private final class PendingRequest {
         private final Connection connection;
         private final String id;
-        private final Needs needs;
+        private final RequestProfile needs;
 
-        Work(Connection connection, String id, Needs needs) {
+        PendingRequest(Connection connection, String id, RequestProfile needs) {
             this.connection = connection;
             this.id = id;
             this.needs = needs;
@@ -290,20 +290,20 @@
         void done() {
             String body = UpstreamServer.this.id + ":" + id + ":"
                     + Long.toHexString((long) (chance.getAsDouble() * (1L << 50)));
-            seen.see(What.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
+            seen.add(EventType.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
             connection.served(id, body);
         }
     }
 
     /** The address at which one node finds this server. */
-    private final class Pair {
-        private final Network.End node;
+    private final class NodeListener {
+        private final Network.Endpoint node;
         private final InetSocketAddress address;
         private final List<SocketChannel> fillers = new ArrayList<>();
         private final Set<InetSocketAddress> own = new HashSet<>();
         private Channel listener;
 
-        Pair(Network.End node, InetSocketAddress address) {
+        NodeListener(Network.Endpoint node, InetSocketAddress address) {
             this.node = node;
             this.address = address;
         }
@@ -311,7 +311,7 @@
         ChannelFuture listen() {
             ChannelFuture bind = new ServerBootstrap()
                     .group(loop)
-                    .channelFactory(() -> new TimedListener(seen))
+                    .channelFactory(() -> new TimestampingServerChannel(seen))
                     .option(ChannelOption.SO_BACKLOG, BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
@@ -332,7 +332,7 @@
                 channel.close();
                 return;
             }
-            Connection connection = new Connection((TimedListener.Connection) channel, node);
+            Connection connection = new Connection((TimestampingServerChannel.Connection) channel, node);
             channel.pipeline()
                     .addLast(
                             connection.firstBytes(),
@@ -363,7 +363,7 @@
                     own.add((InetSocketAddress) filler.getLocalAddress());
                 }
             } catch (IOException e) {
-                seen.see(What.TROUBLE, node.name(), id, null, null, "a cut could not be made whole: " + e, 0, 0);
+                seen.add(EventType.TROUBLE, node.name(), id, null, null, "a cut could not be made whole: " + e, 0, 0);
             }
         }
 
@@ -386,15 +386,15 @@
 
     /** One connection of a node, from the server's side. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final TimedListener.Connection channel;
-        private final Network.End node;
+        private final TimestampingServerChannel.Connection channel;
+        private final Network.Endpoint node;
         private final Link link;
         private final List<UpstreamModel.Job> jobs = new ArrayList<>(1);
         private boolean fresh = true;
         /** When the request that is coming began to come; null where none is. */
         private ArrivalTime began;
 
-        Connection(TimedListener.Connection channel, Network.End node) {
+        Connection(TimestampingServerChannel.Connection channel, Network.Endpoint node) {
             this.channel = channel;
             this.node = node;
             link = new Link(loop, network, node, end);
@@ -440,33 +440,34 @@
                 return;
             }
             if (path.equals("/stats") || path.equals("/health/live")) {
-                model.burden(seen.us(), 0.1);
+                model.burden(seen.nowUs(), 0.1);
                 look();
                 answer(HttpResponseStatus.OK, path.equals("/stats") ? report() : "", null);
                 return;
             }
-            Needs needs = txn == null ? null : shared.needs(txn);
-            seen.got(node.name(), id, txn, key, needs == null ? 0 : needs.workMs, first, toldMs);
+            RequestProfile needs = txn == null ? null : shared.needs(txn);
+            seen.addReceived(node.name(), id, txn, key, needs == null ? 0 : needs.workMs, first, toldMs);
             if (needs == null) {
                 answer(HttpResponseStatus.BAD_REQUEST, "", null);
                 return;
             }
             if (fresh) {
                 fresh = false;
-                model.burden(seen.us(), spec.handshakeMs());
+                model.burden(seen.nowUs(), spec.handshakeMs());
             }
             if (refuses) {
                 turnAway(txn);
             } else if (errors > 0 && chance.getAsDouble() < errors) {
-                seen.see(What.REPLIED, node.name(), id, txn, null, "500", 0, 0);
+                seen.add(EventType.REPLIED, node.name(), id, txn, null, "500", 0, 0);
                 answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
             } else {
                 begin(txn, needs);
             }
         }
 
-        private void begin(String txn, Needs needs) {
-            UpstreamModel.Job job = model.arrive(seen.us(), needs.workMs, needs.key, new Work(this, txn, needs));
+        private void begin(String txn, RequestProfile needs) {
+            UpstreamModel.Job job =
+                    model.arrive(seen.nowUs(), needs.workMs, needs.key, new PendingRequest(this, txn, needs));
             if (job == null) {
                 turnAway(txn);
             } else {
@@ -477,14 +478,14 @@
         }
 
         private void turnAway(String txn) {
-            seen.see(What.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
+            seen.add(EventType.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
             answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "1");
         }
 
         /** A whole answer, or one that is spoilt on its way. */
         /** A laboratory that is late leaves it out: it would answer the request after. */
         private void second(long dueUs) {
-            if (seen.us() - dueUs <= SECOND_LATE_US) {
+            if (seen.nowUs() - dueUs <= SECOND_LATE_US) {
                 raw("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
             }
         }
@@ -494,7 +495,7 @@
                 answer(HttpResponseStatus.OK, body, null);
                 return;
             }
-            seen.see(What.SPOILED, node.name(), id, txn, null, spoils, 0, 0);
+            seen.add(EventType.SPOILED, node.name(), id, txn, null, spoils, 0, 0);
             jobs.clear();
             String whole = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             switch (spoils) {
@@ -502,7 +503,7 @@
                 case "second" -> {
                     raw(whole);
                     int afterMs = 1 + (int) (chance.getAsDouble() * 3);
-                    long dueUs = seen.us() + TimeUnit.MILLISECONDS.toMicros(afterMs);
+                    long dueUs = seen.nowUs() + TimeUnit.MILLISECONDS.toMicros(afterMs);
                     loop.schedule(() -> second(dueUs), afterMs, TimeUnit.MILLISECONDS);
                 }
                 case "reset" -> link.outward(this::reset);
@@ -591,7 +592,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                seen.see(What.TROUBLE, node.name(), id, null, null, "an upstream failed: " + cause, 0, 0);
+                seen.add(EventType.TROUBLE, node.name(), id, null, null, "an upstream failed: " + cause, 0, 0);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/lab/world/World.java
+++ b/src/main/java/rushproxy/lab/world/World.java
@@ -24,7 +24,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.scenario.ScenarioReader;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * All that the sidecars meet: clients, upstreams, discovery and the network, on one event loop of their own. Built from a
@@ -39,12 +39,12 @@
     private static final long REHEARSAL_MOST_S = 10;
 
     private final Scenario scenario;
-    private final Observations seen;
+    private final ObservationLog seen;
     private final Addresses addresses;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<UpstreamServer> servers = new ArrayList<>();
-    private final List<Network.End> nodes = new ArrayList<>();
+    private final List<Network.Endpoint> nodes = new ArrayList<>();
     private final int[] moves;
     private final Network network;
     private final Registry registry;
@@ -59,19 +59,19 @@
     private long worstUs;
     private int beats;
 
-    public World(Scenario scenario, Observations seen, Addresses addresses) {
+    public World(Scenario scenario, ObservationLog seen, Addresses addresses) {
         this(scenario, seen, addresses, false);
     }
 
     /** {@code direct}: there are no sidecars, and clients call the upstreams themselves. */
-    private World(Scenario scenario, Observations seen, Addresses addresses, boolean direct) {
+    private World(Scenario scenario, ObservationLog seen, Addresses addresses, boolean direct) {
         this.scenario = scenario;
         this.seen = seen;
         this.addresses = addresses;
         int n = scenario.fleet().nodes();
         moves = new int[n];
         for (int i = 0; i < n; i++) {
-            nodes.add(new Network.End("n" + i, "nodes", scenario.zoneOfNode(i)));
+            nodes.add(new Network.Endpoint("n" + i, "nodes", scenario.zoneOfNode(i)));
         }
         network = new Network(scenario.network(), random(1));
         UniformRandomProvider chance = random(2);
@@ -99,7 +99,7 @@
      * Plays a world without sidecars for a moment: the runtime compiles what a run needs, which would make its first
      * second late. Takes a block of addresses of its own.
      */
-    public static void rehearse(Scenario scenario) throws IOException, InterruptedException {
+    public static void warmUp(Scenario scenario) throws IOException, InterruptedException {
         Scenario.Traffic t = scenario.traffic();
         Scenario brief = new Scenario(
                 scenario.name(),
@@ -117,10 +117,10 @@
                 scenario.lateness(),
                 List.of(),
                 List.of());
-        try (Addresses addresses = Addresses.take();
-                World world = new World(brief, new Observations(o -> {}), addresses, true)) {
+        try (Addresses addresses = Addresses.claim();
+                World world = new World(brief, new ObservationLog(o -> {}), addresses, true)) {
             world.open();
-            world.ask().get(REHEARSAL_MOST_S, TimeUnit.SECONDS);
+            world.startTraffic().get(REHEARSAL_MOST_S, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             // It was only to warm up.
         }
@@ -153,7 +153,7 @@
                         network,
                         nodes,
                         at,
-                        new Shared(),
+                        new WorldState(),
                         chance::nextDouble,
                         () -> registry.changed(self[0], "Gone"));
                 servers.add(self[0]);
@@ -162,20 +162,20 @@
         }
     }
 
-    private final class Shared implements UpstreamServer.Shared {
+    private final class WorldState implements UpstreamServer.SharedState {
         @Override
-        public UpstreamServer.Needs needs(String id) {
+        public UpstreamServer.RequestProfile needs(String id) {
             return clients.needs(id);
         }
 
         @Override
-        public boolean repeated(UpstreamServer at, UpstreamServer.Needs needs) {
+        public boolean repeated(UpstreamServer at, UpstreamServer.RequestProfile needs) {
             String where = switch (needs.group()) {
                 case "zone" -> "zone " + at.zone;
                 case "cell" -> "cell " + at.cell;
                 default -> "all";
             };
-            long now = seen.us();
+            long now = seen.nowUs();
             Long had = effects.putIfAbsent(where + " " + needs.idempotencyKey(), now);
             if (had == null || now - had > needs.windowUs()) {
                 effects.put(where + " " + needs.idempotencyKey(), now);
@@ -218,7 +218,7 @@
         lateness.recordValue(lateUs);
         worstUs = Math.max(worstUs, lateUs);
         if (++beats % (1_000 / BEAT_MS) == 0) {
-            seen.see(What.LATE, null, null, null, null, null, worstUs / 1e3, 0);
+            seen.add(EventType.LATE, null, null, null, null, null, worstUs / 1e3, 0);
             worstUs = 0;
             seeHeld();
         }
@@ -236,22 +236,22 @@
     }
 
     /** The kernel's figures for the event loop on which all of this runs, once it is open; null where there are none. */
-    public Path processorFigures() {
+    public Path schedstatPath() {
         return processorFigures;
     }
 
     /** Time has begun and the first tries begin; the result is done when all are settled. */
-    public CompletableFuture<Void> ask() throws InterruptedException {
+    public CompletableFuture<Void> startTraffic() throws InterruptedException {
         CompletableFuture<Void> settled = new CompletableFuture<>();
         on(() -> {
-            seen.begin(System.nanoTime());
+            seen.startClock(System.nanoTime());
             clients.start(() -> settled.complete(null));
         });
         return settled;
     }
 
     /** The node's platform has asked it to leave, or has it back: whether its clients connect anew follows. */
-    public void leaving(int node, boolean leaves) {
+    public void setNodeLeaving(int node, boolean leaves) {
         loop.execute(() -> {
             if (leaves) {
                 clients.leaving(node);
@@ -261,7 +261,7 @@
         });
     }
 
-    public void stopAsking() {
+    public void stopTraffic() {
         loop.execute(clients::stop);
     }
 
@@ -292,7 +292,7 @@
     }
 
     /** Begins a fault of servers, network or discovery; what lasts ends by itself. */
-    public void begin(Scenario.Fault fault) {
+    public void startFault(Scenario.Fault fault) {
         loop.execute(() -> {
             switch (fault.what()) {
                 case "cut", "delay", "peer-loss" ->
@@ -391,11 +391,11 @@
     private void seeHeld() {
         Map<String, Integer> by = new TreeMap<>();
         servers.forEach(s -> by.merge(s.zone + " " + s.spec().kind(), s.inFlight(), Integer::sum));
-        by.forEach((where, n) -> seen.see(What.HELD, null, null, null, null, where, n, 0));
+        by.forEach((where, n) -> seen.add(EventType.HELD, null, null, null, null, where, n, 0));
     }
 
     /** Datagrams that a node has sent, and their bytes. */
-    public long[] peerCost(int node) throws InterruptedException {
+    public long[] peerTraffic(int node) throws InterruptedException {
         long[] cost = new long[2];
         on(() -> {
             cost[0] = relay.sent(node);
@@ -405,7 +405,7 @@
     }
 
     /** How late the loop's beats were, in microseconds. To be read after {@link #close}. */
-    public Histogram lateness() {
+    public Histogram loopLateness() {
         return lateness;
     }
 
--- a/src/test/java/rushproxy/lab/CheckersIT.java
+++ b/src/test/java/rushproxy/lab/CheckersIT.java
@@ -91,7 +91,7 @@
         assertTrue(s.figures().requests() > 100, s.figures().toString());
         // No fault is noted before its time, by which tests look for what it did.
         assertTrue(
-                Report.readRun(folder).of(rushproxy.lab.world.Observation.What.FAULT).stream()
+                Report.readRun(folder).of(rushproxy.lab.world.Observation.EventType.FAULT).stream()
                         .allMatch(fault -> fault.us() >= 1_000_000),
                 "a fault began early");
     }
--- a/src/test/java/rushproxy/lab/CommandIT.java
+++ b/src/test/java/rushproxy/lab/CommandIT.java
@@ -98,7 +98,7 @@
         p.destroy();
         assertTrue(p.waitFor(60, TimeUnit.SECONDS));
         assertEquals("stopped", Report.readSummary(folder).verdict());
-        for (Observation o : Report.readRun(folder).of(Observation.What.NODE)) {
+        for (Observation o : Report.readRun(folder).of(Observation.EventType.NODE)) {
             assertFalse(
                     ProcessHandle.of((long) o.number())
                             .map(ProcessHandle::isAlive)
--- a/src/test/java/rushproxy/lab/FirstLossIT.java
+++ b/src/test/java/rushproxy/lab/FirstLossIT.java
@@ -50,7 +50,7 @@
     }
 
     private static Observation seen(Run run, String node, String what) {
-        return run.of(Observation.What.NODE).stream()
+        return run.of(Observation.EventType.NODE).stream()
                 .filter(o -> o.node().equals(node) && o.text().equals(what))
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/rushproxy/lab/LabIT.java
+++ b/src/test/java/rushproxy/lab/LabIT.java
@@ -28,7 +28,7 @@
     Path folder;
 
     private void noProcessIsLeft() throws Exception {
-        List<Long> pids = Report.readRun(folder).of(Observation.What.NODE).stream()
+        List<Long> pids = Report.readRun(folder).of(Observation.EventType.NODE).stream()
                 .filter(o -> o.text().equals("started"))
                 .map(o -> (long) o.number())
                 .toList();
@@ -112,7 +112,7 @@
                 folder);
         assertEquals("held", s.verdict(), s.why() + " " + s.violations());
         assertEquals(2, s.nodes().get("n0").get("starts"), s.nodes().toString());
-        List<Observation> calls = Report.readRun(folder).of(Observation.What.CALLED);
+        List<Observation> calls = Report.readRun(folder).of(Observation.EventType.CALLED);
         assertTrue(calls.stream().anyMatch(o -> o.text().equals("health -> ACK")), calls.toString());
         noProcessIsLeft();
     }
@@ -148,7 +148,7 @@
     @Test
     void aPortTakenBySomebodyElseIsNamed() throws Exception {
         // The next laboratory takes the first free block: the one that a try takes and gives back.
-        rushproxy.lab.world.Addresses first = rushproxy.lab.world.Addresses.take();
+        rushproxy.lab.world.Addresses first = rushproxy.lab.world.Addresses.claim();
         InetAddress listen = first.listen(1).getAddress();
         first.close();
         try (ServerSocket other = new ServerSocket(8081, 1, listen)) {
--- a/src/test/java/rushproxy/lab/LargeFleetTest.java
+++ b/src/test/java/rushproxy/lab/LargeFleetTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void eachOfAThousandHasAddressesThatNobodyElseHas() throws Exception {
-        try (Addresses a = Addresses.take()) {
+        try (Addresses a = Addresses.claim()) {
             Set<InetSocketAddress> all = new HashSet<>();
             int nodes = 1_024;
             for (int i = 0; i < nodes; i++) {
--- a/src/test/java/rushproxy/lab/MembersIT.java
+++ b/src/test/java/rushproxy/lab/MembersIT.java
@@ -39,7 +39,7 @@
     /** The views that were asked for in the second after the time, by who gave them; the dead give none. */
     private static Map<String, JsonNode> views(Run run, double atS) throws Exception {
         Map<String, JsonNode> views = new HashMap<>();
-        for (Observation o : run.of(Observation.What.CALLED)) {
+        for (Observation o : run.of(Observation.EventType.CALLED)) {
             if (o.us() >= atS * 1e6 && o.text().startsWith("members -> ACK {") && !views.containsKey(o.node())) {
                 views.put(o.node(), new ObjectMapper().readTree(o.text().substring("members -> ACK ".length())));
             }
--- a/src/test/java/rushproxy/lab/SharedIT.java
+++ b/src/test/java/rushproxy/lab/SharedIT.java
@@ -35,7 +35,7 @@
     /** The answers of all nodes to one question, however long they take on a busy machine: those up to the next question. */
     private static List<JsonNode> views(Run run, String call, double atS, double nextS) throws Exception {
         List<JsonNode> views = new ArrayList<>();
-        for (Observation o : run.of(Observation.What.CALLED)) {
+        for (Observation o : run.of(Observation.EventType.CALLED)) {
             if (o.us() >= atS * 1e6 && o.us() < nextS * 1e6 && o.text().startsWith(call + " -> ACK {")) {
                 views.add(new ObjectMapper().readTree(o.text().substring(call.length() + " -> ACK ".length())));
             }
@@ -85,7 +85,7 @@
                                     || !c.path("kind").asText().equals("silent"),
                             v.toString()));
         }
-        long back = run.of(Observation.What.GOT).stream()
+        long back = run.of(Observation.EventType.GOT).stream()
                 .filter(o -> o.server().equals("s0") && o.us() > 28e6)
                 .count();
         assertTrue(back > 0, "it serves again");
@@ -111,7 +111,7 @@
         }
         for (int from = 4; from < 28; from += 4) {
             int start = from;
-            long served = run.of(Observation.What.GOT).stream()
+            long served = run.of(Observation.EventType.GOT).stream()
                     .filter(o -> o.us() >= start * 1e6 && o.us() < (start + 4) * 1e6)
                     .count();
             // Each bucket may let one burst through.
--- a/src/test/java/rushproxy/lab/SoakIT.java
+++ b/src/test/java/rushproxy/lab/SoakIT.java
@@ -16,7 +16,7 @@
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.soak.Soak;
 import rushproxy.lab.soak.SoakPlan;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** The soak's plans can be played again, its oracle finds what each fault brings out, and a short one holds. */
 @Timeout(240)
@@ -68,7 +68,7 @@
         assertEquals("broken", s.verdict(), s.why().toString());
         Run run = Report.readRun(folder);
         // The first process was ready before time began.
-        long servingUs = run.of(What.NODE).stream()
+        long servingUs = run.of(EventType.NODE).stream()
                 .filter(o -> o.text().equals("serving") && o.us() > 0)
                 .findFirst()
                 .orElseThrow()
@@ -77,7 +77,7 @@
                 s.violations().stream()
                         .filter(v -> v.rule().equals("lost"))
                         .flatMap(v -> run.byId().get(v.id()).stream())
-                        .anyMatch(o -> o.what() == What.ASKED
+                        .anyMatch(o -> o.what() == EventType.ASKED
                                 && o.us() < servingUs
                                 && o.us() + o.number() * 1e3 > servingUs + ENOUGH_US),
                 "none is lost that had time left when the process began to serve");
--- a/src/test/java/rushproxy/lab/check/ColdBudgetTest.java
+++ b/src/test/java/rushproxy/lab/check/ColdBudgetTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** Work counts as sent by who knew of the start by what its sender knew when it sent it, as long as it is in the window. */
 class ColdBudgetTest {
     private static final long STARTED_MS = 77;
 
-    private static Observation seen(long us, What what, String id, String text, double number, long sinceUs) {
+    private static Observation seen(long us, EventType what, String id, String text, double number, long sinceUs) {
         return new Observation(us, what, "n0", "s0", id, null, text, number, sinceUs);
     }
 
@@ -23,9 +23,9 @@
 
     private static int violations(long toldUs, long earliestUs, long latestUs) {
         List<Observation> all = new ArrayList<>();
-        all.add(seen(0, What.SERVER_STARTED, null, "cold", STARTED_MS, 0));
-        all.add(seen(toldUs, What.TOLD, null, "Ready", STARTED_MS, 0));
-        all.add(new Observation(2_000, What.GOT, "n0", "s0", "a", null, null, 1e9, latestUs, earliestUs, 0));
+        all.add(seen(0, EventType.SERVER_STARTED, null, "cold", STARTED_MS, 0));
+        all.add(seen(toldUs, EventType.TOLD, null, "Ready", STARTED_MS, 0));
+        all.add(new Observation(2_000, EventType.GOT, "n0", "s0", "a", null, null, 1e9, latestUs, earliestUs, 0));
         all.sort(java.util.Comparator.comparingLong(Observation::us));
         return new ColdBudget().check(new Run(Seen.scenario(), all)).size();
     }
--- a/src/test/java/rushproxy/lab/check/OneAnswerTest.java
+++ b/src/test/java/rushproxy/lab/check/OneAnswerTest.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.Test;
 import rushproxy.lab.scenario.ScenarioReader;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** What a killed process held is excused, from the order to its end, and nothing before or after. */
 class OneAnswerTest {
     private static Observation node(long us, String text) {
-        return new Observation(us, What.NODE, "n0", null, null, null, text, 0, 0);
+        return new Observation(us, EventType.NODE, "n0", null, null, null, text, 0, 0);
     }
 
     private static List<Observation> request(long askedUs, long brokeUs) {
         return List.of(
-                new Observation(askedUs, What.ASKED, "n0", null, "a", "a", "read", 800, askedUs),
-                new Observation(brokeUs, What.BROKE, "n0", null, "a", null, "reset", 1, askedUs));
+                new Observation(askedUs, EventType.ASKED, "n0", null, "a", "a", "read", 800, askedUs),
+                new Observation(brokeUs, EventType.BROKE, "n0", null, "a", null, "reset", 1, askedUs));
     }
 
     private static int lost(long askedUs, long brokeUs) throws Exception {
@@ -50,8 +50,8 @@
                 node(3_000_000, "kill"),
                 node(3_060_000, "exit 137"),
                 node(4_000_000, "started"),
-                new Observation(askedUs, What.ASKED, "n0", null, "a", "a", "read", 800, askedUs),
-                new Observation(brokeUs, What.BROKE, "n0", null, "a", null, "reset", 0, sentUs, connectsUs, 0)));
+                new Observation(askedUs, EventType.ASKED, "n0", null, "a", "a", "read", 800, askedUs),
+                new Observation(brokeUs, EventType.BROKE, "n0", null, "a", null, "reset", 0, sentUs, connectsUs, 0)));
         return new OneAnswer()
                 .check(new Run(ScenarioReader.read("demo", java.util.Map.of()), all))
                 .size();
--- a/src/test/java/rushproxy/lab/check/RunsOnceTest.java
+++ b/src/test/java/rushproxy/lab/check/RunsOnceTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import rushproxy.lab.scenario.ScenarioReader;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** A repeat counts by when its sidecar can have sent it, whenever the laboratory read it. */
 class RunsOnceTest {
@@ -17,14 +17,14 @@
     private static final long READ_US = 3_000_000;
 
     private static Observation got(String server, long earliestUs, long latestUs) {
-        return new Observation(READ_US, What.GOT, "n0", server, "a", null, "k", 4, latestUs, earliestUs, 0);
+        return new Observation(READ_US, EventType.GOT, "n0", server, "a", null, "k", 4, latestUs, earliestUs, 0);
     }
 
     private static int violations(Observation first, Observation second) throws Exception {
         String scenario =
                 "name = \"test\"\nlength_s = 10\n[fleet]\nnodes = 1\n[[servers]]\ncount = 2\n[[classes]]\nname = \"log\"\n"
                         + "deadline_ms = 3000\nwork_ms = 4\nsemantics = \"keyed\"\ngroup = \"all\"\nwindow_ms = 600\n[traffic]\nrate_per_s = 1\n";
-        Observation asked = new Observation(900_000, What.ASKED, "n0", null, "a", "a", "log", 3_000, 900_000);
+        Observation asked = new Observation(900_000, EventType.ASKED, "n0", null, "a", "a", "log", 3_000, 900_000);
         return new RunsOnce()
                 .check(new Run(ScenarioReader.parse("test", scenario, Map.of()), List.of(asked, first, second)))
                 .size();
--- a/src/test/java/rushproxy/lab/check/StarvationTest.java
+++ b/src/test/java/rushproxy/lab/check/StarvationTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rushproxy.lab.world.Observation;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
  * A loss is the machine's where the laboratory's loop or the request's sidecar waited for a processor for most of its time. Beside eight
@@ -17,12 +17,12 @@
     private static final long LOST_US = 1_900_000;
 
     private static Observation waited(String node, long sinceUs, long untilUs, double ms) {
-        return new Observation(untilUs, What.WAITED, node, null, null, null, null, ms, sinceUs);
+        return new Observation(untilUs, EventType.WAITED, node, null, null, null, null, ms, sinceUs);
     }
 
     private static boolean explained(String rule, Observation... waits) {
         List<Observation> all = new ArrayList<>(List.of(waits));
-        all.add(new Observation(ASKED_US, What.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US));
+        all.add(new Observation(ASKED_US, EventType.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US));
         return new Starvation(new Run(Seen.scenario(), all))
                 .explains(new Violation(rule, LOST_US, "a", "got no answer in its time"));
     }
@@ -51,11 +51,11 @@
     /** Guards against a sidecar that closes connections, or answers twice, and has no processor meanwhile: both are its own doing. */
     @Test
     void whatSomebodyDidIsNeverTheMachines() {
-        for (What done : List.of(What.BROKE, What.ANSWERED)) {
+        for (EventType done : List.of(EventType.BROKE, EventType.ANSWERED)) {
             Run run = new Run(
                     Seen.scenario(),
                     List.of(
-                            new Observation(ASKED_US, What.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US),
+                            new Observation(ASKED_US, EventType.ASKED, "n0", null, "a", "a", "read", 800, ASKED_US),
                             waited("n0", ASKED_US, LOST_US, 900),
                             new Observation(LOST_US, done, "n0", null, "a", "a", "closed", 0, ASKED_US)));
             assertEquals(false, new Starvation(run).explains(new Violation("lost", LOST_US, "a", "")));
--- a/src/test/java/rushproxy/lab/node/AddressProbeTest.java
+++ b/src/test/java/rushproxy/lab/node/AddressProbeTest.java
@@ -14,7 +14,7 @@
     /** Guards against a look that lets a client's connection come up and resets it at its end, which counts as a sidecar's loss. */
     @Test
     void whoConnectsMeanwhileIsRefused() throws Exception {
-        try (Addresses own = Addresses.take()) {
+        try (Addresses own = Addresses.claim()) {
             InetSocketAddress address = own.listen(0);
             try (AddressProbe probe = new AddressProbe(address);
                     Socket client = new Socket()) {
--- a/src/test/java/rushproxy/lab/world/ArrivalClockTest.java
+++ b/src/test/java/rushproxy/lab/world/ArrivalTimeEstimatorTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** A byte has the time at which it came, not the one at which a late loop read it. */
-class ArrivalClockTest {
-    private static final long STEP_US = ArrivalClock.STEP_US;
-    private final ArrivalClock clock = new ArrivalClock(1_000);
+class ArrivalTimeEstimatorTest {
+    private static final long STEP_US = ArrivalTimeEstimator.STEP_US;
+    private final ArrivalTimeEstimator clock = new ArrivalTimeEstimator(1_000);
 
     private ArrivalTime at(long readUs, long agoUs, int segments) {
-        return clock.beforeRead(new ReceivedData.Received(agoUs, segments), readUs, readUs);
+        return clock.beforeRead(new TcpReceiveInfo.Received(agoUs, segments), readUs, readUs);
     }
 
     /** Guards against a sender that is judged by how late the laboratory's loop was. */
@@ -37,7 +37,7 @@
     void withoutANewSegmentOrAnAgeTheReadCounts() {
         at(700_000, 0, 1);
         assertEquals(ArrivalTime.readAt(800_000), at(800_000, 100_000, 1));
-        assertEquals(ArrivalTime.readAt(900_000), at(900_000, ReceivedData.UNKNOWN, 0));
+        assertEquals(ArrivalTime.readAt(900_000), at(900_000, TcpReceiveInfo.UNKNOWN, 0));
     }
 
     /** Guards against a kernel that counts other segments, or none. */
@@ -46,11 +46,11 @@
         try (ServerSocketChannel listener = ServerSocketChannel.open().bind(new InetSocketAddress("127.0.0.1", 0));
                 SocketChannel sender = SocketChannel.open(listener.getLocalAddress());
                 SocketChannel accepted = listener.accept()) {
-            assertEquals(0, ReceivedData.received(accepted).dataSegments());
+            assertEquals(0, TcpReceiveInfo.received(accepted).dataSegments());
             for (int sent = 1; sent <= 3; sent++) {
                 sender.write(ByteBuffer.allocate(1));
                 assertTrue(accepted.read(ByteBuffer.allocate(1)) == 1);
-                assertEquals(sent, ReceivedData.received(accepted).dataSegments());
+                assertEquals(sent, TcpReceiveInfo.received(accepted).dataSegments());
             }
         }
     }
