--- a/src/main/java/rushproxy/lab/world/AbusiveConnections.java
+++ b/src/main/java/rushproxy/lab/world/AbusiveConnections.java
@@ -16,51 +16,51 @@
 
 /** Connections to sidecars that bring no request of the application: some stop within one, others only take places. */
 final class AbusiveConnections {
-    private static final int CONNECT_MS = 1_000;
-    private static final String HALF_A_REQUEST = "POST /api HTTP/1.1\r\nHost: a\r\nX-Tx";
-    private static final String QUESTION = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final String PARTIAL_REQUEST = "POST /api HTTP/1.1\r\nHost: a\r\nX-Tx";
+    private static final String READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n";
     /** Connections of one crowd, and how long they stay. */
-    private static final int CROWD = 16;
+    private static final int CROWD_CONNECTIONS = 16;
 
-    private static final long CROWD_STAYS_US = 3_000_000;
+    private static final long CROWD_DURATION_US = 3_000_000;
 
     private final EventLoop loop;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final List<InetSocketAddress> sidecars;
 
-    AbusiveConnections(EventLoop loop, ObservationLog seen, List<InetSocketAddress> sidecars) {
+    AbusiveConnections(EventLoop loop, ObservationLog observations, List<InetSocketAddress> sidecars) {
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.sidecars = sidecars;
     }
 
     /** Stops in the middle of a request and stays: it is owed an error or a close. */
-    void stopHalfWay(int node) {
-        long sinceUs = seen.nowUs();
-        connect(node, new AbusiveConnection(HALF_A_REQUEST) {
+    void openStalledRequest(int node) {
+        long sinceUs = observations.nowUs();
+        connect(node, new AbusiveConnection(PARTIAL_REQUEST) {
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                seen.add(
+                observations.add(
                         EventType.DISMISSED,
                         "n" + node,
                         null,
                         null,
                         null,
                         null,
-                        (seen.nowUs() - sinceUs) / 1e3,
+                        (observations.nowUs() - sinceUs) / 1e3,
                         sinceUs);
             }
         });
     }
 
     /** Connections that take places and stay for a while: half of them ask something once, the others say nothing. */
-    void crowd(int node) {
-        for (int i = 0; i < CROWD; i++) {
-            connect(node, new AbusiveConnection(i % 2 == 0 ? QUESTION : "") {
+    void occupyConnections(int node) {
+        for (int i = 0; i < CROWD_CONNECTIONS; i++) {
+            connect(node, new AbusiveConnection(i % 2 == 0 ? READINESS_REQUEST : "") {
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
                     super.channelActive(ctx);
-                    loop.schedule(() -> ctx.close(), CROWD_STAYS_US, TimeUnit.MICROSECONDS);
+                    loop.schedule(() -> ctx.close(), CROWD_DURATION_US, TimeUnit.MICROSECONDS);
                 }
             });
         }
@@ -70,23 +70,23 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(stranger)
                 .connect(sidecars.get(node));
     }
 
     /** Says its words, and reads what comes without a look at it. */
     private abstract static class AbusiveConnection extends ChannelInboundHandlerAdapter {
-        private final String words;
+        private final String payload;
 
-        AbusiveConnection(String words) {
-            this.words = words;
+        AbusiveConnection(String payload) {
+            this.payload = payload;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (!words.isEmpty()) {
-                ctx.writeAndFlush(Unpooled.copiedBuffer(words, StandardCharsets.US_ASCII));
+            if (!payload.isEmpty()) {
+                ctx.writeAndFlush(Unpooled.copiedBuffer(payload, StandardCharsets.US_ASCII));
             }
         }
 
--- a/src/main/java/rushproxy/lab/world/Addresses.java
+++ b/src/main/java/rushproxy/lab/world/Addresses.java
@@ -15,13 +15,13 @@
     private static final int BLOCKS = 50;
     private static final int LOCK_PORT = 7999;
     /** Rows of 256 addresses, eight for each side of a node: 2,047 nodes. Servers and peers there are told apart by their ports. */
-    private static final int OWN = 0;
+    private static final int NODE_ROW = 0;
 
-    private static final int UPSTREAMS = 8;
-    private static final int DISCOVERY = 16;
-    private static final int PEERS = 24;
-    private static final int FIRST_SERVER = 10_000;
-    private static final int FIRST_PEER = 20_000;
+    private static final int UPSTREAM_ROW = 8;
+    private static final int DISCOVERY_ROW = 16;
+    private static final int PEER_ROW = 24;
+    private static final int FIRST_SERVER_PORT = 10_000;
+    private static final int FIRST_PEER_PORT = 20_000;
 
     private final int block;
     private final ServerSocket lock;
@@ -45,7 +45,7 @@
     }
 
     /** The node's address in one of its rows; .0.0 is nobody's. */
-    private InetSocketAddress at(int row, int node, int port) {
+    private InetSocketAddress addressInRow(int row, int node, int port) {
         try {
             return new InetSocketAddress(
                     InetAddress.getByAddress(
@@ -58,31 +58,31 @@
 
     /** Where a node's clients connect. */
     public InetSocketAddress listen(int node) {
-        return at(OWN, node, 8081);
+        return addressInRow(NODE_ROW, node, 8081);
     }
 
     /** Where a node's operators connect; the process beside it in a replacement has the other one. */
     public InetSocketAddress admin(int node, int process) {
-        return at(OWN, node, 9901 + process % 2);
+        return addressInRow(NODE_ROW, node, 9901 + process % 2);
     }
 
     public InetSocketAddress peerListen(int node) {
-        return at(OWN, node, 7946);
+        return addressInRow(NODE_ROW, node, 7946);
     }
 
     /** The upstream as this node reaches it: each pair has its own address, and with it its own link. */
     public InetSocketAddress upstream(int node, int server) {
-        return at(UPSTREAMS, node, FIRST_SERVER + server);
+        return addressInRow(UPSTREAM_ROW, node, FIRST_SERVER_PORT + server);
     }
 
     /** The agent of discovery on the node's machine; {@code moves} counts its changes of address. */
     public InetSocketAddress discovery(int node, int moves) {
-        return at(DISCOVERY, node, 8500 + moves);
+        return addressInRow(DISCOVERY_ROW, node, 8500 + moves);
     }
 
     /** Where {@code from} sends what is meant for {@code to}; what comes from {@code to} comes from here too. */
     public InetSocketAddress peer(int from, int to) {
-        return at(PEERS, from, FIRST_PEER + to);
+        return addressInRow(PEER_ROW, from, FIRST_PEER_PORT + to);
     }
 
     public static String format(InetSocketAddress address) {
--- a/src/main/java/rushproxy/lab/world/ArrivalTime.java
+++ b/src/main/java/rushproxy/lab/world/ArrivalTime.java
@@ -8,7 +8,7 @@
  */
 record ArrivalTime(long earliestUs, long latestUs) {
     /** Where nothing but the time of its read is known. */
-    static ArrivalTime readAt(long us) {
+    static ArrivalTime exactly(long us) {
         return new ArrivalTime(us, us);
     }
 }
--- a/src/main/java/rushproxy/lab/world/ArrivalTimeEstimator.java
+++ b/src/main/java/rushproxy/lab/world/ArrivalTimeEstimator.java
@@ -7,33 +7,33 @@
  */
 final class ArrivalTimeEstimator {
     /** The kernel counts in steps of up to 10 ms. */
-    static final long STEP_US = 10_000;
+    static final long KERNEL_CLOCK_STEP_US = 10_000;
 
-    private int segments;
+    private int segmentsSeen;
     /** All that came before was read; of a new connection nothing is known but that somebody listened. */
-    private long emptyUs;
+    private long drainedSinceUs;
 
-    ArrivalTimeEstimator(long listensSinceUs) {
-        emptyUs = listensSinceUs;
+    ArrivalTimeEstimator(long listeningSinceUs) {
+        drainedSinceUs = listeningSinceUs;
     }
 
     /** The kernel was asked at {@code fromUs} at the earliest and {@code untilUs} at the latest; the read follows. */
-    ArrivalTime beforeRead(TcpReceiveInfo.Received received, long fromUs, long untilUs) {
-        int fresh = received.dataSegments() - segments;
+    ArrivalTime estimateBeforeRead(TcpReceiveInfo.Received received, long fromUs, long untilUs) {
+        int fresh = received.dataSegments() - segmentsSeen;
         boolean knows = received.lastAgoUs() != TcpReceiveInfo.UNKNOWN && received.dataSegments() > 0;
         ArrivalTime first = !knows || fresh == 0
-                ? ArrivalTime.readAt(untilUs)
-                : between(
-                        fresh == 1 ? fromUs - received.lastAgoUs() - STEP_US : emptyUs,
-                        untilUs - received.lastAgoUs() + STEP_US,
+                ? ArrivalTime.exactly(untilUs)
+                : clampToRead(
+                        fresh == 1 ? fromUs - received.lastAgoUs() - KERNEL_CLOCK_STEP_US : drainedSinceUs,
+                        untilUs - received.lastAgoUs() + KERNEL_CLOCK_STEP_US,
                         untilUs);
-        segments = received.dataSegments();
-        emptyUs = fromUs;
+        segmentsSeen = received.dataSegments();
+        drainedSinceUs = fromUs;
         return first;
     }
 
-    private ArrivalTime between(long earliestUs, long latestUs, long readUs) {
+    private ArrivalTime clampToRead(long earliestUs, long latestUs, long readUs) {
         long latest = Math.min(readUs, latestUs);
-        return new ArrivalTime(Math.min(latest, Math.max(emptyUs, earliestUs)), latest);
+        return new ArrivalTime(Math.min(latest, Math.max(drainedSinceUs, earliestUs)), latest);
     }
 }
--- a/src/main/java/rushproxy/lab/world/Clients.java
+++ b/src/main/java/rushproxy/lab/world/Clients.java
@@ -44,109 +44,110 @@
  * it. Lives on the world's event loop from {@link #start} until all first tries are settled.
  */
 final class Clients {
-    private static final int CONNECT_MS = 1_000;
-    private static final int SLOW_PIECE = 16;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int SLOW_WRITE_CHUNK_BYTES = 16;
     /** What was written within this of its note has its time from that. */
-    private static final long AT_ONCE_US = 1_000;
+    private static final long IMMEDIATE_WRITE_US = 1_000;
 
-    private static final int MAX_ANSWER = 1 << 20;
-    private static final double IDLE_US = 4e6;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final double MAX_POOL_IDLE_US = 4e6;
     /** After SIGTERM new connections come for this long to twice as long, as the protocol has it. */
-    private static final long CONNECTS_ON_US = 200_000;
+    private static final long CONNECT_AFTER_SIGTERM_US = 200_000;
     /** An answer may come as late as the rules and the sockets allow before its client takes it for lost. */
-    private static final long SLACK_US = 70_000;
+    private static final long RESPONSE_SLACK_US = 70_000;
 
     private final EventLoop loop;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final Scenario scenario;
     private final DoubleSupplier chance;
     private final List<Traffic.Arrival> arrivals;
     private final List<InetSocketAddress> sidecars;
-    private final List<ArrayDeque<Connection>> idle;
-    private final Map<String, UpstreamServer.RequestProfile> asked = new HashMap<>();
+    private final List<ArrayDeque<Connection>> idleConnections;
+    private final Map<String, UpstreamServer.RequestProfile> profiles = new HashMap<>();
     /** By how much first tries left later than they were meant to, in microseconds. */
-    final Histogram lateness = new Histogram(3);
+    final Histogram sendLateness = new Histogram(3);
     /** By node: from then on nobody connects anew, as its platform has told it to leave. */
-    private final long[] connectsUntilUs;
+    private final long[] connectUntilUs;
     /** Those that send no whole request. */
-    private final AbusiveConnections strangers;
+    private final AbusiveConnections abusiveConnections;
 
-    private int next;
-    private int open;
+    private int nextArrival;
+    private int unsettledCount;
     /** How a part of the clients misbehaves; null where none does. */
-    private String misbehaves;
+    private String misbehaviorMode;
 
-    private double misbehaving;
-    private Runnable settled = () -> {};
+    private double misbehaviorShare;
+    private Runnable onAllSettled = () -> {};
 
     Clients(
             EventLoop loop,
-            ObservationLog seen,
+            ObservationLog observations,
             Scenario scenario,
             DoubleSupplier chance,
             List<Traffic.Arrival> arrivals,
             List<InetSocketAddress> sidecars) {
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.scenario = scenario;
         this.chance = chance;
         this.arrivals = arrivals;
         this.sidecars = sidecars;
-        strangers = new AbusiveConnections(loop, seen, sidecars);
-        connectsUntilUs = new long[sidecars.size()];
-        Arrays.fill(connectsUntilUs, Long.MAX_VALUE);
-        idle = sidecars.stream().map(s -> new ArrayDeque<Connection>()).toList();
+        abusiveConnections = new AbusiveConnections(loop, observations, sidecars);
+        connectUntilUs = new long[sidecars.size()];
+        Arrays.fill(connectUntilUs, Long.MAX_VALUE);
+        idleConnections =
+                sidecars.stream().map(s -> new ArrayDeque<Connection>()).toList();
     }
 
-    /** {@code settled} runs when all first tries are over. */
-    void start(Runnable settled) {
-        this.settled = settled;
-        look();
+    /** {@code onAllSettled} runs when all first tries are over. */
+    void start(Runnable onAllSettled) {
+        this.onAllSettled = onAllSettled;
+        sendDue();
     }
 
     /** What a request that a client has sent needs; null for any other id. */
-    UpstreamServer.RequestProfile needs(String id) {
-        return asked.get(id);
+    UpstreamServer.RequestProfile requestProfile(String id) {
+        return profiles.get(id);
     }
 
     /** The node was told to leave: new connections come for some tenths of a second more. */
-    void leaving(int node) {
-        connectsUntilUs[node] = seen.nowUs() + Math.round(CONNECTS_ON_US * (1 + chance.getAsDouble()));
+    void onNodeLeaving(int node) {
+        connectUntilUs[node] = observations.nowUs() + Math.round(CONNECT_AFTER_SIGTERM_US * (1 + chance.getAsDouble()));
     }
 
     /** The node is ready again. */
-    void back(int node) {
-        connectsUntilUs[node] = Long.MAX_VALUE;
+    void onNodeReady(int node) {
+        connectUntilUs[node] = Long.MAX_VALUE;
     }
 
     /** This part of the clients misbehaves: {@code how} is "leave", "stop", "slow", "slow-read" or "crowd"; null ends it. */
-    void misbehave(String how, double part) {
-        misbehaves = how;
-        misbehaving = part;
+    void setMisbehavior(String how, double part) {
+        misbehaviorMode = how;
+        misbehaviorShare = part;
     }
 
-    private boolean misbehavesNow(String how) {
-        return how.equals(misbehaves) && chance.getAsDouble() < misbehaving;
+    private boolean drawMisbehavior(String how) {
+        return how.equals(misbehaviorMode) && chance.getAsDouble() < misbehaviorShare;
     }
 
     /** No further first tries. */
     void stop() {
-        next = arrivals.size();
-        look();
+        nextArrival = arrivals.size();
+        sendDue();
     }
 
-    private void look() {
-        long now = seen.nowUs();
-        while (next < arrivals.size() && arrivals.get(next).atUs() <= now) {
-            open++;
-            lateness.recordValue(now - arrivals.get(next).atUs());
-            new LogicalRequest(arrivals.get(next++)).attempt(0);
+    private void sendDue() {
+        long now = observations.nowUs();
+        while (nextArrival < arrivals.size() && arrivals.get(nextArrival).atUs() <= now) {
+            unsettledCount++;
+            sendLateness.recordValue(now - arrivals.get(nextArrival).atUs());
+            new LogicalRequest(arrivals.get(nextArrival++)).attempt(0);
         }
-        if (next < arrivals.size()) {
-            loop.schedule(this::look, arrivals.get(next).atUs() - now, TimeUnit.MICROSECONDS);
-        } else if (open == 0) {
-            Runnable once = settled;
-            settled = () -> {};
+        if (nextArrival < arrivals.size()) {
+            loop.schedule(this::sendDue, arrivals.get(nextArrival).atUs() - now, TimeUnit.MICROSECONDS);
+        } else if (unsettledCount == 0) {
+            Runnable once = onAllSettled;
+            onAllSettled = () -> {};
             once.run();
         }
     }
@@ -154,29 +155,29 @@
     /** What a client wants, from its first try to the end of the last. */
     private final class LogicalRequest {
         private final Traffic.Arrival arrival;
-        private final long untilUs;
+        private final long deadlineUs;
         private final String idempotencyKey;
-        private int tries;
-        private String worst = "failed";
+        private int attempts;
+        private String lastOutcome = "failed";
 
         LogicalRequest(Traffic.Arrival arrival) {
             this.arrival = arrival;
-            untilUs = arrival.atUs() + arrival.spec().deadlineUs();
+            deadlineUs = arrival.atUs() + arrival.spec().deadlineUs();
             idempotencyKey = arrival.spec().semantics().equals("keyed") ? arrival.id() + "k" : null;
         }
 
         void attempt(long meantUs) {
-            long now = seen.nowUs();
-            long left = untilUs - now;
+            long now = observations.nowUs();
+            long left = deadlineUs - now;
             long wait = Math.min(
                     left,
                     Math.round(scenario.traffic().tryShare() * arrival.spec().deadlineUs()));
             if (wait < 5_000) {
-                settle(worst);
+                settle(lastOutcome);
                 return;
             }
-            String id = arrival.id() + Integer.toHexString(tries++);
-            asked.put(
+            String id = arrival.id() + Integer.toHexString(attempts++);
+            profiles.put(
                     id,
                     new UpstreamServer.RequestProfile(
                             arrival.workMs(),
@@ -184,11 +185,11 @@
                             idempotencyKey,
                             arrival.spec().group(),
                             arrival.spec().windowUs()));
-            new Attempt(this, id, tries == 1 ? arrival.atUs() : meantUs, wait).begin(true);
+            new Attempt(this, id, attempts == 1 ? arrival.atUs() : meantUs, wait).begin(true);
         }
 
-        void ended(Attempt t, String how, double retryAfterMs) {
-            worst = how;
+        void onAttemptEnded(Attempt t, String how, double retryAfterMs) {
+            lastOutcome = how;
             boolean refused = how.equals("refused");
             String semantics = arrival.spec().semantics();
             boolean again = semantics.equals("safe")
@@ -196,8 +197,9 @@
                     || how.equals("unreached")
                     || semantics.equals("keyed")
                             && arrival.spec().group().equals("all")
-                            && seen.nowUs() - arrival.atUs() < arrival.spec().windowUs();
-            if (!again || tries > scenario.traffic().retries()) {
+                            && observations.nowUs() - arrival.atUs()
+                                    < arrival.spec().windowUs();
+            if (!again || attempts > scenario.traffic().retries()) {
                 settle(how);
                 return;
             }
@@ -205,16 +207,16 @@
             if (retryAfterMs > 0 && chance.getAsDouble() < scenario.traffic().honour()) {
                 waitUs = retryAfterMs * 1_000;
             }
-            long meant = seen.nowUs() + (long) waitUs;
+            long meant = observations.nowUs() + (long) waitUs;
             loop.schedule(() -> attempt(meant), (long) waitUs, TimeUnit.MICROSECONDS);
         }
 
         void settle(String how) {
-            long us = seen.nowUs() - arrival.atUs();
+            long us = observations.nowUs() - arrival.atUs();
             String word = how.equals("served") && us > arrival.spec().aimUs()
                     ? "late"
                     : how.equals("unreached") ? "failed" : how;
-            seen.add(
+            observations.add(
                     EventType.SETTLED,
                     "n" + arrival.node(),
                     null,
@@ -223,61 +225,61 @@
                     word + " " + arrival.spec().name(),
                     us / 1e3,
                     arrival.atUs());
-            open--;
-            if (open == 0 && next >= arrivals.size()) {
-                look();
+            unsettledCount--;
+            if (unsettledCount == 0 && nextArrival >= arrivals.size()) {
+                sendDue();
             }
         }
     }
 
     /** One try, until its answer or its end without one. */
     private final class Attempt {
-        private final LogicalRequest of;
+        private final LogicalRequest request;
         private final String id;
-        private final long meantUs;
+        private final long scheduledUs;
         private final long waitUs;
-        private Connection line;
-        private Future<?> patience;
+        private Connection connection;
+        private Future<?> giveUpTimer;
         /** Its client waits until then. */
         private long waitsUntilUs;
 
         private long sentUs;
-        private boolean again;
-        private boolean over;
+        private boolean resent;
+        private boolean ended;
 
-        Attempt(LogicalRequest of, String id, long meantUs, long waitUs) {
-            this.of = of;
+        Attempt(LogicalRequest request, String id, long scheduledUs, long waitUs) {
+            this.request = request;
             this.id = id;
-            this.meantUs = meantUs;
+            this.scheduledUs = scheduledUs;
             this.waitUs = waitUs;
         }
 
         private String node() {
-            return "n" + of.arrival.node();
+            return "n" + request.arrival.node();
         }
 
         void begin(boolean pooled) {
-            if (patience == null) {
-                waitsUntilUs = seen.nowUs() + waitUs;
-                patience = loop.schedule(this::giveUp, waitUs + SLACK_US, TimeUnit.MICROSECONDS);
+            if (giveUpTimer == null) {
+                waitsUntilUs = observations.nowUs() + waitUs;
+                giveUpTimer = loop.schedule(this::giveUp, waitUs + RESPONSE_SLACK_US, TimeUnit.MICROSECONDS);
             }
-            ArrayDeque<Connection> pool = idle.get(of.arrival.node());
+            ArrayDeque<Connection> pool = idleConnections.get(request.arrival.node());
             for (Connection l; pooled && (l = pool.pollFirst()) != null; ) {
-                if (l.channel.isActive() && seen.nowUs() - l.idleSinceUs < IDLE_US) {
+                if (l.channel.isActive() && observations.nowUs() - l.idleSinceUs < MAX_POOL_IDLE_US) {
                     send(l);
                     return;
                 }
                 l.channel.close();
             }
-            if (seen.nowUs() > connectsUntilUs[of.arrival.node()]) {
-                unreached("the sidecar is leaving");
+            if (observations.nowUs() > connectUntilUs[request.arrival.node()]) {
+                onUnreached("the sidecar is leaving");
                 return;
             }
-            Connection fresh = new Connection(of.arrival.node());
+            Connection fresh = new Connection(request.arrival.node());
             ChannelFuture connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -286,106 +288,120 @@
                             channel.pipeline()
                                     .addLast(
                                             new HttpClientCodec(),
-                                            fresh.heads(),
-                                            new HttpObjectAggregator(MAX_ANSWER),
+                                            fresh.responseStartRecorder(),
+                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                             fresh);
                         }
                     })
-                    .connect(sidecars.get(of.arrival.node()));
+                    .connect(sidecars.get(request.arrival.node()));
             connecting.addListener(f -> {
-                if (over) {
+                if (ended) {
                     connecting.channel().close();
                 } else if (f.isSuccess()) {
                     send(fresh);
                 } else {
-                    unreached("" + f.cause().getMessage());
+                    onUnreached("" + f.cause().getMessage());
                 }
             });
         }
 
-        private void unreached(String why) {
-            seen.add(EventType.UNREACHED, node(), null, id, of.arrival.id(), why, 0, meantUs);
+        private void onUnreached(String why) {
+            observations.add(EventType.UNREACHED, node(), null, id, request.arrival.id(), why, 0, scheduledUs);
             end("unreached", 0);
         }
 
         private void send(Connection to) {
-            line = to;
-            to.busy = this;
+            connection = to;
+            to.attempt = this;
             // What it has waited for its connection it does not wait again.
-            long left = Math.max(1, (waitsUntilUs - seen.nowUs()) / 1_000);
-            boolean get = of.arrival.spec().semantics().equals("safe");
+            long left = Math.max(1, (waitsUntilUs - observations.nowUs()) / 1_000);
+            boolean get = request.arrival.spec().semantics().equals("safe");
             DefaultFullHttpRequest m = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     get ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/" + of.arrival.spec().name(),
+                    "/api/" + request.arrival.spec().name(),
                     get ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII));
             m.headers()
                     .set("Host", "api.internal")
                     .set("X-Txn", id)
-                    .set("X-Lane", of.arrival.spec().name())
+                    .set("X-Lane", request.arrival.spec().name())
                     .set("X-Remaining-Ms", left)
-                    .set("Cookie", "k=" + Long.toHexString(of.arrival.key()));
+                    .set("Cookie", "k=" + Long.toHexString(request.arrival.key()));
             if (!get) {
                 m.headers().set("Content-Length", m.content().readableBytes());
             }
-            if (of.idempotencyKey != null) {
-                m.headers().set("Idempotency-Key", of.idempotencyKey);
+            if (request.idempotencyKey != null) {
+                m.headers().set("Idempotency-Key", request.idempotencyKey);
             }
-            if (of.tries > 1) {
+            if (request.attempts > 1) {
                 m.headers().set("X-Resent", "1");
             }
-            sentUs = seen.nowUs();
-            if (!again) {
-                seen.add(
+            sentUs = observations.nowUs();
+            if (!resent) {
+                observations.add(
                         EventType.ASKED,
                         node(),
                         null,
                         id,
-                        of.arrival.id(),
-                        of.arrival.spec().name(),
+                        request.arrival.id(),
+                        request.arrival.spec().name(),
                         left,
-                        meantUs);
+                        scheduledUs);
             }
-            if (misbehavesNow("leave")) {
-                loop.schedule(this::leave, Math.round(waitUs * chance.getAsDouble()), TimeUnit.MICROSECONDS);
+            if (drawMisbehavior("leave")) {
+                loop.schedule(this::abandon, Math.round(waitUs * chance.getAsDouble()), TimeUnit.MICROSECONDS);
             }
-            if (misbehavesNow("crowd") && seen.nowUs() < connectsUntilUs[of.arrival.node()]) {
-                strangers.crowd(of.arrival.node());
+            if (drawMisbehavior("crowd") && observations.nowUs() < connectUntilUs[request.arrival.node()]) {
+                abusiveConnections.occupyConnections(request.arrival.node());
             }
-            if (misbehavesNow("slow-read")) {
+            if (drawMisbehavior("slow-read")) {
                 readSlowly(to);
             }
-            if (misbehavesNow("stop")) {
-                strangers.stopHalfWay(of.arrival.node());
+            if (drawMisbehavior("stop")) {
+                abusiveConnections.openStalledRequest(request.arrival.node());
             }
-            if (!again && misbehavesNow("slow")) {
+            if (!resent && drawMisbehavior("slow")) {
                 writeSlowly(to, m, left);
             } else {
-                to.channel.writeAndFlush(m).addListener(f -> written(left));
+                to.channel.writeAndFlush(m).addListener(f -> onWritten(left));
             }
         }
 
         /** The last byte has left: the client's time begins. */
-        private void written(long leftMs) {
-            if (again || seen.nowUs() - sentUs > AT_ONCE_US) {
-                seen.add(EventType.WRITTEN, node(), null, id, of.arrival.id(), null, leftMs, sentUs);
+        private void onWritten(long leftMs) {
+            if (resent || observations.nowUs() - sentUs > IMMEDIATE_WRITE_US) {
+                observations.add(EventType.WRITTEN, node(), null, id, request.arrival.id(), null, leftMs, sentUs);
             }
         }
 
-        void answered(int status, String body, double retryAfterMs) {
-            seen.add(EventType.ANSWERED, node(), null, id, of.arrival.id(), status + " " + body, retryAfterMs, sentUs);
+        void onAnswered(int status, String body, double retryAfterMs) {
+            observations.add(
+                    EventType.ANSWERED,
+                    node(),
+                    null,
+                    id,
+                    request.arrival.id(),
+                    status + " " + body,
+                    retryAfterMs,
+                    sentUs);
             end(status == 200 ? "served" : status == 429 || status == 503 ? "refused" : "failed", retryAfterMs);
         }
 
         /** The connection has ended without an answer. */
-        void broke(boolean used, boolean part, String how) {
-            if (used && !part && !again) {
+        void onBroken(boolean used, boolean part, String how) {
+            if (used && !part && !resent) {
                 // The close has crossed the request: it goes once more.
-                again = true;
+                resent = true;
                 begin(false);
                 return;
             }
-            seen.addBroken(node(), id, of.arrival.id(), part ? "part" : how, used ? 0 : line.connectsUs, sentUs);
+            observations.addBroken(
+                    node(),
+                    id,
+                    request.arrival.id(),
+                    part ? "part" : how,
+                    used ? 0 : connection.connectStartUs,
+                    sentUs);
             end("failed", 0);
         }
 
@@ -409,17 +425,17 @@
             encoder.finishAndReleaseAll();
             int pieces = 0;
             while (all.isReadable()) {
-                ByteBuf piece = all.readRetainedSlice(Math.min(SLOW_PIECE, all.readableBytes()));
+                ByteBuf piece = all.readRetainedSlice(Math.min(SLOW_WRITE_CHUNK_BYTES, all.readableBytes()));
                 boolean last = !all.isReadable();
                 loop.schedule(
                         () -> {
                             ChannelHandlerContext codec = to.channel.pipeline().context(HttpClientCodec.class);
-                            if (codec == null || over) {
+                            if (codec == null || ended) {
                                 piece.release();
                             } else {
                                 ChannelFuture sent = codec.writeAndFlush(piece);
                                 if (last) {
-                                    sent.addListener(f -> written(leftMs));
+                                    sent.addListener(f -> onWritten(leftMs));
                                 }
                             }
                         },
@@ -430,53 +446,53 @@
         }
 
         /** As clients may: before its answer has come. */
-        private void leave() {
-            if (over || line == null) {
+        private void abandon() {
+            if (ended || connection == null) {
                 return;
             }
-            over = true;
-            patience.cancel(false);
-            line.busy = null;
-            line.channel.close();
+            ended = true;
+            giveUpTimer.cancel(false);
+            connection.attempt = null;
+            connection.channel.close();
             // Noted after it: a laboratory that is held up here must not count its client as gone before it was.
-            seen.add(EventType.LEFT, node(), null, id, of.arrival.id(), null, 0, sentUs);
-            of.settle("failed");
+            observations.add(EventType.LEFT, node(), null, id, request.arrival.id(), null, 0, sentUs);
+            request.settle("failed");
         }
 
         private void giveUp() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            if (line != null) {
-                line.busy = null;
-                line.channel.close();
+            if (connection != null) {
+                connection.attempt = null;
+                connection.channel.close();
             }
             // Noted after the close, as in leave().
-            seen.add(
+            observations.add(
                     EventType.GAVE_UP,
                     node(),
                     null,
                     id,
-                    of.arrival.id(),
-                    line == null ? "unconnected" : null,
+                    request.arrival.id(),
+                    connection == null ? "unconnected" : null,
                     waitUs / 1e3,
-                    meantUs);
+                    scheduledUs);
             end("failed", 0);
         }
 
         private void end(String how, double retryAfterMs) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
-            patience.cancel(false);
-            if (line != null) {
-                line.busy = null;
+            ended = true;
+            giveUpTimer.cancel(false);
+            if (connection != null) {
+                connection.attempt = null;
             }
             if (how.equals("served")) {
-                of.settle(how);
+                request.settle(how);
             } else {
-                of.ended(this, how, retryAfterMs);
+                request.onAttemptEnded(this, how, retryAfterMs);
             }
         }
     }
@@ -485,13 +501,13 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int node;
         /** When it was begun. */
-        private final long connectsUs = seen.nowUs();
+        private final long connectStartUs = observations.nowUs();
 
         private Channel channel;
-        private Attempt busy;
+        private Attempt attempt;
         private boolean used;
         private boolean reset;
-        private boolean part;
+        private boolean responseStarted;
         private long idleSinceUs;
 
         Connection(int node) {
@@ -499,11 +515,11 @@
         }
 
         /** Stands before what makes answers whole: an answer that has begun is no silence. */
-        ChannelInboundHandlerAdapter heads() {
+        ChannelInboundHandlerAdapter responseStartRecorder() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object message) {
-                    part |= message instanceof HttpResponse;
+                    responseStarted |= message instanceof HttpResponse;
                     ctx.fireChannelRead(message);
                 }
             };
@@ -511,11 +527,11 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse m) {
-            part = false;
-            Attempt of = busy;
+            responseStarted = false;
+            Attempt of = attempt;
             if (of == null) {
                 // A second answer, or one to nobody.
-                seen.add(
+                observations.add(
                         EventType.ANSWERED,
                         "n" + node,
                         null,
@@ -534,17 +550,18 @@
             boolean keep = HttpUtil.isKeepAlive(m);
             String after = m.headers().get("Retry-After");
             used = true;
-            idleSinceUs = seen.nowUs();
-            busy = null;
-            of.answered(m.status().code(), m.content().toString(StandardCharsets.US_ASCII), seconds(after) * 1_000);
+            idleSinceUs = observations.nowUs();
+            attempt = null;
+            of.onAnswered(
+                    m.status().code(), m.content().toString(StandardCharsets.US_ASCII), parseSeconds(after) * 1_000);
             if (!keep) {
                 ctx.close();
-            } else if (busy == null) {
-                idle.get(node).addFirst(this);
+            } else if (attempt == null) {
+                idleConnections.get(node).addFirst(this);
             }
         }
 
-        private double seconds(String text) {
+        private double parseSeconds(String text) {
             try {
                 return text == null ? 0 : Double.parseDouble(text);
             } catch (NumberFormatException e) {
@@ -554,11 +571,11 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.get(node).remove(this);
-            Attempt of = busy;
-            busy = null;
-            if (of != null && !of.over) {
-                of.broke(used, part, reset ? "reset" : "closed");
+            idleConnections.get(node).remove(this);
+            Attempt of = attempt;
+            attempt = null;
+            if (of != null && !of.ended) {
+                of.onBroken(used, responseStarted, reset ? "reset" : "closed");
             }
         }
 
@@ -567,7 +584,7 @@
             reset = true;
             // An answer that was broken off is told by the end of its connection.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
-                seen.add(EventType.TROUBLE, "n" + node, null, null, null, "a client failed: " + cause, 0, 0);
+                observations.add(EventType.TROUBLE, "n" + node, null, null, null, "a client failed: " + cause, 0, 0);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/lab/world/Link.java
+++ b/src/main/java/rushproxy/lab/world/Link.java
@@ -12,7 +12,7 @@
  * request may come long after its sender has given it up. Ends by itself when nothing is on its way.
  */
 final class Link {
-    private static final long LOOK_AGAIN_US = 20_000;
+    private static final long CUT_RETRY_US = 20_000;
 
     private final EventLoop loop;
     private final Network network;
@@ -28,59 +28,59 @@
         this.node = node;
         this.far = far;
         // Two passes of a handshake come before the first byte.
-        inward.notBeforeNanos = System.nanoTime() + 2_000 * network.delayUs(node, far);
+        inward.earliestArrivalNanos = System.nanoTime() + 2_000 * network.delayUs(node, far);
     }
 
-    void inward(Runnable arrive) {
-        inward.add(arrive);
+    void sendInward(Runnable deliver) {
+        inward.add(deliver);
     }
 
-    void outward(Runnable arrive) {
-        outward.add(arrive);
+    void sendOutward(Runnable deliver) {
+        outward.add(deliver);
     }
 
     /** Nobody is there any more to hear of what is on its way outward. */
-    void closed() {
-        outward.passing.clear();
+    void dropOutward() {
+        outward.inTransit.clear();
     }
 
     private final class Direction {
-        private record InTransit(long atNanos, Runnable arrive) {}
+        private record InTransit(long dueNanos, Runnable deliver) {}
 
         private final boolean inward;
-        private final ArrayDeque<InTransit> passing = new ArrayDeque<>();
-        private long notBeforeNanos;
+        private final ArrayDeque<InTransit> inTransit = new ArrayDeque<>();
+        private long earliestArrivalNanos;
         private Future<?> timer;
 
         Direction(boolean inward) {
             this.inward = inward;
         }
 
-        void add(Runnable arrive) {
+        void add(Runnable deliver) {
             long us = inward ? network.delayUs(node, far) : network.delayUs(far, node);
-            notBeforeNanos = Math.max(notBeforeNanos, System.nanoTime() + 1_000 * us);
-            passing.add(new InTransit(notBeforeNanos, arrive));
-            look();
+            earliestArrivalNanos = Math.max(earliestArrivalNanos, System.nanoTime() + 1_000 * us);
+            inTransit.add(new InTransit(earliestArrivalNanos, deliver));
+            deliverDue();
         }
 
-        private void look() {
+        private void deliverDue() {
             if (timer != null) {
                 return;
             }
-            while (!passing.isEmpty()) {
-                boolean cut = inward ? network.cut(node, far) : network.cut(far, node);
-                long waitNanos = cut ? LOOK_AGAIN_US * 1_000 : passing.peek().atNanos - System.nanoTime();
+            while (!inTransit.isEmpty()) {
+                boolean cut = inward ? network.isCut(node, far) : network.isCut(far, node);
+                long waitNanos = cut ? CUT_RETRY_US * 1_000 : inTransit.peek().dueNanos - System.nanoTime();
                 if (cut || waitNanos > 0) {
                     timer = loop.schedule(
                             () -> {
                                 timer = null;
-                                look();
+                                deliverDue();
                             },
                             waitNanos,
                             TimeUnit.NANOSECONDS);
                     return;
                 }
-                passing.poll().arrive.run();
+                inTransit.poll().deliver.run();
             }
         }
     }
--- a/src/main/java/rushproxy/lab/world/Network.java
+++ b/src/main/java/rushproxy/lab/world/Network.java
@@ -19,22 +19,22 @@
 
     private final Scenario.Network spec;
     private final UniformRandomProvider random;
-    private final List<ActiveFault> active = new ArrayList<>();
+    private final List<ActiveFault> activeFaults = new ArrayList<>();
 
     Network(Scenario.Network spec, UniformRandomProvider random) {
         this.spec = spec;
         this.random = random;
     }
 
-    void begin(Scenario.Fault fault) {
-        active.add(new ActiveFault(fault, fault.what(), fault.from(), fault.to(), fault.factor()));
+    void startFault(Scenario.Fault fault) {
+        activeFaults.add(new ActiveFault(fault, fault.what(), fault.from(), fault.to(), fault.factor()));
     }
 
-    void end(Scenario.Fault fault) {
-        active.removeIf(a -> a.key == fault);
+    void endFault(Scenario.Fault fault) {
+        activeFaults.removeIf(a -> a.key == fault);
     }
 
-    private static boolean names(List<String> ends, Endpoint end) {
+    private static boolean matches(List<String> ends, Endpoint end) {
         for (String e : ends) {
             int colon = e.indexOf(':');
             boolean is = switch (colon < 0 ? e : e.substring(0, colon)) {
@@ -52,11 +52,11 @@
     }
 
     /** Whether what is on its way from the one to the other stays where it is. A cut with factor 2 goes both ways. */
-    boolean cut(Endpoint from, Endpoint to) {
-        for (ActiveFault a : active) {
+    boolean isCut(Endpoint from, Endpoint to) {
+        for (ActiveFault a : activeFaults) {
             if (a.what.equals("cut")
-                    && (names(a.from, from) && names(a.to, to)
-                            || a.factor == 2 && names(a.from, to) && names(a.to, from))) {
+                    && (matches(a.from, from) && matches(a.to, to)
+                            || a.factor == 2 && matches(a.from, to) && matches(a.to, from))) {
                 return true;
             }
         }
@@ -64,8 +64,8 @@
     }
 
     /** A fault that both ends feel, in whichever order it names them. */
-    static boolean between(Scenario.Fault fault, Endpoint a, Endpoint b) {
-        return names(fault.from(), a) && names(fault.to(), b) || names(fault.from(), b) && names(fault.to(), a);
+    static boolean affectsLinkBetween(Scenario.Fault fault, Endpoint a, Endpoint b) {
+        return matches(fault.from(), a) && matches(fault.to(), b) || matches(fault.from(), b) && matches(fault.to(), a);
     }
 
     /** One-way delay now, in microseconds. */
@@ -73,9 +73,9 @@
         double ms = from.zone.equals(to.zone)
                 ? spec.sameMs()
                 : region(from).equals(region(to)) ? spec.crossMs() : spec.regionMs();
-        for (ActiveFault a : active) {
+        for (ActiveFault a : activeFaults) {
             if (a.what.equals("delay")
-                    && (names(a.from, from) && names(a.to, to) || names(a.from, to) && names(a.to, from))) {
+                    && (matches(a.from, from) && matches(a.to, to) || matches(a.from, to) && matches(a.to, from))) {
                 ms += a.factor;
             }
         }
@@ -89,13 +89,13 @@
     /** How often a datagram arrives: 0 where it is lost, else 1 or 2. */
     int copies(Endpoint from, Endpoint to) {
         double loss = spec.peerLoss();
-        for (ActiveFault a : active) {
+        for (ActiveFault a : activeFaults) {
             if (a.what.equals("peer-loss")
-                    && (names(a.from, from) && names(a.to, to) || names(a.from, to) && names(a.to, from))) {
+                    && (matches(a.from, from) && matches(a.to, to) || matches(a.from, to) && matches(a.to, from))) {
                 loss = 1 - (1 - loss) * (1 - a.factor);
             }
         }
-        if (cut(from, to) || random.nextDouble() < loss) {
+        if (isCut(from, to) || random.nextDouble() < loss) {
             return 0;
         }
         return random.nextDouble() < spec.peerTwice() ? 2 : 1;
--- a/src/main/java/rushproxy/lab/world/ObservationLog.java
+++ b/src/main/java/rushproxy/lab/world/ObservationLog.java
@@ -10,16 +10,16 @@
  * and bounded.
  */
 public final class ObservationLog {
-    private final List<Observation> all = new ArrayList<>();
-    private final Consumer<Observation> each;
+    private final List<Observation> observations = new ArrayList<>();
+    private final Consumer<Observation> onObservation;
     /** What comes before time begins has negative times. */
-    private static final long BEFORE_NANOS = 3_600_000_000_000L;
+    private static final long START_OFFSET_NANOS = 3_600_000_000_000L;
 
-    private long zeroNanos = System.nanoTime() + BEFORE_NANOS;
+    private long zeroNanos = System.nanoTime() + START_OFFSET_NANOS;
 
-    /** {@code each} hears of every observation at once, under this lock: it must be quick. */
-    public ObservationLog(Consumer<Observation> each) {
-        this.each = each;
+    /** {@code onObservation} hears of every observation at once, under this lock: it must be quick. */
+    public ObservationLog(Consumer<Observation> onObservation) {
+        this.onObservation = onObservation;
     }
 
     /** Time begins: what was seen until now was before it, at negative times. */
@@ -81,16 +81,16 @@
         }
     }
 
-    private void append(Observation o) {
-        all.add(o);
-        each.accept(o);
+    private void append(Observation observation) {
+        observations.add(observation);
+        onObservation.accept(observation);
     }
 
     public synchronized List<Observation> all() {
-        return List.copyOf(all);
+        return List.copyOf(observations);
     }
 
     public synchronized int size() {
-        return all.size();
+        return observations.size();
     }
 }
--- a/src/main/java/rushproxy/lab/world/PeerRelay.java
+++ b/src/main/java/rushproxy/lab/world/PeerRelay.java
@@ -16,7 +16,7 @@
 /**
  * The UDP network between sidecars: for every ordered pair a socket where the one sends what is meant for the other, and
  * from which the other's words come to it. Each datagram is delayed, lost, doubled or overtaken as {@link Network} says.
- * Counts datagrams and bytes by sender. Lives on the world's event loop until {@link #end}.
+ * Counts datagrams and bytes by sender. Lives on the world's event loop until {@link #close}.
  */
 final class PeerRelay {
     private final EventLoop loop;
@@ -24,8 +24,8 @@
     private final List<Network.Endpoint> nodes;
     private final Addresses addresses;
     private final Channel[][] sockets;
-    private final long[] sent;
-    private final long[] bytes;
+    private final long[] datagramsSent;
+    private final long[] bytesSent;
 
     PeerRelay(EventLoop loop, Network network, List<Network.Endpoint> nodes, Addresses addresses) {
         this.loop = loop;
@@ -33,8 +33,8 @@
         this.nodes = nodes;
         this.addresses = addresses;
         sockets = new Channel[nodes.size()][nodes.size()];
-        sent = new long[nodes.size()];
-        bytes = new long[nodes.size()];
+        datagramsSent = new long[nodes.size()];
+        bytesSent = new long[nodes.size()];
     }
 
     List<ChannelFuture> start() {
@@ -50,7 +50,7 @@
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                                 if (packet.sender().equals(addresses.peerListen(from))) {
-                                    pass(from, to, packet);
+                                    forward(from, to, packet);
                                 }
                             }
 
@@ -67,9 +67,9 @@
         return binds;
     }
 
-    private void pass(int from, int to, DatagramPacket packet) {
-        sent[from]++;
-        bytes[from] += packet.content().readableBytes();
+    private void forward(int from, int to, DatagramPacket packet) {
+        datagramsSent[from]++;
+        bytesSent[from] += packet.content().readableBytes();
         InetSocketAddress target = addresses.peerListen(to);
         int copies = network.copies(nodes.get(from), nodes.get(to));
         for (int i = 0; i < copies; i++) {
@@ -85,15 +85,15 @@
     }
 
     /** Datagrams that a node has sent so far. */
-    long sent(int node) {
-        return sent[node];
+    long datagramsSent(int node) {
+        return datagramsSent[node];
     }
 
-    long bytes(int node) {
-        return bytes[node];
+    long bytesSent(int node) {
+        return bytesSent[node];
     }
 
-    void end() {
+    void close() {
         for (Channel[] row : sockets) {
             for (Channel c : row) {
                 if (c != null) {
--- a/src/main/java/rushproxy/lab/world/Registry.java
+++ b/src/main/java/rushproxy/lab/world/Registry.java
@@ -35,32 +35,32 @@
 
 /**
  * Discovery: the true state of the upstreams, and an agent on each node's machine that has the news late and tells it to
- * watches. Lives on the world's event loop; agents listen until {@link #end}.
+ * watches. Lives on the world's event loop; agents listen until {@link #close}.
  */
 final class Registry {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long OLD_ADDRESS_MS = 1_500;
+    private static final long OLD_CONNECTION_GRACE_MS = 1_500;
 
-    /** One server as discovery knows it, {@code number} its place among all changes. {@code state}: Ready, Terminating or Gone. */
-    private record Instance(long number, UpstreamServer server, String state, long startedAtMs) {}
+    /** One server as discovery knows it, {@code changeNumber} its place among all changes. {@code state}: Ready, Terminating or Gone. */
+    private record Instance(long changeNumber, UpstreamServer server, String state, long startedAtMs) {}
 
     private final EventLoop loop;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final Scenario.Discovery spec;
     private final DoubleSupplier chance;
     private final List<Agent> agents = new ArrayList<>();
-    private long changes;
+    private long changeCount;
 
-    Registry(EventLoop loop, ObservationLog seen, Scenario.Discovery spec, DoubleSupplier chance) {
+    Registry(EventLoop loop, ObservationLog observations, Scenario.Discovery spec, DoubleSupplier chance) {
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.spec = spec;
         this.chance = chance;
     }
 
-    /** The agents of all nodes, in their order; {@code reach.at(node, server)} is the server's address for the node. */
+    /** The agents of all nodes, in their order; {@code addresses.at(node, server)} is the server's address for the node. */
     interface AddressResolver {
-        InetSocketAddress at(int node, int server);
+        InetSocketAddress addressOf(int node, int server);
     }
 
     List<ChannelFuture> start(
@@ -72,8 +72,8 @@
         for (int i = 0; i < nodes.size(); i++) {
             Agent agent = new Agent(i, nodes.get(i), reach);
             for (UpstreamServer s : servers) {
-                agent.lines.put(s.id, new Instance(0, s, "Ready", s.startedAtMs()));
-                agent.changedAt.put(s.id, agent.generation);
+                agent.instancesById.put(s.id, new Instance(0, s, "Ready", s.startedAtMs()));
+                agent.changedAtGeneration.put(s.id, agent.generation);
             }
             agents.add(agent);
             binds.add(agent.listen(addresses.get(i)));
@@ -82,26 +82,26 @@
     }
 
     /** The server's true state has changed: each agent hears of it in its own time. */
-    void changed(UpstreamServer server, String state) {
-        Instance line = new Instance(++changes, server, state, server.startedAtMs());
+    void publishChange(UpstreamServer server, String state) {
+        Instance line = new Instance(++changeCount, server, state, server.startedAtMs());
         for (Agent agent : agents) {
-            double lateMs = spec.noticeMs() + spec.spreadMs() * chance.getAsDouble() + agent.lateMs;
-            loop.schedule(() -> agent.news(line), Math.round(1_000 * lateMs), TimeUnit.MICROSECONDS);
+            double lateMs = spec.noticeMs() + spec.spreadMs() * chance.getAsDouble() + agent.extraDelayMs;
+            loop.schedule(() -> agent.receive(line), Math.round(1_000 * lateMs), TimeUnit.MICROSECONDS);
         }
     }
 
     /** The agent hears nothing and answers nothing new until the fault is over. */
-    void silent(int node, boolean on) {
-        agents.get(node).silent(on);
+    void setSilent(int node, boolean on) {
+        agents.get(node).setSilent(on);
     }
 
-    void late(int node, double byMs) {
-        agents.get(node).lateMs = byMs;
+    void setDelay(int node, double byMs) {
+        agents.get(node).extraDelayMs = byMs;
     }
 
     /** The agent misses this part of the changes until it is told 0, and then has them all. */
-    void splits(int node, double part) {
-        agents.get(node).splits(part);
+    void setMissedShare(int node, double part) {
+        agents.get(node).setMissedShare(part);
     }
 
     /** From now on the agent is at the new address; the old one takes no connection and closes the open ones soon. */
@@ -109,35 +109,35 @@
         return agents.get(node).move(to);
     }
 
-    /** The list as a configuration's {@code known} has it: what the agent holds now. */
-    ObjectNode known(int node) {
-        return agents.get(node).list(-1);
+    /** The list as a configuration's {@code knownInstances} has it: what the agent holds now. */
+    ObjectNode knownInstances(int node) {
+        return agents.get(node).toJson(-1);
     }
 
-    void end() {
-        agents.forEach(Agent::end);
+    void close() {
+        agents.forEach(Agent::close);
     }
 
     private final class Agent {
-        private final int number;
+        private final int nodeNumber;
         private final String node;
-        private final AddressResolver reach;
-        private final Map<String, Instance> lines = new LinkedHashMap<>();
-        private final Map<String, Long> changedAt = new LinkedHashMap<>();
-        private final List<Instance> held = new ArrayList<>();
-        private final List<Instance> missed = new ArrayList<>();
-        private final Set<Watch> watches = new HashSet<>();
+        private final AddressResolver addresses;
+        private final Map<String, Instance> instancesById = new LinkedHashMap<>();
+        private final Map<String, Long> changedAtGeneration = new LinkedHashMap<>();
+        private final List<Instance> heldChanges = new ArrayList<>();
+        private final List<Instance> missedChanges = new ArrayList<>();
+        private final Set<LongPoll> longPolls = new HashSet<>();
         private final Set<Channel> connections = new HashSet<>();
         private long generation = 1;
         private Channel listener;
         private boolean silent;
-        private double lateMs;
-        private double missing;
+        private double extraDelayMs;
+        private double missedShare;
 
-        Agent(int number, String node, AddressResolver reach) {
-            this.number = number;
+        Agent(int nodeNumber, String node, AddressResolver addresses) {
+            this.nodeNumber = nodeNumber;
             this.node = node;
-            this.reach = reach;
+            this.addresses = addresses;
         }
 
         ChannelFuture listen(InetSocketAddress address) {
@@ -165,61 +165,61 @@
             Set<Channel> open = Set.copyOf(connections);
             ChannelFuture bind = listen(to);
             old.close();
-            loop.schedule(() -> open.forEach(Channel::close), OLD_ADDRESS_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> open.forEach(Channel::close), OLD_CONNECTION_GRACE_MS, TimeUnit.MILLISECONDS);
             return bind;
         }
 
-        void end() {
+        void close() {
             if (listener != null) {
                 listener.close();
             }
             Set.copyOf(connections).forEach(Channel::close);
         }
 
-        void news(Instance line) {
+        void receive(Instance line) {
             if (silent) {
-                held.add(line);
-            } else if (missing > 0 && chance.getAsDouble() < missing) {
-                missed.add(line);
+                heldChanges.add(line);
+            } else if (missedShare > 0 && chance.getAsDouble() < missedShare) {
+                missedChanges.add(line);
             } else {
-                put(line);
-                tellAll();
+                apply(line);
+                answerPendingPolls();
             }
         }
 
-        private void put(Instance line) {
-            Instance before = lines.get(line.server.id);
+        private void apply(Instance line) {
+            Instance before = instancesById.get(line.server.id);
             // News may overtake older news of the same server.
-            if (before != null && before.number > line.number) {
+            if (before != null && before.changeNumber > line.changeNumber) {
                 return;
             }
             generation++;
-            lines.put(line.server.id, line);
-            changedAt.put(line.server.id, generation);
+            instancesById.put(line.server.id, line);
+            changedAtGeneration.put(line.server.id, generation);
         }
 
-        void silent(boolean on) {
+        void setSilent(boolean on) {
             silent = on;
             if (!on) {
-                release(held);
+                applyDelayed(heldChanges);
             }
         }
 
-        void splits(double part) {
-            missing = part;
+        void setMissedShare(double part) {
+            missedShare = part;
             if (part == 0) {
-                release(missed);
+                applyDelayed(missedChanges);
             }
         }
 
-        private void release(List<Instance> late) {
-            late.forEach(this::put);
+        private void applyDelayed(List<Instance> late) {
+            late.forEach(this::apply);
             late.clear();
-            tellAll();
+            answerPendingPolls();
         }
 
-        private void tellAll() {
-            for (Watch w : Set.copyOf(watches)) {
+        private void answerPendingPolls() {
+            for (LongPoll w : Set.copyOf(longPolls)) {
                 if (w.index < generation) {
                     w.answer();
                 }
@@ -227,16 +227,16 @@
         }
 
         /** Changes after the index, or the whole list where it is negative. */
-        ObjectNode list(long index) {
+        ObjectNode toJson(long index) {
             ObjectNode list = JSON.createObjectNode();
             list.put("generation", generation).put("reset", index < 0);
             ArrayNode instances = list.putArray("instances");
-            for (Instance line : lines.values()) {
-                if (index < 0 ? !line.state.equals("Gone") : changedAt.get(line.server.id) > index) {
+            for (Instance line : instancesById.values()) {
+                if (index < 0 ? !line.state.equals("Gone") : changedAtGeneration.get(line.server.id) > index) {
                     instances
                             .addObject()
                             .put("instanceId", line.server.id)
-                            .put("hostPort", Addresses.format(reach.at(number, line.server.number)))
+                            .put("hostPort", Addresses.format(addresses.addressOf(nodeNumber, line.server.number)))
                             .put("zone", line.server.zone)
                             .put("machineType", line.server.spec().kind())
                             .put("cell", line.server.cell)
@@ -248,39 +248,39 @@
             return list;
         }
 
-        private void write(Channel channel, long index) {
-            byte[] body = list(index).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        private void respond(Channel channel, long index) {
+            byte[] body = toJson(index).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
             response.headers().set("Content-Length", body.length);
-            List<Instance> told = lines.values().stream()
-                    .filter(l -> index < 0 || changedAt.get(l.server.id) > index)
+            List<Instance> told = instancesById.values().stream()
+                    .filter(l -> index < 0 || changedAtGeneration.get(l.server.id) > index)
                     .toList();
-            long fromUs = seen.nowUs();
+            long fromUs = observations.nowUs();
             channel.writeAndFlush(response).addListener(f -> {
                 if (f.isSuccess()) {
                     for (Instance l : told) {
-                        seen.add(EventType.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, fromUs);
+                        observations.add(EventType.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, fromUs);
                     }
                 }
             });
         }
 
         /** A call that waits for news. */
-        private final class Watch {
+        private final class LongPoll {
             private final Channel channel;
             private final long index;
             private Future<?> timer;
 
-            Watch(Channel channel, long index) {
+            LongPoll(Channel channel, long index) {
                 this.channel = channel;
                 this.index = index;
             }
 
             void answer() {
                 timer.cancel(false);
-                if (watches.remove(this) && channel.isActive()) {
-                    write(channel, index > generation ? -1 : index);
+                if (longPolls.remove(this) && channel.isActive()) {
+                    respond(channel, index > generation ? -1 : index);
                 }
             }
         }
@@ -295,11 +295,11 @@
                         60_000,
                         Long.parseLong(query.getOrDefault("wait", List.of("0")).get(0)));
                 if (index < 0 && !silent) {
-                    write(ctx.channel(), -1);
+                    respond(ctx.channel(), -1);
                     return;
                 }
-                Watch watch = new Watch(ctx.channel(), index);
-                watches.add(watch);
+                LongPoll watch = new LongPoll(ctx.channel(), index);
+                longPolls.add(watch);
                 // While discovery is down the agent stays silent, also past the wait.
                 watch.timer = loop.schedule(
                         () -> {
@@ -316,7 +316,7 @@
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                watches.removeIf(w -> {
+                longPolls.removeIf(w -> {
                     boolean gone = w.channel == ctx.channel();
                     if (gone) {
                         w.timer.cancel(false);
--- a/src/main/java/rushproxy/lab/world/TcpReceiveInfo.java
+++ b/src/main/java/rushproxy/lab/world/TcpReceiveInfo.java
@@ -24,30 +24,30 @@
      */
     record Received(long lastAgoUs, int dataSegments) {}
 
-    private static final Received NOTHING_KNOWN = new Received(UNKNOWN, 0);
-    private static final long US_A_MS = 1_000;
+    private static final Received UNAVAILABLE = new Received(UNKNOWN, 0);
+    private static final long US_PER_MS = 1_000;
     /** {@code IPPROTO_TCP} and {@code TCP_INFO} of Linux. */
-    private static final int LEVEL = 6;
+    private static final int IPPROTO_TCP = 6;
 
-    private static final int OPTION = 11;
+    private static final int TCP_INFO = 11;
     /** Offsets in {@code struct tcp_info} of Linux, and as much of it as is wanted here. */
-    private static final int RCV_MSS = 20;
+    private static final int RCV_MSS_OFFSET = 20;
 
-    private static final int LAST_DATA_RECV = 52;
-    private static final int DATA_SEGS_IN = 152;
-    private static final int LENGTH = 160;
+    private static final int LAST_DATA_RECV_OFFSET = 52;
+    private static final int DATA_SEGS_IN_OFFSET = 152;
+    private static final int TCP_INFO_BYTES = 160;
 
-    private static final TcpReceiveInfo KERNEL = find();
+    private static final TcpReceiveInfo INSTANCE = createOrNull();
 
     private final Field descriptor;
-    private final ByteBuffer info = ByteBuffer.allocateDirect(LENGTH).order(ByteOrder.nativeOrder());
+    private final ByteBuffer info = ByteBuffer.allocateDirect(TCP_INFO_BYTES).order(ByteOrder.nativeOrder());
 
     private TcpReceiveInfo(Field descriptor) {
         this.descriptor = descriptor;
     }
 
     /** Null where a part is missing. */
-    private static TcpReceiveInfo find() {
+    private static TcpReceiveInfo createOrNull() {
         try {
             if (!Epoll.isAvailable()) {
                 return null;
@@ -62,26 +62,26 @@
 
     /** What the connection has received until now. */
     static synchronized Received received(SocketChannel connection) {
-        if (KERNEL == null || !connection.isOpen()) {
-            return NOTHING_KNOWN;
+        if (INSTANCE == null || !connection.isOpen()) {
+            return UNAVAILABLE;
         }
         try {
-            return KERNEL.read(connection);
+            return INSTANCE.read(connection);
         } catch (IOException | ReflectiveOperationException | RuntimeException e) {
-            return NOTHING_KNOWN;
+            return UNAVAILABLE;
         }
     }
 
     private Received read(SocketChannel connection) throws IOException, ReflectiveOperationException {
         info.clear();
         // What an older kernel does not fill in stays 0.
-        for (int i = 0; i < LENGTH; i += Integer.BYTES) {
+        for (int i = 0; i < TCP_INFO_BYTES; i += Integer.BYTES) {
             info.putInt(i, 0);
         }
-        new Socket(descriptor.getInt(connection)).getRawOpt(LEVEL, OPTION, info);
+        new Socket(descriptor.getInt(connection)).getRawOpt(IPPROTO_TCP, TCP_INFO, info);
         // A kernel has a segment size for each connection; what stands in for one may fill in nothing.
-        return info.getInt(RCV_MSS) == 0
-                ? NOTHING_KNOWN
-                : new Received(info.getInt(LAST_DATA_RECV) * US_A_MS, info.getInt(DATA_SEGS_IN));
+        return info.getInt(RCV_MSS_OFFSET) == 0
+                ? UNAVAILABLE
+                : new Received(info.getInt(LAST_DATA_RECV_OFFSET) * US_PER_MS, info.getInt(DATA_SEGS_IN_OFFSET));
     }
 }
--- a/src/main/java/rushproxy/lab/world/TimestampingServerChannel.java
+++ b/src/main/java/rushproxy/lab/world/TimestampingServerChannel.java
@@ -11,11 +11,11 @@
 /** A listener whose connections tell when the bytes came that they read. */
 final class TimestampingServerChannel extends NioServerSocketChannel {
     private final ObservationLog clock;
-    private final long listensSinceUs;
+    private final long listeningSinceUs;
 
     TimestampingServerChannel(ObservationLog clock) {
         this.clock = clock;
-        listensSinceUs = clock.nowUs();
+        listeningSinceUs = clock.nowUs();
     }
 
     @Override
@@ -24,32 +24,32 @@
         if (socket == null) {
             return 0;
         }
-        accepted.add(new Connection(this, socket, clock, listensSinceUs));
+        accepted.add(new Connection(this, socket, clock, listeningSinceUs));
         return 1;
     }
 
     /** One that was accepted. */
     static final class Connection extends NioSocketChannel {
         private final ObservationLog clock;
-        private final ArrivalTimeEstimator arrivals;
-        private ArrivalTime lastRead;
+        private final ArrivalTimeEstimator arrivalTimes;
+        private ArrivalTime lastReadArrival;
 
-        private Connection(Channel parent, SocketChannel socket, ObservationLog clock, long listensSinceUs) {
+        private Connection(Channel parent, SocketChannel socket, ObservationLog clock, long listeningSinceUs) {
             super(parent, socket);
             this.clock = clock;
-            arrivals = new ArrivalTimeEstimator(listensSinceUs);
+            arrivalTimes = new ArrivalTimeEstimator(listeningSinceUs);
         }
 
         /** When the first byte of what was read last had come. */
-        ArrivalTime lastRead() {
-            return lastRead;
+        ArrivalTime lastReadArrival() {
+            return lastReadArrival;
         }
 
         @Override
         protected int doReadBytes(ByteBuf to) throws Exception {
             long fromUs = clock.nowUs();
             TcpReceiveInfo.Received received = TcpReceiveInfo.received(javaChannel());
-            lastRead = arrivals.beforeRead(received, fromUs, clock.nowUs());
+            lastReadArrival = arrivalTimes.estimateBeforeRead(received, fromUs, clock.nowUs());
             return super.doReadBytes(to);
         }
     }
--- a/src/main/java/rushproxy/lab/world/Traffic.java
+++ b/src/main/java/rushproxy/lab/world/Traffic.java
@@ -19,12 +19,12 @@
     private Traffic() {}
 
     /** Poisson arrivals over the run's length, at most {@code most}; in the order of their times. */
-    static List<Arrival> draw(Scenario scenario, UniformRandomProvider random, int most) {
+    static List<Arrival> generate(Scenario scenario, UniformRandomProvider random, int maxArrivals) {
         Scenario.Traffic t = scenario.traffic();
         double peak = t.ratePerS()
                 * t.bursts().stream().mapToDouble(Scenario.Burst::factor).reduce(1, Math::max);
-        double[] nodes = upTo(weights(scenario.fleet().nodes(), t.skew(), random));
-        double[] classes = upTo(scenario.classes().stream()
+        double[] nodes = cumulativeSums(skewedWeights(scenario.fleet().nodes(), t.skew(), random));
+        double[] classes = cumulativeSums(scenario.classes().stream()
                 .mapToDouble(Scenario.RequestClass::share)
                 .toArray());
         List<SharedStateContinuousSampler> work = scenario.classes().stream()
@@ -38,17 +38,17 @@
         DiscreteSampler keys = RejectionInversionZipfSampler.of(random, t.keys(), t.zipf());
         ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
         List<Arrival> arrivals = new ArrayList<>();
-        for (double at = 0; arrivals.size() < most; ) {
+        for (double at = 0; arrivals.size() < maxArrivals; ) {
             at += gaps.sample() / peak * 1e6;
             if (at >= scenario.lengthUs()) {
                 break;
             }
             // Thinned from the highest rate to that of the moment.
-            if (random.nextDouble() * peak < rate(t, (long) at)) {
-                int c = place(classes, random.nextDouble());
+            if (random.nextDouble() * peak < rateAt(t, (long) at)) {
+                int c = sampleIndex(classes, random.nextDouble());
                 arrivals.add(new Arrival(
                         (long) at,
-                        place(nodes, random.nextDouble()),
+                        sampleIndex(nodes, random.nextDouble()),
                         scenario.classes().get(c),
                         keys.sample(),
                         work.get(c).sample(),
@@ -58,7 +58,7 @@
         return arrivals;
     }
 
-    private static double rate(Scenario.Traffic t, long atUs) {
+    private static double rateAt(Scenario.Traffic t, long atUs) {
         double rate = t.ratePerS() * (atUs < t.rampUs() ? (double) atUs / t.rampUs() : 1);
         for (Scenario.Burst b : t.bursts()) {
             if (atUs >= b.atUs() && atUs < b.atUs() + b.forUs()) {
@@ -68,7 +68,7 @@
         return rate;
     }
 
-    private static double[] weights(int n, double skew, UniformRandomProvider random) {
+    private static double[] skewedWeights(int n, double skew, UniformRandomProvider random) {
         int[] rank = PermutationSampler.natural(n);
         PermutationSampler.shuffle(random, rank);
         double[] weights = new double[n];
@@ -78,7 +78,7 @@
         return weights;
     }
 
-    private static double[] upTo(double[] weights) {
+    private static double[] cumulativeSums(double[] weights) {
         double[] sums = weights.clone();
         for (int i = 1; i < sums.length; i++) {
             sums[i] += sums[i - 1];
@@ -86,7 +86,7 @@
         return sums;
     }
 
-    private static int place(double[] sums, double x) {
+    private static int sampleIndex(double[] sums, double x) {
         int i = java.util.Arrays.binarySearch(sums, x * sums[sums.length - 1]);
         return Math.min(sums.length - 1, i < 0 ? -i - 1 : i + 1);
     }
--- a/src/main/java/rushproxy/lab/world/UpstreamServer.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamServer.java
@@ -33,15 +33,15 @@
 
 /**
  * One upstream on its sockets, an address for each node, in front of an {@link UpstreamModel}. Lives on the world's event
- * loop from {@link #start} to {@link #crash}, as often as the scenario wants; {@link #end} is for good.
+ * loop from {@link #start} to {@link #crash}, as often as the scenario wants; {@link #endpoint} is for good.
  */
 final class UpstreamServer {
     /** Small, so that a few connections of the laboratory's own fill it and the kernel drops all further ones. */
     /** So much of a longer answer comes, and then nothing. */
-    private static final int LONG_BEGINNING = 20_000;
+    private static final int PARTIAL_BODY_BYTES = 20_000;
 
-    private static final int BACKLOG = 8;
-    private static final int MAX_BODY = 1 << 20;
+    private static final int ACCEPT_BACKLOG = 8;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     /** What a request that a client has sent needs and what its repeats mean. */
     record RequestProfile(double workMs, long key, String idempotencyKey, String group, long windowUs) {}
@@ -49,10 +49,10 @@
     /** What all upstreams share: the requests that clients have made, and the pods' memory of keys. */
     interface SharedState {
         /** Null where no client has made a request of this id. */
-        RequestProfile needs(String id);
+        RequestProfile requestProfile(String id);
 
         /** True where the key's effect was had in this server's group within its window; else remembers it from now on. */
-        boolean repeated(UpstreamServer at, RequestProfile needs);
+        boolean checkAndRecordRepeat(UpstreamServer at, RequestProfile needs);
     }
 
     final int number;
@@ -60,31 +60,31 @@
     final String zone;
     final int cell;
     /** A second answer comes this much after its time at most. */
-    private static final long SECOND_LATE_US = 1_000;
+    private static final long MAX_SECOND_RESPONSE_DELAY_US = 1_000;
 
     private final rushproxy.lab.scenario.Scenario.Servers spec;
     private final rushproxy.lab.scenario.Scenario.Rules rules;
     private final EventLoop loop;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final Network network;
-    private final Network.Endpoint end;
+    private final Network.Endpoint endpoint;
     private final List<Network.Endpoint> nodes;
     private final List<InetSocketAddress> addresses;
-    private final SharedState shared;
+    private final SharedState sharedState;
     private final DoubleSupplier chance;
-    private final Runnable fell;
-    private final List<NodeListener> pairs = new ArrayList<>();
+    private final Runnable onCollapse;
+    private final List<NodeListener> nodeListeners = new ArrayList<>();
     private final Set<Connection> connections = new HashSet<>();
-    private final List<UpstreamModel.Job> unseen = new ArrayList<>();
+    private final List<UpstreamModel.Job> startNotRecorded = new ArrayList<>();
     private UpstreamModel model;
     private Future<?> timer;
     private long startedAtMs;
-    private double errors;
-    private boolean refuses;
+    private double errorShare;
+    private boolean refusing;
     /** How a part of the answers is spoilt; null where none is. */
-    private String spoils;
+    private String corruptionMode;
 
-    private double spoilt;
+    private double corruptedShare;
 
     UpstreamServer(
             int number,
@@ -93,13 +93,13 @@
             rushproxy.lab.scenario.Scenario.Servers spec,
             rushproxy.lab.scenario.Scenario.Rules rules,
             EventLoop loop,
-            ObservationLog seen,
+            ObservationLog observations,
             Network network,
             List<Network.Endpoint> nodes,
             List<InetSocketAddress> addresses,
-            SharedState shared,
+            SharedState sharedState,
             DoubleSupplier chance,
-            Runnable fell) {
+            Runnable onCollapse) {
         this.number = number;
         this.id = "s" + number;
         this.zone = zone;
@@ -107,29 +107,29 @@
         this.spec = spec;
         this.rules = rules;
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.network = network;
-        this.end = new Network.Endpoint(id, "servers", zone);
+        this.endpoint = new Network.Endpoint(id, "servers", zone);
         this.nodes = nodes;
         this.addresses = addresses;
-        this.shared = shared;
+        this.sharedState = sharedState;
         this.chance = chance;
-        this.fell = fell;
+        this.onCollapse = onCollapse;
     }
 
     /** {@code warm}: it has run for long already. The listeners are open when the result is done. */
     List<ChannelFuture> start(boolean warm) {
-        long now = seen.nowUs();
+        long now = observations.nowUs();
         startedAtMs = warm ? 0 : System.currentTimeMillis();
         model = new UpstreamModel(spec, rules, warm ? now - rules.rampUs() - 1 : now);
-        errors = 0;
-        refuses = false;
-        spoils = null;
-        seen.add(EventType.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
+        errorShare = 0;
+        refusing = false;
+        corruptionMode = null;
+        observations.add(EventType.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
         List<ChannelFuture> binds = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
             NodeListener pair = new NodeListener(nodes.get(i), addresses.get(i));
-            pairs.add(pair);
+            nodeListeners.add(pair);
             binds.add(pair.listen());
         }
         return binds;
@@ -140,25 +140,25 @@
         if (model == null) {
             return;
         }
-        seen.add(EventType.SERVER_ENDED, null, id, null, null, why, 0, 0);
+        observations.add(EventType.SERVER_ENDED, null, id, null, null, why, 0, 0);
         model = null;
-        unseen.clear();
+        startNotRecorded.clear();
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        pairs.forEach(NodeListener::close);
-        pairs.clear();
+        nodeListeners.forEach(NodeListener::close);
+        nodeListeners.clear();
         for (Connection c : Set.copyOf(connections)) {
             c.reset();
         }
     }
 
-    void end() {
+    void close() {
         crash("the run ends");
     }
 
-    boolean running() {
+    boolean isRunning() {
         return model != null;
     }
 
@@ -170,53 +170,53 @@
         return spec;
     }
 
-    Network.Endpoint place() {
-        return end;
+    Network.Endpoint endpoint() {
+        return endpoint;
     }
 
     int inFlight() {
-        return model == null ? 0 : model.working() + model.waiting();
+        return model == null ? 0 : model.activeCount() + model.queuedCount();
     }
 
-    void hang(boolean on) {
+    void setHung(boolean on) {
         if (model != null) {
-            model.hang(seen.nowUs(), on);
-            look();
+            model.setHung(observations.nowUs(), on);
+            update();
         }
     }
 
-    void slow(double factor) {
+    void setSlowdownFactor(double factor) {
         if (model != null) {
-            model.slow(seen.nowUs(), factor);
-            look();
+            model.setSlowdownFactor(observations.nowUs(), factor);
+            update();
         }
     }
 
     /** This part of the requests gets an error at once. */
-    void errors(double part) {
-        errors = part;
+    void setErrorShare(double part) {
+        errorShare = part;
     }
 
     /** This part of the answers is spoilt: {@code how} is "half", "second", "reset", "bytewise" or "close"; null ends it. */
-    void spoil(String how, double part) {
-        spoils = how;
-        spoilt = part;
+    void setCorruption(String how, double part) {
+        corruptionMode = how;
+        corruptedShare = part;
     }
 
     /** Turns everything away, as a full one does. */
-    void refuse(boolean on) {
-        refuses = on;
+    void setRefusing(boolean on) {
+        refusing = on;
     }
 
     /** A network fault has begun or ended: whether new connections of a node come up may have changed. */
-    void linksChanged() {
-        pairs.forEach(NodeListener::look);
+    void onLinksChanged() {
+        nodeListeners.forEach(NodeListener::updateCut);
     }
 
     /** Connections between this server and the nodes that the fault touches break. */
     void reset(rushproxy.lab.scenario.Scenario.Fault fault) {
         for (Connection c : Set.copyOf(connections)) {
-            if (Network.between(fault, c.node, end)) {
+            if (Network.affectsLinkBetween(fault, c.node, endpoint)) {
                 c.reset();
             }
         }
@@ -231,39 +231,40 @@
         channel.close();
     }
 
-    private void look() {
+    private void update() {
         if (model == null) {
             return;
         }
-        long now = seen.nowUs();
-        for (UpstreamModel.Job job : model.done(now)) {
-            started(job);
-            ((PendingRequest) job.tag).done();
+        long now = observations.nowUs();
+        for (UpstreamModel.Job job : model.takeCompleted(now)) {
+            recordStart(job);
+            ((PendingRequest) job.tag).complete();
         }
-        for (UpstreamModel.Job job : List.copyOf(unseen)) {
+        for (UpstreamModel.Job job : List.copyOf(startNotRecorded)) {
             if (job.startedUs() >= 0) {
-                started(job);
+                recordStart(job);
             }
         }
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        long next = model.nextUs();
+        long next = model.nextEventUs();
         if (next != Long.MAX_VALUE) {
-            timer = loop.schedule(this::look, next - now, TimeUnit.MICROSECONDS);
+            timer = loop.schedule(this::update, next - now, TimeUnit.MICROSECONDS);
         }
-        if (model.fallen()) {
+        if (model.hasCollapsed()) {
             crash("pushed over while cold");
-            fell.run();
+            onCollapse.run();
         }
     }
 
-    private void started(UpstreamModel.Job job) {
-        if (unseen.remove(job)) {
+    private void recordStart(UpstreamModel.Job job) {
+        if (startNotRecorded.remove(job)) {
             PendingRequest work = (PendingRequest) job.tag;
-            boolean repeat = work.needs.idempotencyKey() != null && shared.repeated(this, work.needs);
-            seen.add(
+            boolean repeat =
+                    work.profile.idempotencyKey() != null && sharedState.checkAndRecordRepeat(this, work.profile);
+            observations.add(
                     repeat ? EventType.DROPPED : EventType.RAN,
                     work.connection.node.name(),
                     id,
@@ -279,19 +280,20 @@
     private final class PendingRequest {
         private final Connection connection;
         private final String id;
-        private final RequestProfile needs;
+        private final RequestProfile profile;
 
-        PendingRequest(Connection connection, String id, RequestProfile needs) {
+        PendingRequest(Connection connection, String id, RequestProfile profile) {
             this.connection = connection;
             this.id = id;
-            this.needs = needs;
+            this.profile = profile;
         }
 
-        void done() {
+        void complete() {
             String body = UpstreamServer.this.id + ":" + id + ":"
                     + Long.toHexString((long) (chance.getAsDouble() * (1L << 50)));
-            seen.add(EventType.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
-            connection.served(id, body);
+            observations.add(
+                    EventType.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
+            connection.sendResult(id, body);
         }
     }
 
@@ -300,7 +302,7 @@
         private final Network.Endpoint node;
         private final InetSocketAddress address;
         private final List<SocketChannel> fillers = new ArrayList<>();
-        private final Set<InetSocketAddress> own = new HashSet<>();
+        private final Set<InetSocketAddress> fillerAddresses = new HashSet<>();
         private Channel listener;
 
         NodeListener(Network.Endpoint node, InetSocketAddress address) {
@@ -311,63 +313,64 @@
         ChannelFuture listen() {
             ChannelFuture bind = new ServerBootstrap()
                     .group(loop)
-                    .channelFactory(() -> new TimestampingServerChannel(seen))
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .channelFactory(() -> new TimestampingServerChannel(observations))
+                    .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            accepted(channel);
+                            onAccepted(channel);
                         }
                     })
                     .bind(address);
             listener = bind.channel();
-            bind.addListener(f -> look());
+            bind.addListener(f -> updateCut());
             return bind;
         }
 
-        private void accepted(Channel channel) {
-            if (own.remove((InetSocketAddress) channel.remoteAddress())) {
+        private void onAccepted(Channel channel) {
+            if (fillerAddresses.remove((InetSocketAddress) channel.remoteAddress())) {
                 channel.close();
                 return;
             }
             Connection connection = new Connection((TimestampingServerChannel.Connection) channel, node);
             channel.pipeline()
                     .addLast(
-                            connection.firstBytes(),
+                            connection.requestStartRecorder(),
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MAX_BODY),
+                            new HttpObjectAggregator(MAX_BODY_BYTES),
                             connection);
         }
 
         /** A cut in either way keeps connections from coming up: the queue is filled, and the kernel drops the rest. */
-        void look() {
-            boolean cut = network.cut(node, end) || network.cut(end, node);
+        void updateCut() {
+            boolean cut = network.isCut(node, endpoint) || network.isCut(endpoint, node);
             if (cut && fillers.isEmpty()) {
                 listener.config().setAutoRead(false);
-                fill();
+                fillBacklog();
             } else if (!cut && !fillers.isEmpty()) {
-                release();
+                releaseBacklog();
                 listener.config().setAutoRead(true);
             }
         }
 
-        private void fill() {
+        private void fillBacklog() {
             try {
-                for (int i = 0; i <= BACKLOG; i++) {
+                for (int i = 0; i <= ACCEPT_BACKLOG; i++) {
                     SocketChannel filler = SocketChannel.open();
                     filler.configureBlocking(false);
                     fillers.add(filler);
                     filler.connect(address);
-                    own.add((InetSocketAddress) filler.getLocalAddress());
+                    fillerAddresses.add((InetSocketAddress) filler.getLocalAddress());
                 }
             } catch (IOException e) {
-                seen.add(EventType.TROUBLE, node.name(), id, null, null, "a cut could not be made whole: " + e, 0, 0);
+                observations.add(
+                        EventType.TROUBLE, node.name(), id, null, null, "a cut could not be made whole: " + e, 0, 0);
             }
         }
 
-        private void release() {
+        private void releaseBacklog() {
             for (SocketChannel filler : fillers) {
                 try {
                     filler.close();
@@ -379,7 +382,7 @@
         }
 
         void close() {
-            release();
+            releaseBacklog();
             listener.close();
         }
     }
@@ -390,14 +393,14 @@
         private final Network.Endpoint node;
         private final Link link;
         private final List<UpstreamModel.Job> jobs = new ArrayList<>(1);
-        private boolean fresh = true;
+        private boolean firstRequest = true;
         /** When the request that is coming began to come; null where none is. */
-        private ArrivalTime began;
+        private ArrivalTime requestStart;
 
         Connection(TimestampingServerChannel.Connection channel, Network.Endpoint node) {
             this.channel = channel;
             this.node = node;
-            link = new Link(loop, network, node, end);
+            link = new Link(loop, network, node, endpoint);
             if (connections.size() >= spec.connections()) {
                 UpstreamServer.reset(channel);
             } else {
@@ -406,12 +409,12 @@
         }
 
         /** Sees the bytes before the request is whole: only one at a time comes on a connection. */
-        ChannelInboundHandlerAdapter firstBytes() {
+        ChannelInboundHandlerAdapter requestStartRecorder() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                    if (began == null) {
-                        began = channel.lastRead();
+                    if (requestStart == null) {
+                        requestStart = channel.lastReadArrival();
                     }
                     ctx.fireChannelRead(bytes);
                 }
@@ -420,109 +423,109 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest m) {
-            ArrivalTime first = began == null ? channel.lastRead() : began;
-            began = null;
+            ArrivalTime first = requestStart == null ? channel.lastReadArrival() : requestStart;
+            requestStart = null;
             String path = m.uri();
             String txn = m.headers().get("X-Txn");
             String key = m.headers().get("Idempotency-Key");
-            long toldMs = told(m);
-            link.inward(() -> arrived(path, txn, key, first, toldMs));
+            long toldMs = remainingMs(m);
+            link.sendInward(() -> onRequest(path, txn, key, first, toldMs));
         }
 
-        private static long told(FullHttpRequest m) {
+        private static long remainingMs(FullHttpRequest m) {
             String text = m.headers().get("X-Remaining-Ms");
             return text != null && text.matches("[0-9]{1,9}") ? Long.parseLong(text) : 0;
         }
 
-        private void arrived(String path, String txn, String key, ArrivalTime first, long toldMs) {
+        private void onRequest(String path, String txn, String key, ArrivalTime first, long toldMs) {
             // A connection that its node has closed meanwhile still brings what was on its way.
             if (model == null) {
                 return;
             }
             if (path.equals("/stats") || path.equals("/health/live")) {
-                model.burden(seen.nowUs(), 0.1);
-                look();
-                answer(HttpResponseStatus.OK, path.equals("/stats") ? report() : "", null);
+                model.addOverhead(observations.nowUs(), 0.1);
+                update();
+                sendResponse(HttpResponseStatus.OK, path.equals("/stats") ? loadReport() : "", null);
                 return;
             }
-            RequestProfile needs = txn == null ? null : shared.needs(txn);
-            seen.addReceived(node.name(), id, txn, key, needs == null ? 0 : needs.workMs, first, toldMs);
+            RequestProfile needs = txn == null ? null : sharedState.requestProfile(txn);
+            observations.addReceived(node.name(), id, txn, key, needs == null ? 0 : needs.workMs, first, toldMs);
             if (needs == null) {
-                answer(HttpResponseStatus.BAD_REQUEST, "", null);
+                sendResponse(HttpResponseStatus.BAD_REQUEST, "", null);
                 return;
             }
-            if (fresh) {
-                fresh = false;
-                model.burden(seen.nowUs(), spec.handshakeMs());
+            if (firstRequest) {
+                firstRequest = false;
+                model.addOverhead(observations.nowUs(), spec.handshakeMs());
             }
-            if (refuses) {
+            if (refusing) {
                 turnAway(txn);
-            } else if (errors > 0 && chance.getAsDouble() < errors) {
-                seen.add(EventType.REPLIED, node.name(), id, txn, null, "500", 0, 0);
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
+            } else if (errorShare > 0 && chance.getAsDouble() < errorShare) {
+                observations.add(EventType.REPLIED, node.name(), id, txn, null, "500", 0, 0);
+                sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
             } else {
-                begin(txn, needs);
+                submit(txn, needs);
             }
         }
 
-        private void begin(String txn, RequestProfile needs) {
+        private void submit(String txn, RequestProfile needs) {
             UpstreamModel.Job job =
-                    model.arrive(seen.nowUs(), needs.workMs, needs.key, new PendingRequest(this, txn, needs));
+                    model.submit(observations.nowUs(), needs.workMs, needs.key, new PendingRequest(this, txn, needs));
             if (job == null) {
                 turnAway(txn);
             } else {
-                unseen.add(job);
+                startNotRecorded.add(job);
                 jobs.add(job);
             }
-            look();
+            update();
         }
 
         private void turnAway(String txn) {
-            seen.add(EventType.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "1");
+            observations.add(EventType.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
+            sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "1");
         }
 
         /** A whole answer, or one that is spoilt on its way. */
         /** A laboratory that is late leaves it out: it would answer the request after. */
-        private void second(long dueUs) {
-            if (seen.nowUs() - dueUs <= SECOND_LATE_US) {
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
+        private void sendSecondResponse(long dueUs) {
+            if (observations.nowUs() - dueUs <= MAX_SECOND_RESPONSE_DELAY_US) {
+                sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
             }
         }
 
-        void served(String txn, String body) {
-            if (spoils == null || chance.getAsDouble() >= spoilt) {
-                answer(HttpResponseStatus.OK, body, null);
+        void sendResult(String txn, String body) {
+            if (corruptionMode == null || chance.getAsDouble() >= corruptedShare) {
+                sendResponse(HttpResponseStatus.OK, body, null);
                 return;
             }
-            seen.add(EventType.SPOILED, node.name(), id, txn, null, spoils, 0, 0);
+            observations.add(EventType.SPOILED, node.name(), id, txn, null, corruptionMode, 0, 0);
             jobs.clear();
             String whole = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-            switch (spoils) {
-                case "half" -> raw(half(body));
+            switch (corruptionMode) {
+                case "half" -> sendRaw(partialResponse(body));
                 case "second" -> {
-                    raw(whole);
+                    sendRaw(whole);
                     int afterMs = 1 + (int) (chance.getAsDouble() * 3);
-                    long dueUs = seen.nowUs() + TimeUnit.MILLISECONDS.toMicros(afterMs);
-                    loop.schedule(() -> second(dueUs), afterMs, TimeUnit.MILLISECONDS);
+                    long dueUs = observations.nowUs() + TimeUnit.MILLISECONDS.toMicros(afterMs);
+                    loop.schedule(() -> sendSecondResponse(dueUs), afterMs, TimeUnit.MILLISECONDS);
                 }
-                case "reset" -> link.outward(this::reset);
+                case "reset" -> link.sendOutward(this::reset);
                 case "bytewise" -> {
                     for (int i = 0; i < whole.length(); i++) {
                         String next = whole.substring(i, i + 1);
-                        loop.schedule(() -> raw(next), i, TimeUnit.MILLISECONDS);
+                        loop.schedule(() -> sendRaw(next), i, TimeUnit.MILLISECONDS);
                     }
                 }
                 case "close" -> {
-                    raw(whole);
-                    link.outward(() -> channel.close());
+                    sendRaw(whole);
+                    link.sendOutward(() -> channel.close());
                 }
-                default -> throw new IllegalStateException(spoils);
+                default -> throw new IllegalStateException(corruptionMode);
             }
         }
 
         /** The beginning of an answer, in one of the framings, after which nothing comes. */
-        private String half(String body) {
+        private String partialResponse(String body) {
             String begun = body.substring(0, body.length() / 2);
             return switch ((int) (chance.getAsDouble() * 5)) {
                 case 0 -> "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + begun;
@@ -532,13 +535,13 @@
                             + "\r\n" + begun;
                 case 3 -> "HTTP/1.1 200 OK\r\n\r\n" + begun;
                 default ->
-                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n" + "x".repeat(LONG_BEGINNING);
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n" + "x".repeat(PARTIAL_BODY_BYTES);
             };
         }
 
         /** Past the codec: what no library would write. */
-        private void raw(String text) {
-            link.outward(() -> {
+        private void sendRaw(String text) {
+            link.sendOutward(() -> {
                 if (channel.isActive()) {
                     channel.pipeline()
                             .context(HttpServerCodec.class)
@@ -547,16 +550,16 @@
             });
         }
 
-        private String report() {
+        private String loadReport() {
             return String.format(
                     Locale.ROOT,
                     "TEXT inflight=%d, queue=%d, util=%.2f",
                     inFlight(),
-                    model == null ? 0 : model.waiting(),
-                    model == null ? 0 : Math.min(1, model.working() / spec.cores()));
+                    model == null ? 0 : model.queuedCount(),
+                    model == null ? 0 : Math.min(1, model.activeCount() / spec.cores()));
         }
 
-        private void answer(HttpResponseStatus status, String body, String turnedAway) {
+        private void sendResponse(HttpResponseStatus status, String body, String turnedAway) {
             jobs.clear();
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
@@ -565,9 +568,9 @@
                 response.headers().set("X-Turned-Away", turnedAway);
             }
             if (spec.reports().equals("inline")) {
-                response.headers().set("X-Pressure", report());
+                response.headers().set("X-Pressure", loadReport());
             }
-            link.outward(() -> channel.writeAndFlush(response));
+            link.sendOutward(() -> channel.writeAndFlush(response));
         }
 
         void reset() {
@@ -577,14 +580,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            link.closed();
+            link.dropOutward();
             // What has not begun to run is dropped when its sender is known to be gone.
-            link.inward(() -> {
+            link.sendInward(() -> {
                 if (model != null) {
-                    jobs.forEach(model::leave);
-                    unseen.removeAll(
+                    jobs.forEach(model::removeQueued);
+                    startNotRecorded.removeAll(
                             jobs.stream().filter(j -> j.startedUs() < 0).toList());
-                    look();
+                    update();
                 }
             });
         }
@@ -592,7 +595,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                seen.add(EventType.TROUBLE, node.name(), id, null, null, "an upstream failed: " + cause, 0, 0);
+                observations.add(EventType.TROUBLE, node.name(), id, null, null, "an upstream failed: " + cause, 0, 0);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/lab/world/World.java
+++ b/src/main/java/rushproxy/lab/world/World.java
@@ -32,50 +32,50 @@
  * the loop was late by is not the sidecars'.
  */
 public final class World implements AutoCloseable {
-    private static final int MOST_ARRIVALS = 1_000_000;
-    private static final long BEAT_MS = 5;
-    private static final long REHEARSAL_US = 2_000_000;
-    private static final double REHEARSAL_PER_S = 1_500;
-    private static final long REHEARSAL_MOST_S = 10;
+    private static final int MAX_ARRIVALS = 1_000_000;
+    private static final long BEAT_INTERVAL_MS = 5;
+    private static final long WARM_UP_US = 2_000_000;
+    private static final double WARM_UP_REQUESTS_PER_S = 1_500;
+    private static final long MAX_WARM_UP_S = 10;
 
     private final Scenario scenario;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final Addresses addresses;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<UpstreamServer> servers = new ArrayList<>();
     private final List<Network.Endpoint> nodes = new ArrayList<>();
-    private final int[] moves;
+    private final int[] discoveryMoves;
     private final Network network;
     private final Registry registry;
     private final PeerRelay relay;
     private final Clients clients;
-    private final Map<String, Long> effects = new HashMap<>();
+    private final Map<String, Long> effectTimesUs = new HashMap<>();
     /** Lateness of the loop's beats, in microseconds. Read after {@link #close}. */
-    private final Histogram lateness = new Histogram(3);
+    private final Histogram loopLateness = new Histogram(3);
 
     private long beatAtNanos;
-    private Path processorFigures;
-    private long worstUs;
+    private Path schedstatPath;
+    private long maxLateUs;
     private int beats;
 
-    public World(Scenario scenario, ObservationLog seen, Addresses addresses) {
-        this(scenario, seen, addresses, false);
+    public World(Scenario scenario, ObservationLog observations, Addresses addresses) {
+        this(scenario, observations, addresses, false);
     }
 
     /** {@code direct}: there are no sidecars, and clients call the upstreams themselves. */
-    private World(Scenario scenario, ObservationLog seen, Addresses addresses, boolean direct) {
+    private World(Scenario scenario, ObservationLog observations, Addresses addresses, boolean direct) {
         this.scenario = scenario;
-        this.seen = seen;
+        this.observations = observations;
         this.addresses = addresses;
         int n = scenario.fleet().nodes();
-        moves = new int[n];
+        discoveryMoves = new int[n];
         for (int i = 0; i < n; i++) {
             nodes.add(new Network.Endpoint("n" + i, "nodes", scenario.zoneOfNode(i)));
         }
         network = new Network(scenario.network(), random(1));
         UniformRandomProvider chance = random(2);
-        registry = new Registry(loop, seen, scenario.discovery(), random(3)::nextDouble);
+        registry = new Registry(loop, observations, scenario.discovery(), random(3)::nextDouble);
         relay = new PeerRelay(loop, network, nodes, addresses);
         List<InetSocketAddress> sidecars = new ArrayList<>();
         for (int i = 0; i < n; i++) {
@@ -87,12 +87,12 @@
         }
         clients = new Clients(
                 loop,
-                seen,
+                observations,
                 scenario,
                 random(4)::nextDouble,
-                Traffic.draw(scenario, random(5), MOST_ARRIVALS),
+                Traffic.generate(scenario, random(5), MAX_ARRIVALS),
                 sidecars);
-        makeServers(chance);
+        createServers(chance);
     }
 
     /**
@@ -105,12 +105,12 @@
                 scenario.name(),
                 "",
                 scenario.seed(),
-                REHEARSAL_US,
+                WARM_UP_US,
                 scenario.fleet(),
                 scenario.servers(),
                 scenario.classes(),
                 new Scenario.Traffic(
-                        REHEARSAL_PER_S, 0, t.skew(), t.keys(), t.zipf(), 0, t.tryShare(), 0, 0, List.of()),
+                        WARM_UP_REQUESTS_PER_S, 0, t.skew(), t.keys(), t.zipf(), 0, t.tryShare(), 0, 0, List.of()),
                 scenario.network(),
                 scenario.discovery(),
                 scenario.rules(),
@@ -120,7 +120,7 @@
         try (Addresses addresses = Addresses.claim();
                 World world = new World(brief, new ObservationLog(o -> {}), addresses, true)) {
             world.open();
-            world.startTraffic().get(REHEARSAL_MOST_S, TimeUnit.SECONDS);
+            world.startTraffic().get(MAX_WARM_UP_S, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
             // It was only to warm up.
         }
@@ -130,7 +130,7 @@
         return RandomSource.XO_SHI_RO_256_PP.create(scenario.seed() * 0x9e3779b97f4a7c15L + stream);
     }
 
-    private void makeServers(UniformRandomProvider chance) {
+    private void createServers(UniformRandomProvider chance) {
         List<String> zones = ScenarioReader.serverZones(scenario);
         int number = 0;
         int cells = 0;
@@ -149,13 +149,13 @@
                         spec,
                         scenario.rules(),
                         loop,
-                        seen,
+                        observations,
                         network,
                         nodes,
                         at,
                         new WorldState(),
                         chance::nextDouble,
-                        () -> registry.changed(self[0], "Gone"));
+                        () -> registry.publishChange(self[0], "Gone"));
                 servers.add(self[0]);
             }
             cells += spec.pods();
@@ -164,21 +164,21 @@
 
     private final class WorldState implements UpstreamServer.SharedState {
         @Override
-        public UpstreamServer.RequestProfile needs(String id) {
-            return clients.needs(id);
+        public UpstreamServer.RequestProfile requestProfile(String id) {
+            return clients.requestProfile(id);
         }
 
         @Override
-        public boolean repeated(UpstreamServer at, UpstreamServer.RequestProfile needs) {
+        public boolean checkAndRecordRepeat(UpstreamServer at, UpstreamServer.RequestProfile needs) {
             String where = switch (needs.group()) {
                 case "zone" -> "zone " + at.zone;
                 case "cell" -> "cell " + at.cell;
                 default -> "all";
             };
-            long now = seen.nowUs();
-            Long had = effects.putIfAbsent(where + " " + needs.idempotencyKey(), now);
+            long now = observations.nowUs();
+            Long had = effectTimesUs.putIfAbsent(where + " " + needs.idempotencyKey(), now);
             if (had == null || now - had > needs.windowUs()) {
-                effects.put(where + " " + needs.idempotencyKey(), now);
+                effectTimesUs.put(where + " " + needs.idempotencyKey(), now);
                 return false;
             }
             return true;
@@ -188,7 +188,7 @@
     /** Opens everything but the clients. Throws, with what is in the way, where an address is taken. */
     public void open() throws IOException, InterruptedException {
         List<ChannelFuture> binds = new ArrayList<>();
-        on(() -> {
+        runOnLoop(() -> {
             for (UpstreamServer s : servers) {
                 binds.addAll(s.start(true));
             }
@@ -198,9 +198,9 @@
             }
             binds.addAll(registry.start(scenario.nodeNames(), agents, addresses::upstream, servers));
             binds.addAll(relay.start());
-            processorFigures = figuresOfThisThread();
+            schedstatPath = schedstatOfCurrentThread();
             beatAtNanos = System.nanoTime();
-            loop.scheduleAtFixedRate(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(this::beat, BEAT_INTERVAL_MS, BEAT_INTERVAL_MS, TimeUnit.MILLISECONDS);
         });
         for (ChannelFuture bind : binds) {
             bind.await();
@@ -213,19 +213,19 @@
 
     private void beat() {
         long now = System.nanoTime();
-        long lateUs = Math.max(0, (now - beatAtNanos) / 1_000 - BEAT_MS * 1_000);
+        long lateUs = Math.max(0, (now - beatAtNanos) / 1_000 - BEAT_INTERVAL_MS * 1_000);
         beatAtNanos = now;
-        lateness.recordValue(lateUs);
-        worstUs = Math.max(worstUs, lateUs);
-        if (++beats % (1_000 / BEAT_MS) == 0) {
-            seen.add(EventType.LATE, null, null, null, null, null, worstUs / 1e3, 0);
-            worstUs = 0;
-            seeHeld();
+        loopLateness.recordValue(lateUs);
+        maxLateUs = Math.max(maxLateUs, lateUs);
+        if (++beats % (1_000 / BEAT_INTERVAL_MS) == 0) {
+            observations.add(EventType.LATE, null, null, null, null, null, maxLateUs / 1e3, 0);
+            maxLateUs = 0;
+            recordInFlight();
         }
     }
 
     /** How much processor the calling thread has had and waited for, as the kernel tells; null where it does not. */
-    private static Path figuresOfThisThread() {
+    private static Path schedstatOfCurrentThread() {
         try {
             return Path.of("/proc")
                     .resolve(Files.readSymbolicLink(Path.of("/proc/thread-self")))
@@ -237,14 +237,14 @@
 
     /** The kernel's figures for the event loop on which all of this runs, once it is open; null where there are none. */
     public Path schedstatPath() {
-        return processorFigures;
+        return schedstatPath;
     }
 
     /** Time has begun and the first tries begin; the result is done when all are settled. */
     public CompletableFuture<Void> startTraffic() throws InterruptedException {
         CompletableFuture<Void> settled = new CompletableFuture<>();
-        on(() -> {
-            seen.startClock(System.nanoTime());
+        runOnLoop(() -> {
+            observations.startClock(System.nanoTime());
             clients.start(() -> settled.complete(null));
         });
         return settled;
@@ -254,9 +254,9 @@
     public void setNodeLeaving(int node, boolean leaves) {
         loop.execute(() -> {
             if (leaves) {
-                clients.leaving(node);
+                clients.onNodeLeaving(node);
             } else {
-                clients.back(node);
+                clients.onNodeReady(node);
             }
         });
     }
@@ -266,27 +266,27 @@
     }
 
     /** Runs on the event loop and waits for it. */
-    private void on(Runnable work) throws InterruptedException {
+    private void runOnLoop(Runnable work) throws InterruptedException {
         loop.submit(work).sync();
     }
 
     /** What the agent of this node holds now, for a configuration's {@code known}. */
     public ObjectNode known(int node) throws InterruptedException {
         ObjectNode[] list = new ObjectNode[1];
-        on(() -> list[0] = registry.known(node));
+        runOnLoop(() -> list[0] = registry.knownInstances(node));
         return list[0];
     }
 
     /** Where discovery is for this node now. */
     public InetSocketAddress discovery(int node) {
-        return addresses.discovery(node, moves[node]);
+        return addresses.discovery(node, discoveryMoves[node]);
     }
 
     /** Discovery opens its next address for the node; the old one goes. */
     public InetSocketAddress moveDiscovery(int node) throws InterruptedException {
-        moves[node]++;
+        discoveryMoves[node]++;
         ChannelFuture[] bind = new ChannelFuture[1];
-        on(() -> bind[0] = registry.move(node, discovery(node)));
+        runOnLoop(() -> bind[0] = registry.move(node, discovery(node)));
         bind[0].sync();
         return discovery(node);
     }
@@ -296,131 +296,135 @@
         loop.execute(() -> {
             switch (fault.what()) {
                 case "cut", "delay", "peer-loss" ->
-                    lasts(
+                    startTimed(
                             fault,
                             () -> {
-                                network.begin(fault);
-                                servers.forEach(UpstreamServer::linksChanged);
+                                network.startFault(fault);
+                                servers.forEach(UpstreamServer::onLinksChanged);
                             },
                             () -> {
-                                network.end(fault);
-                                servers.forEach(UpstreamServer::linksChanged);
+                                network.endFault(fault);
+                                servers.forEach(UpstreamServer::onLinksChanged);
                             });
                 case "reset" -> servers.forEach(s -> s.reset(fault));
                 case "clients" ->
-                    lasts(
+                    startTimed(
                             fault,
-                            () -> clients.misbehave(fault.call(), fault.factor()),
-                            () -> clients.misbehave(null, 0));
+                            () -> clients.setMisbehavior(fault.call(), fault.factor()),
+                            () -> clients.setMisbehavior(null, 0));
                 case "list-silent" ->
-                    lasts(
+                    startTimed(
                             fault,
-                            () -> agents(fault, n -> registry.silent(n, true)),
-                            () -> agents(fault, n -> registry.silent(n, false)));
+                            () -> forEachNode(fault, n -> registry.setSilent(n, true)),
+                            () -> forEachNode(fault, n -> registry.setSilent(n, false)));
                 case "list-late" ->
-                    lasts(
+                    startTimed(
                             fault,
-                            () -> agents(fault, n -> registry.late(n, fault.factor())),
-                            () -> agents(fault, n -> registry.late(n, 0)));
+                            () -> forEachNode(fault, n -> registry.setDelay(n, fault.factor())),
+                            () -> forEachNode(fault, n -> registry.setDelay(n, 0)));
                 case "list-splits" ->
-                    lasts(
+                    startTimed(
                             fault,
-                            () -> agents(fault, n -> registry.splits(n, fault.factor())),
-                            () -> agents(fault, n -> registry.splits(n, 0)));
-                default -> ofServers(fault);
+                            () -> forEachNode(fault, n -> registry.setMissedShare(n, fault.factor())),
+                            () -> forEachNode(fault, n -> registry.setMissedShare(n, 0)));
+                default -> startServerFaults(fault);
             }
         });
     }
 
-    private void ofServers(Scenario.Fault fault) {
+    private void startServerFaults(Scenario.Fault fault) {
         int i = 0;
         for (UpstreamServer s : servers) {
             if (fault.servers().contains(s.id)) {
-                loop.schedule(() -> ofServer(fault, s), Math.round(i++ * fault.stagger() * 1e6), TimeUnit.MICROSECONDS);
+                loop.schedule(
+                        () -> startServerFault(fault, s),
+                        Math.round(i++ * fault.stagger() * 1e6),
+                        TimeUnit.MICROSECONDS);
             }
         }
     }
 
-    private void ofServer(Scenario.Fault fault, UpstreamServer s) {
+    private void startServerFault(Scenario.Fault fault, UpstreamServer s) {
         switch (fault.what()) {
             case "crash" -> {
                 s.crash("crashes");
-                registry.changed(s, "Gone");
+                registry.publishChange(s, "Gone");
                 if (fault.forUs() > 0) {
-                    later(fault, () -> add(s));
+                    scheduleEnd(fault, () -> startServer(s));
                 }
             }
             case "drain" -> {
-                registry.changed(s, "Terminating");
-                later(fault, () -> {
+                registry.publishChange(s, "Terminating");
+                scheduleEnd(fault, () -> {
                     s.crash("drained");
-                    registry.changed(s, "Gone");
+                    registry.publishChange(s, "Gone");
                 });
             }
-            case "add" -> add(s);
-            case "hang" -> lasts(fault, () -> s.hang(true), () -> s.hang(false));
-            case "slow" -> lasts(fault, () -> s.slow(fault.factor()), () -> s.slow(1));
-            case "errors" -> lasts(fault, () -> s.errors(fault.factor()), () -> s.errors(0));
-            case "spoil" -> lasts(fault, () -> s.spoil(fault.call(), fault.factor()), () -> s.spoil(null, 0));
-            case "refuse" -> lasts(fault, () -> s.refuse(true), () -> s.refuse(false));
+            case "add" -> startServer(s);
+            case "hang" -> startTimed(fault, () -> s.setHung(true), () -> s.setHung(false));
+            case "slow" -> startTimed(fault, () -> s.setSlowdownFactor(fault.factor()), () -> s.setSlowdownFactor(1));
+            case "errors" -> startTimed(fault, () -> s.setErrorShare(fault.factor()), () -> s.setErrorShare(0));
+            case "spoil" ->
+                startTimed(fault, () -> s.setCorruption(fault.call(), fault.factor()), () -> s.setCorruption(null, 0));
+            case "refuse" -> startTimed(fault, () -> s.setRefusing(true), () -> s.setRefusing(false));
             default -> throw new IllegalStateException(fault.what());
         }
     }
 
-    private void add(UpstreamServer s) {
-        if (!s.running()) {
+    private void startServer(UpstreamServer s) {
+        if (!s.isRunning()) {
             s.start(false);
-            registry.changed(s, "Ready");
+            registry.publishChange(s, "Ready");
         }
     }
 
-    private void agents(Scenario.Fault fault, Consumer<Integer> to) {
+    private void forEachNode(Scenario.Fault fault, Consumer<Integer> to) {
         fault.nodes().forEach(n -> to.accept(Integer.parseInt(n.substring(1))));
     }
 
-    private void lasts(Scenario.Fault fault, Runnable begin, Runnable end) {
+    private void startTimed(Scenario.Fault fault, Runnable begin, Runnable end) {
         begin.run();
-        later(fault, end);
+        scheduleEnd(fault, end);
     }
 
-    private void later(Scenario.Fault fault, Runnable then) {
+    private void scheduleEnd(Scenario.Fault fault, Runnable then) {
         loop.schedule(then, fault.forUs(), TimeUnit.MICROSECONDS);
     }
 
     /** Writes down how many requests are in flight at the upstreams, by zone and kind. */
-    private void seeHeld() {
+    private void recordInFlight() {
         Map<String, Integer> by = new TreeMap<>();
         servers.forEach(s -> by.merge(s.zone + " " + s.spec().kind(), s.inFlight(), Integer::sum));
-        by.forEach((where, n) -> seen.add(EventType.HELD, null, null, null, null, where, n, 0));
+        by.forEach((where, n) -> observations.add(EventType.HELD, null, null, null, null, where, n, 0));
     }
 
     /** Datagrams that a node has sent, and their bytes. */
     public long[] peerTraffic(int node) throws InterruptedException {
         long[] cost = new long[2];
-        on(() -> {
-            cost[0] = relay.sent(node);
-            cost[1] = relay.bytes(node);
+        runOnLoop(() -> {
+            cost[0] = relay.datagramsSent(node);
+            cost[1] = relay.bytesSent(node);
         });
         return cost;
     }
 
     /** How late the loop's beats were, in microseconds. To be read after {@link #close}. */
     public Histogram loopLateness() {
-        return lateness;
+        return loopLateness;
     }
 
     /** By how much first tries left later than drawn, in microseconds. To be read after {@link #close}. */
     public Histogram sendLateness() {
-        return clients.lateness;
+        return clients.sendLateness;
     }
 
     @Override
     public void close() throws InterruptedException {
         try {
-            on(() -> {
-                servers.forEach(UpstreamServer::end);
-                registry.end();
-                relay.end();
+            runOnLoop(() -> {
+                servers.forEach(UpstreamServer::close);
+                registry.close();
+                relay.close();
             });
         } finally {
             // Closes what is open still: the next laboratory may be given the same addresses.
--- a/src/test/java/rushproxy/lab/world/ArrivalTimeEstimatorTest.java
+++ b/src/test/java/rushproxy/lab/world/ArrivalTimeEstimatorTest.java
@@ -11,11 +11,11 @@
 
 /** A byte has the time at which it came, not the one at which a late loop read it. */
 class ArrivalTimeEstimatorTest {
-    private static final long STEP_US = ArrivalTimeEstimator.STEP_US;
+    private static final long STEP_US = ArrivalTimeEstimator.KERNEL_CLOCK_STEP_US;
     private final ArrivalTimeEstimator clock = new ArrivalTimeEstimator(1_000);
 
     private ArrivalTime at(long readUs, long agoUs, int segments) {
-        return clock.beforeRead(new TcpReceiveInfo.Received(agoUs, segments), readUs, readUs);
+        return clock.estimateBeforeRead(new TcpReceiveInfo.Received(agoUs, segments), readUs, readUs);
     }
 
     /** Guards against a sender that is judged by how late the laboratory's loop was. */
@@ -36,8 +36,8 @@
     @Test
     void withoutANewSegmentOrAnAgeTheReadCounts() {
         at(700_000, 0, 1);
-        assertEquals(ArrivalTime.readAt(800_000), at(800_000, 100_000, 1));
-        assertEquals(ArrivalTime.readAt(900_000), at(900_000, TcpReceiveInfo.UNKNOWN, 0));
+        assertEquals(ArrivalTime.exactly(800_000), at(800_000, 100_000, 1));
+        assertEquals(ArrivalTime.exactly(900_000), at(900_000, TcpReceiveInfo.UNKNOWN, 0));
     }
 
     /** Guards against a kernel that counts other segments, or none. */
