--- a/src/main/java/rushproxy/lab/world/AbusiveConnections.java
+++ b/src/main/java/rushproxy/lab/world/AbusiveConnections.java
@@ -66,12 +66,12 @@
         }
     }
 
-    private void connect(int node, AbusiveConnection stranger) {
+    private void connect(int node, AbusiveConnection connection) {
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .handler(stranger)
+                .handler(connection)
                 .connect(sidecars.get(node));
     }
 
--- a/src/main/java/rushproxy/lab/world/ArrivalTimeEstimator.java
+++ b/src/main/java/rushproxy/lab/world/ArrivalTimeEstimator.java
@@ -12,10 +12,10 @@
 
     private int segmentsSeen;
     /** All data that arrived before this time was read; for a new connection, when the listener was opened. */
-    private long drainedSinceUs;
+    private long drainedUntilUs;
 
     ArrivalTimeEstimator(long listeningSinceUs) {
-        drainedSinceUs = listeningSinceUs;
+        drainedUntilUs = listeningSinceUs;
     }
 
     /** Called just before a read, with kernel statistics that were taken between {@code fromUs} and {@code untilUs}. */
@@ -25,16 +25,16 @@
         ArrivalTime first = !isKnown || newSegments == 0
                 ? ArrivalTime.exactly(untilUs)
                 : clampToRead(
-                        newSegments == 1 ? fromUs - received.lastAgoUs() - KERNEL_CLOCK_STEP_US : drainedSinceUs,
+                        newSegments == 1 ? fromUs - received.lastAgoUs() - KERNEL_CLOCK_STEP_US : drainedUntilUs,
                         untilUs - received.lastAgoUs() + KERNEL_CLOCK_STEP_US,
                         untilUs);
         segmentsSeen = received.dataSegments();
-        drainedSinceUs = fromUs;
+        drainedUntilUs = fromUs;
         return first;
     }
 
     private ArrivalTime clampToRead(long earliestUs, long latestUs, long readUs) {
         long latest = Math.min(readUs, latestUs);
-        return new ArrivalTime(Math.min(latest, Math.max(drainedSinceUs, earliestUs)), latest);
+        return new ArrivalTime(Math.min(latest, Math.max(drainedUntilUs, earliestUs)), latest);
     }
 }
--- a/src/main/java/rushproxy/lab/world/Clients.java
+++ b/src/main/java/rushproxy/lab/world/Clients.java
@@ -61,7 +61,7 @@
     private final EventLoop loop;
     private final ObservationLog observations;
     private final Scenario scenario;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final List<Traffic.Arrival> arrivals;
     private final List<InetSocketAddress> sidecars;
     private final List<ArrayDeque<Connection>> idleConnections;
@@ -85,13 +85,13 @@
             EventLoop loop,
             ObservationLog observations,
             Scenario scenario,
-            DoubleSupplier chance,
+            DoubleSupplier random,
             List<Traffic.Arrival> arrivals,
             List<InetSocketAddress> sidecars) {
         this.loop = loop;
         this.observations = observations;
         this.scenario = scenario;
-        this.chance = chance;
+        this.random = random;
         this.arrivals = arrivals;
         this.sidecars = sidecars;
         abusiveConnections = new AbusiveConnections(loop, observations, sidecars);
@@ -114,7 +114,7 @@
 
     /** The sidecar got SIGTERM: clients open new connections for a few tenths of a second more. */
     void onNodeLeaving(int node) {
-        connectUntilUs[node] = observations.nowUs() + Math.round(CONNECT_AFTER_SIGTERM_US * (1 + chance.getAsDouble()));
+        connectUntilUs[node] = observations.nowUs() + Math.round(CONNECT_AFTER_SIGTERM_US * (1 + random.getAsDouble()));
     }
 
     /** The sidecar is ready again: clients may open new connections. */
@@ -129,7 +129,7 @@
     }
 
     private boolean drawMisbehavior(String mode) {
-        return mode.equals(misbehaviorMode) && chance.getAsDouble() < misbehaviorShare;
+        return mode.equals(misbehaviorMode) && random.getAsDouble() < misbehaviorShare;
     }
 
     /** Stops sending first attempts; requests already started run to their end. */
@@ -206,7 +206,7 @@
                 return;
             }
             double backoffUs = scenario.traffic().backoffUs();
-            if (retryAfterMs > 0 && chance.getAsDouble() < scenario.traffic().honour()) {
+            if (retryAfterMs > 0 && random.getAsDouble() < scenario.traffic().honour()) {
                 backoffUs = retryAfterMs * 1_000;
             }
             long retryAtUs = observations.nowUs() + (long) backoffUs;
@@ -351,7 +351,7 @@
                         scheduledUs);
             }
             if (drawMisbehavior("leave")) {
-                loop.schedule(this::abandon, Math.round(waitUs * chance.getAsDouble()), TimeUnit.MICROSECONDS);
+                loop.schedule(this::abandon, Math.round(waitUs * random.getAsDouble()), TimeUnit.MICROSECONDS);
             }
             if (drawMisbehavior("crowd") && observations.nowUs() < connectUntilUs[request.arrival.node()]) {
                 abusiveConnections.occupyConnections(request.arrival.node());
@@ -412,7 +412,7 @@
             to.channel.config().setAutoRead(false);
             loop.schedule(
                     () -> to.channel.config().setAutoRead(true),
-                    Math.round(waitUs * chance.getAsDouble() / 2),
+                    Math.round(waitUs * random.getAsDouble() / 2),
                     TimeUnit.MICROSECONDS);
         }
 
@@ -515,7 +515,7 @@
             this.node = node;
         }
 
-        /** Runs before the aggregator: a response whose head has arrived was begun, even if it never completes. */
+        /** Runs before the aggregator and records that a response has begun, even if it never completes. */
         ChannelInboundHandlerAdapter responseStartRecorder() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
--- a/src/main/java/rushproxy/lab/world/Registry.java
+++ b/src/main/java/rushproxy/lab/world/Registry.java
@@ -48,15 +48,15 @@
     private final EventLoop loop;
     private final ObservationLog observations;
     private final Scenario.Discovery spec;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final List<Agent> agents = new ArrayList<>();
     private long changeCount;
 
-    Registry(EventLoop loop, ObservationLog observations, Scenario.Discovery spec, DoubleSupplier chance) {
+    Registry(EventLoop loop, ObservationLog observations, Scenario.Discovery spec, DoubleSupplier random) {
         this.loop = loop;
         this.observations = observations;
         this.spec = spec;
-        this.chance = chance;
+        this.random = random;
     }
 
     /** Gives the address by which a node reaches a server. */
@@ -86,8 +86,8 @@
     void publishChange(UpstreamServer server, String state) {
         Instance instance = new Instance(++changeCount, server, state, server.startedAtMs());
         for (Agent agent : agents) {
-            double lateMs = spec.noticeMs() + spec.spreadMs() * chance.getAsDouble() + agent.extraDelayMs;
-            loop.schedule(() -> agent.receive(instance), Math.round(1_000 * lateMs), TimeUnit.MICROSECONDS);
+            double delayMs = spec.noticeMs() + spec.spreadMs() * random.getAsDouble() + agent.extraDelayMs;
+            loop.schedule(() -> agent.receive(instance), Math.round(1_000 * delayMs), TimeUnit.MICROSECONDS);
         }
     }
 
@@ -180,7 +180,7 @@
         void receive(Instance instance) {
             if (silent) {
                 heldChanges.add(instance);
-            } else if (missedShare > 0 && chance.getAsDouble() < missedShare) {
+            } else if (missedShare > 0 && random.getAsDouble() < missedShare) {
                 missedChanges.add(instance);
             } else {
                 apply(instance);
@@ -213,16 +213,16 @@
             }
         }
 
-        private void applyDelayed(List<Instance> late) {
-            late.forEach(this::apply);
-            late.clear();
+        private void applyDelayed(List<Instance> changes) {
+            changes.forEach(this::apply);
+            changes.clear();
             answerPendingPolls();
         }
 
         private void answerPendingPolls() {
-            for (LongPoll w : Set.copyOf(longPolls)) {
-                if (w.index < generation) {
-                    w.answer();
+            for (LongPoll poll : Set.copyOf(longPolls)) {
+                if (poll.index < generation) {
+                    poll.answer();
                 }
             }
         }
@@ -255,14 +255,21 @@
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
             response.headers().set("Content-Length", body.length);
             List<Instance> sentInstances = instancesById.values().stream()
-                    .filter(l -> index < 0 || changedAtGeneration.get(l.server.id) > index)
+                    .filter(i -> index < 0 || changedAtGeneration.get(i.server.id) > index)
                     .toList();
             long writeStartUs = observations.nowUs();
             channel.writeAndFlush(response).addListener(f -> {
                 if (f.isSuccess()) {
-                    for (Instance l : sentInstances) {
+                    for (Instance sent : sentInstances) {
                         observations.add(
-                                EventType.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, writeStartUs);
+                                EventType.TOLD,
+                                node,
+                                sent.server.id,
+                                null,
+                                null,
+                                sent.state,
+                                sent.startedAtMs,
+                                writeStartUs);
                     }
                 }
             });
@@ -318,10 +325,10 @@
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                longPolls.removeIf(w -> {
-                    boolean gone = w.channel == ctx.channel();
+                longPolls.removeIf(poll -> {
+                    boolean gone = poll.channel == ctx.channel();
                     if (gone) {
-                        w.timer.cancel(false);
+                        poll.timer.cancel(false);
                     }
                     return gone;
                 });
--- a/src/main/java/rushproxy/lab/world/UpstreamModel.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamModel.java
@@ -16,6 +16,8 @@
 public final class UpstreamModel {
     /** During warm-up the speed changes continuously; the simulation approximates it in steps of this length. */
     private static final long RAMP_STEP_US = 50_000;
+    /** Work that remains only through rounding counts as done. */
+    private static final double COMPLETION_TOLERANCE_MS = 1e-9;
 
     /** One accepted request; {@code tag} is the caller's own reference. */
     public static final class Job {
@@ -154,7 +156,7 @@
     private void advance(long nowUs) {
         while (stateAtUs < nowUs) {
             double rate = workRatePerRequest(stateAtUs);
-            long until =
+            long untilUs =
                     Math.max(stateAtUs + 1, Math.min(nowUs, Math.min(nextRampStepUs(), earliestCompletionUs(rate))));
             for (Job job : active) {
                 job.remainingMs -= rate * (untilUs - stateAtUs) / 1_000;
@@ -162,7 +164,7 @@
             stateAtUs = untilUs;
             for (Iterator<Job> i = active.iterator(); i.hasNext(); ) {
                 Job job = i.next();
-                if (job.remainingMs <= 1e-9) {
+                if (job.remainingMs <= COMPLETION_TOLERANCE_MS) {
                     completed.add(job);
                     i.remove();
                 }
--- a/src/main/java/rushproxy/lab/world/UpstreamServer.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamServer.java
@@ -55,7 +55,7 @@
         RequestProfile requestProfile(String id);
 
         /** Returns true if this server's group has processed the key within its window; otherwise records it as processed now. */
-        boolean checkAndRecordRepeat(UpstreamServer at, RequestProfile profile);
+        boolean checkAndRecordRepeat(UpstreamServer server, RequestProfile profile);
     }
 
     final int number;
@@ -74,7 +74,7 @@
     private final List<Network.Endpoint> nodes;
     private final List<InetSocketAddress> addresses;
     private final SharedState sharedState;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final Runnable onCollapse;
     private final List<NodeListener> nodeListeners = new ArrayList<>();
     private final Set<Connection> connections = new HashSet<>();
@@ -101,7 +101,7 @@
             List<Network.Endpoint> nodes,
             List<InetSocketAddress> addresses,
             SharedState sharedState,
-            DoubleSupplier chance,
+            DoubleSupplier random,
             Runnable onCollapse) {
         this.number = number;
         this.id = "s" + number;
@@ -116,7 +116,7 @@
         this.nodes = nodes;
         this.addresses = addresses;
         this.sharedState = sharedState;
-        this.chance = chance;
+        this.random = random;
         this.onCollapse = onCollapse;
     }
 
@@ -279,7 +279,7 @@
         }
     }
 
-    /** A completely received request until its response is sent. */
+    /** A completely received request that awaits its response. */
     private final class PendingRequest {
         private final Connection connection;
         private final String id;
@@ -293,7 +293,7 @@
 
         void complete() {
             String body = UpstreamServer.this.id + ":" + id + ":"
-                    + Long.toHexString((long) (chance.getAsDouble() * (1L << 50)));
+                    + Long.toHexString((long) (random.getAsDouble() * (1L << 50)));
             observations.add(
                     EventType.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
             connection.sendResult(id, body);
@@ -448,7 +448,7 @@
         }
 
         private void onRequest(String path, String txn, String key, ArrivalTime first, long clientRemainingMs) {
-            // Also runs for requests in transit when the node closed its connection. A crashed server drops them.
+            // Requests in transit when the node closed its connection arrive too; a crashed server drops them.
             if (model == null) {
                 return;
             }
@@ -471,7 +471,7 @@
             }
             if (refusing) {
                 turnAway(txn);
-            } else if (errorShare > 0 && chance.getAsDouble() < errorShare) {
+            } else if (errorShare > 0 && random.getAsDouble() < errorShare) {
                 observations.add(EventType.REPLIED, node.name(), id, txn, null, "500", 0, 0);
                 sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
             } else {
@@ -505,7 +505,7 @@
 
         /** Sends a complete response, or a corrupted one while that fault is active. */
         void sendResult(String txn, String body) {
-            if (corruptionMode == null || chance.getAsDouble() >= corruptedShare) {
+            if (corruptionMode == null || random.getAsDouble() >= corruptedShare) {
                 sendResponse(HttpResponseStatus.OK, body, null);
                 return;
             }
@@ -516,7 +516,7 @@
                 case "half" -> sendRaw(partialResponse(body));
                 case "second" -> {
                     sendRaw(response);
-                    int afterMs = 1 + (int) (chance.getAsDouble() * 3);
+                    int afterMs = 1 + (int) (random.getAsDouble() * 3);
                     long dueUs = observations.nowUs() + TimeUnit.MILLISECONDS.toMicros(afterMs);
                     loop.schedule(() -> sendSecondResponse(dueUs), afterMs, TimeUnit.MILLISECONDS);
                 }
@@ -538,7 +538,7 @@
         /** Returns the beginning of a response that never completes, in a randomly chosen message framing. */
         private String partialResponse(String body) {
             String prefix = body.substring(0, body.length() / 2);
-            return switch ((int) (chance.getAsDouble() * 5)) {
+            return switch ((int) (random.getAsDouble() * 5)) {
                 case 0 -> "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + prefix;
                 case 1 -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 case 2 ->
--- a/src/main/java/rushproxy/lab/world/World.java
+++ b/src/main/java/rushproxy/lab/world/World.java
@@ -74,7 +74,7 @@
             nodes.add(new Network.Endpoint("n" + i, "nodes", scenario.zoneOfNode(i)));
         }
         network = new Network(scenario.network(), random(1));
-        UniformRandomProvider chance = random(2);
+        UniformRandomProvider random = random(2);
         registry = new Registry(loop, observations, scenario.discovery(), random(3)::nextDouble);
         relay = new PeerRelay(loop, network, nodes, addresses);
         List<InetSocketAddress> sidecars = new ArrayList<>();
@@ -92,7 +92,7 @@
                 random(4)::nextDouble,
                 Traffic.generate(scenario, random(5), MAX_ARRIVALS),
                 sidecars);
-        createServers(chance);
+        createServers(random);
     }
 
     /**
@@ -130,16 +130,16 @@
         return RandomSource.XO_SHI_RO_256_PP.create(scenario.seed() * 0x9e3779b97f4a7c15L + stream);
     }
 
-    private void createServers(UniformRandomProvider chance) {
+    private void createServers(UniformRandomProvider random) {
         List<String> zones = ScenarioReader.serverZones(scenario);
         int number = 0;
         int cells = 0;
         for (Scenario.Servers spec : scenario.servers()) {
             for (int i = 0; i < spec.count(); i++) {
                 int server = number++;
-                List<InetSocketAddress> at = new ArrayList<>();
+                List<InetSocketAddress> addressesByNode = new ArrayList<>();
                 for (int node = 0; node < nodes.size(); node++) {
-                    at.add(addresses.upstream(node, server));
+                    addressesByNode.add(addresses.upstream(node, server));
                 }
                 UpstreamServer[] self = new UpstreamServer[1];
                 self[0] = new UpstreamServer(
@@ -152,9 +152,9 @@
                         observations,
                         network,
                         nodes,
-                        at,
+                        addressesByNode,
                         new WorldState(),
-                        chance::nextDouble,
+                        random::nextDouble,
                         () -> registry.publishChange(self[0], "Gone"));
                 servers.add(self[0]);
             }
