--- a/src/main/java/rushproxy/lab/world/Clients.java
+++ b/src/main/java/rushproxy/lab/world/Clients.java
@@ -369,7 +369,7 @@
             }
         }
 
-        /** The last byte was written: from here on the upstream's time runs. */
+        /** The last byte was written: the client's wait is counted from here on. */
         private void onWritten(long remainingMs) {
             if (resent || observations.nowUs() - sentUs > IMMEDIATE_WRITE_US) {
                 observations.add(EventType.WRITTEN, node(), null, id, request.arrival.id(), null, remainingMs, sentUs);
--- a/src/main/java/rushproxy/lab/world/ObservationLog.java
+++ b/src/main/java/rushproxy/lab/world/ObservationLog.java
@@ -6,7 +6,7 @@
 import rushproxy.lab.world.Observation.EventType;
 
 /**
- * Thread-safe log of all events of a run, in order. Its length is bounded because the traffic of a run is generated in advance and
+ * Thread-safe log of all events of a run, in order. It needs no limit of its own: the traffic of a run is generated in advance and
  * bounded.
  */
 public final class ObservationLog {
