--- a/src/main/java/rushproxy/cli/FleetCommand.java
+++ b/src/main/java/rushproxy/cli/FleetCommand.java
@@ -33,7 +33,7 @@
             FleetCommand.Limit.class
         })
 final class FleetCommand implements Runnable {
-    private static final int PATIENCE_MS = 3_000;
+    private static final int TIMEOUT_MS = 3_000;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -44,7 +44,7 @@
     }
 
     /** One line out, one line back; throws where there is no answer. */
-    static String call(String address, String line) throws IOException {
+    static String sendAdminCall(String address, String line) throws IOException {
         int colon = address.lastIndexOf(':');
         if (colon <= 0 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
             throw new IOException("'" + address + "' is no address of the form HOST:PORT");
@@ -52,8 +52,8 @@
         try (Socket s = new Socket()) {
             s.connect(
                     new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
-                    PATIENCE_MS);
-            s.setSoTimeout(PATIENCE_MS);
+                    TIMEOUT_MS);
+            s.setSoTimeout(TIMEOUT_MS);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         } catch (IllegalArgumentException e) {
@@ -65,7 +65,7 @@
      * The views side by side: a row a member, a column a sidecar that was asked; a row that is not the same in all columns
      * is marked. A column whose sidecar gave no view says so in its head.
      */
-    static String table(Map<String, JsonNode> views) {
+    static String formatMembers(Map<String, JsonNode> views) {
         Map<String, Map<String, String>> rows = new TreeMap<>();
         for (Map.Entry<String, JsonNode> v : views.entrySet()) {
             for (JsonNode m :
@@ -107,12 +107,13 @@
     }
 
     /** The answers to a call as JSON, by address; null where there was none, which is said on the error stream. */
-    private static Map<String, JsonNode> ask(CommandLine.Model.CommandSpec spec, List<String> addresses, String call) {
+    private static Map<String, JsonNode> queryAll(
+            CommandLine.Model.CommandSpec spec, List<String> addresses, String call) {
         Map<String, JsonNode> views = new LinkedHashMap<>();
         for (String a : addresses) {
             JsonNode view = null;
             try {
-                String answer = call(a, call);
+                String answer = sendAdminCall(a, call);
                 if (answer.startsWith("ACK {")) {
                     view = new ObjectMapper().readTree(answer.substring(4));
                 } else {
@@ -128,7 +129,7 @@
     }
 
     /** A row for each thing, a column for each view; rows that differ are marked. {@code cells} reads a view. */
-    private static String rows(
+    private static String formatRows(
             String head, Map<String, JsonNode> views, Function<JsonNode, Map<String, String>> cells) {
         Map<String, Map<String, String>> rows = new TreeMap<>();
         StringBuilder text = new StringBuilder(String.format("%-2s%-16s", "", head));
@@ -157,7 +158,7 @@
         return text.toString();
     }
 
-    private static int print(CommandLine.Model.CommandSpec spec, String table, Map<String, JsonNode> views) {
+    private static int printTable(CommandLine.Model.CommandSpec spec, String table, Map<String, JsonNode> views) {
         PrintWriter out = spec.commandLine().getOut();
         out.print(table);
         out.flush();
@@ -180,12 +181,12 @@
 
         @Override
         public Integer call() {
-            Map<String, JsonNode> views = ask(spec, addresses, "verdicts");
-            return print(spec, table(views), views);
+            Map<String, JsonNode> views = queryAll(spec, addresses, "verdicts");
+            return printTable(spec, formatVerdicts(views), views);
         }
 
-        static String table(Map<String, JsonNode> views) {
-            return rows("server", views, view -> {
+        static String formatVerdicts(Map<String, JsonNode> views) {
+            return formatRows("server", views, view -> {
                 Map<String, String> cells = new LinkedHashMap<>();
                 for (JsonNode c : view.path("verdicts")) {
                     List<String> by = new ArrayList<>();
@@ -216,13 +217,13 @@
 
         @Override
         public Integer call() {
-            Map<String, JsonNode> views = ask(spec, addresses, "limits");
-            return print(spec, table(views), views);
+            Map<String, JsonNode> views = queryAll(spec, addresses, "limits");
+            return printTable(spec, formatLimits(views), views);
         }
 
-        static String table(Map<String, JsonNode> views) {
+        static String formatLimits(Map<String, JsonNode> views) {
             Map<String, Double> sums = new TreeMap<>();
-            String rows = rows("limit", views, view -> {
+            String rows = formatRows("limit", views, view -> {
                 Map<String, String> cells = new LinkedHashMap<>();
                 for (JsonNode l : view.path("limits")) {
                     sums.merge(l.path("name").asText(), l.path("share").asDouble(), Double::sum);
@@ -263,28 +264,29 @@
         private String name;
 
         @Parameters(index = "2", arity = "0..1", paramLabel = "OF", description = "all, class:NAME or tenant:NAME.")
-        private String of;
+        private String scope;
 
         @Parameters(index = "3", arity = "0..1", paramLabel = "MOST", description = "The limit of the whole fleet.")
-        private Double most;
+        private Double maximum;
 
         @Parameters(index = "4", arity = "0..1", paramLabel = "PER", description = "per_second (default) or in_flight.")
-        private String per;
+        private String unit;
 
         @CommandLine.Option(names = "--off", description = "Take it back; one of the configuration holds again.")
         private boolean off;
 
         @Override
         public Integer call() {
-            if (off != (of == null) || !off && most == null) {
+            if (off != (scope == null) || !off && maximum == null) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "OF and MOST, or --off, are wanted");
             }
             try {
-                String answer = FleetCommand.call(
+                String answer = FleetCommand.sendAdminCall(
                         address,
                         off
                                 ? "unlimit " + name
-                                : "limit " + name + " " + of + " " + most + " " + (per == null ? "per_second" : per));
+                                : "limit " + name + " " + scope + " " + maximum + " "
+                                        + (unit == null ? "per_second" : unit));
                 spec.commandLine().getOut().println(answer.isEmpty() ? "no answer" : answer);
                 return answer.equals("ACK") ? 0 : 1;
             } catch (IOException e) {
@@ -309,8 +311,8 @@
 
         @Override
         public Integer call() {
-            Map<String, JsonNode> views = ask(spec, addresses, "members");
-            return print(spec, table(views), views);
+            Map<String, JsonNode> views = queryAll(spec, addresses, "members");
+            return printTable(spec, formatMembers(views), views);
         }
     }
 }
--- a/src/main/java/rushproxy/cli/LabCapacity.java
+++ b/src/main/java/rushproxy/cli/LabCapacity.java
@@ -31,7 +31,7 @@
             try {
                 results.add(ScaleResult.read(file));
             } catch (IOException e) {
-                return LabCommand.bad(
+                return LabCommand.printError(
                         spec,
                         new IOException(file + ": no file of a scale run: "
                                 + e.getMessage().lines().findFirst().orElse("")));
--- a/src/main/java/rushproxy/cli/LabCommand.java
+++ b/src/main/java/rushproxy/cli/LabCommand.java
@@ -44,19 +44,19 @@
             "5:stopped half way"
         },
         subcommands = {
-            LabCommand.RunOne.class,
-            LabCommand.ListAll.class,
+            LabCommand.RunScenario.class,
+            LabCommand.ListScenarios.class,
             LabCommand.Check.class,
-            LabCommand.ReportAgain.class,
+            LabCommand.RewriteReport.class,
             LabSweep.class,
             LabSoak.class,
             LabScale.class,
             LabCapacity.class
         })
 final class LabCommand implements Runnable {
-    static final int BROKEN = 1;
-    static final int BAD = 2;
-    private static final int MOST_SHOWN = 10;
+    static final int EXIT_RULE_BROKEN = 1;
+    static final int EXIT_BAD_INPUT = 2;
+    private static final int MAX_VIOLATIONS_SHOWN = 10;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -66,10 +66,10 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done in the laboratory?");
     }
 
-    static int code(String verdict) {
+    static int exitCode(String verdict) {
         return switch (verdict) {
             case "held" -> 0;
-            case "broken" -> BROKEN;
+            case "broken" -> EXIT_RULE_BROKEN;
             case "void" -> 3;
             case "stopped" -> 5;
             default -> 4;
@@ -77,7 +77,7 @@
     }
 
     /** What a scenario is changed by before it is played. */
-    static final class Changes {
+    static final class ScenarioOverrides {
         @Option(names = "--seed", description = "Another seed for all draws.")
         Long seed;
 
@@ -87,15 +87,15 @@
                 description = "Another value, as TOML: --set traffic.rate_per_s=200")
         List<String> set = new ArrayList<>();
 
-        Map<String, String> all() throws ScenarioException {
-            Map<String, String> changes = pairs(set);
+        Map<String, String> toOverrides() throws ScenarioException {
+            Map<String, String> changes = parseOverrides(set);
             if (seed != null) {
                 changes.put("seed", Long.toString(seed));
             }
             return changes;
         }
 
-        static Map<String, String> pairs(List<String> set) throws ScenarioException {
+        static Map<String, String> parseOverrides(List<String> set) throws ScenarioException {
             Map<String, String> changes = new LinkedHashMap<>();
             for (String pair : set) {
                 int equals = pair.indexOf('=');
@@ -108,13 +108,13 @@
         }
     }
 
-    static Path newFolder(String name) {
+    static Path newReportFolder(String name) {
         String at = LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss", Locale.ROOT));
         return Path.of(
                 "target", "lab", at + "-" + name + "-" + ProcessHandle.current().pid());
     }
 
-    static void print(PrintWriter out, Summary s) {
+    static void printSummary(PrintWriter out, Summary s) {
         Figures f = s.figures();
         out.printf(
                 Locale.ROOT,
@@ -149,8 +149,8 @@
                 s.lateness().get("beat_max"));
     }
 
-    static void print(PrintWriter out, Run run, List<Violation> violations) {
-        for (Violation v : violations.subList(0, Math.min(MOST_SHOWN, violations.size()))) {
+    static void printViolations(PrintWriter out, Run run, List<Violation> violations) {
+        for (Violation v : violations.subList(0, Math.min(MAX_VIOLATIONS_SHOWN, violations.size()))) {
             out.printf(
                     Locale.ROOT,
                     "  %s at %.3f s%s: %s%n",
@@ -162,20 +162,20 @@
                 out.print(run.history(v.id()));
             }
         }
-        if (violations.size() > MOST_SHOWN) {
-            out.println("  and " + (violations.size() - MOST_SHOWN) + " more");
+        if (violations.size() > MAX_VIOLATIONS_SHOWN) {
+            out.println("  and " + (violations.size() - MAX_VIOLATIONS_SHOWN) + " more");
         }
     }
 
     /** Says what is wrong in one line. */
-    static int bad(CommandLine.Model.CommandSpec spec, Exception e) {
+    static int printError(CommandLine.Model.CommandSpec spec, Exception e) {
         spec.commandLine().getErr().println(e.getMessage());
         spec.commandLine().getErr().flush();
-        return BAD;
+        return EXIT_BAD_INPUT;
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one scenario.")
-    static final class RunOne implements Callable<Integer> {
+    static final class RunScenario implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -183,7 +183,7 @@
         private String scenario;
 
         @Mixin
-        private Changes changes;
+        private ScenarioOverrides overrides;
 
         @Option(names = "--out", description = "The folder for the report; by default a new one in target/lab.")
         private Path out;
@@ -202,14 +202,14 @@
             Scenario s;
             Build build;
             try {
-                s = ScenarioReader.read(scenario, changes.all());
+                s = ScenarioReader.read(scenario, overrides.toOverrides());
                 build = Build.of(Build.findRoot());
                 build = jar == null ? build : build.with(jar);
                 check(build, s);
             } catch (ScenarioException | IOException e) {
-                return bad(spec, e);
+                return printError(spec, e);
             }
-            Path folder = out == null ? newFolder(s.name()) : out;
+            Path folder = out == null ? newReportFolder(s.name()) : out;
             try {
                 Summary summary = new Lab(s, build, folder, line -> {
                             if (!quiet) {
@@ -218,13 +218,13 @@
                             }
                         })
                         .run();
-                print(print, summary);
+                printSummary(print, summary);
                 if (!summary.violations().isEmpty()) {
-                    print(print, Report.readRun(folder), summary.violations());
+                    printViolations(print, Report.readRun(folder), summary.violations());
                 }
                 print.println("  report: " + folder.resolve("report.html"));
                 print.flush();
-                return code(summary.verdict());
+                return exitCode(summary.verdict());
             } catch (IOException e) {
                 spec.commandLine().getErr().println("the run could not be reported: " + e);
                 return 4;
@@ -247,7 +247,7 @@
             name = "list",
             mixinStandardHelpOptions = true,
             description = "Lists the scenarios that come with the program.")
-    static final class ListAll implements Callable<Integer> {
+    static final class ListScenarios implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -281,25 +281,25 @@
         private CommandLine.Model.CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "SCENARIO|FOLDER")
-        private String what;
+        private String scenarioOrFolder;
 
         @Mixin
-        private Changes changes;
+        private ScenarioOverrides overrides;
 
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             try {
-                if (Files.isDirectory(Path.of(what))) {
-                    Run run = Report.readRun(Path.of(what));
+                if (Files.isDirectory(Path.of(scenarioOrFolder))) {
+                    Run run = Report.readRun(Path.of(scenarioOrFolder));
                     List<Violation> violations = new ArrayList<>();
                     Checker.all().forEach(c -> violations.addAll(c.check(run)));
                     out.println(violations.isEmpty() ? "all rules kept" : violations.size() + " violations");
-                    print(out, run, violations);
+                    printViolations(out, run, violations);
                     out.flush();
-                    return violations.isEmpty() ? 0 : BROKEN;
+                    return violations.isEmpty() ? 0 : EXIT_RULE_BROKEN;
                 }
-                Scenario s = ScenarioReader.read(what, changes.all());
+                Scenario s = ScenarioReader.read(scenarioOrFolder, overrides.toOverrides());
                 out.printf(
                         Locale.ROOT,
                         "%s: %d sidecars, %d upstreams, %.0f requests a second for %.0f s%n",
@@ -318,7 +318,7 @@
                 out.flush();
                 return 0;
             } catch (ScenarioException | IOException e) {
-                return bad(spec, e);
+                return printError(spec, e);
             }
         }
     }
@@ -327,7 +327,7 @@
             name = "report",
             mixinStandardHelpOptions = true,
             description = "Prints a run's summary, and writes its page anew.")
-    static final class ReportAgain implements Callable<Integer> {
+    static final class RewriteReport implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -340,13 +340,13 @@
                 Run run = Report.readRun(folder);
                 Summary summary = Report.readSummary(folder);
                 Report.write(folder, run, summary);
-                print(spec.commandLine().getOut(), summary);
-                print(spec.commandLine().getOut(), run, summary.violations());
+                printSummary(spec.commandLine().getOut(), summary);
+                printViolations(spec.commandLine().getOut(), run, summary.violations());
                 spec.commandLine().getOut().println("  report: " + folder.resolve("report.html"));
                 spec.commandLine().getOut().flush();
                 return 0;
             } catch (IOException e) {
-                return bad(spec, new IOException(folder + ": no run's folder: " + e.getMessage()));
+                return printError(spec, new IOException(folder + ": no run's folder: " + e.getMessage()));
             }
         }
     }
--- a/src/main/java/rushproxy/cli/LabScale.java
+++ b/src/main/java/rushproxy/cli/LabScale.java
@@ -29,7 +29,7 @@
             "4:an address, a socket or a sidecar could not be had"
         })
 final class LabScale implements Callable<Integer> {
-    private static final int VOID = 3;
+    private static final int EXIT_VOID = 3;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -85,7 +85,7 @@
     public Integer call() {
         PrintWriter print = spec.commandLine().getOut();
         ScalePlan plan;
-        Path folder = out == null ? LabCommand.newFolder("scale") : out;
+        Path folder = out == null ? LabCommand.newReportFolder("scale") : out;
         Build build = null;
         try {
             plan = new ScalePlan(members, real, services, zones, regions, ScaleEvent.of(event), loss, seed)
@@ -94,19 +94,20 @@
                 build = Build.of(Build.findRoot());
             }
         } catch (ScaleException | IOException e) {
-            return LabCommand.bad(spec, e);
+            return LabCommand.printError(spec, e);
         }
         Path file = folder.resolve("scale.json");
         try {
-            ScaleResult result =
-                    real == 0 ? ScaleRun.simulated(plan, this::say) : ScaleRun.real(plan, build, folder, this::say);
+            ScaleResult result = real == 0
+                    ? ScaleRun.simulated(plan, this::printLine)
+                    : ScaleRun.real(plan, build, folder, this::printLine);
             result.write(file);
             print.println("figures: " + file);
             if (result.voidWhy() != null) {
                 print.println("VOID: " + result.voidWhy());
             }
             print.flush();
-            return result.voidWhy() == null ? 0 : VOID;
+            return result.voidWhy() == null ? 0 : EXIT_VOID;
         } catch (IOException e) {
             spec.commandLine().getErr().println("the run could not be made or reported: " + e);
             spec.commandLine().getErr().flush();
@@ -114,7 +115,7 @@
         }
     }
 
-    private void say(String line) {
+    private void printLine(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
--- a/src/main/java/rushproxy/cli/LabSoak.java
+++ b/src/main/java/rushproxy/cli/LabSoak.java
@@ -25,7 +25,7 @@
                 "Draws a deployment and overlapping faults from each seed and plays them with real sidecars; the rules and the sidecars'"
                         + " own invariants must hold.")
 final class LabSoak implements Callable<Integer> {
-    private static final Pattern RANGE = Pattern.compile("([0-9]{1,3})(?:\\.\\.([0-9]{1,3}))?");
+    private static final Pattern NODE_RANGE = Pattern.compile("([0-9]{1,3})(?:\\.\\.([0-9]{1,3}))?");
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -59,13 +59,13 @@
         PrintWriter print = spec.commandLine().getOut();
         int worst = 0;
         try {
-            Path folder = out == null ? LabCommand.newFolder("soak") : out;
+            Path folder = out == null ? LabCommand.newReportFolder("soak") : out;
             Soak soak = new Soak(Build.of(Build.findRoot()), folder, print::println);
             for (long seed : Sweep.seeds(seeds)) {
-                SoakPlan plan = SoakPlan.draw(seed, count(seed), seconds());
+                SoakPlan plan = SoakPlan.draw(seed, drawNodeCount(seed), parseLengthSeconds());
                 Summary s = soak.play(plan, "seed-" + seed);
-                tell(print, plan, s);
-                worst = Math.max(worst, LabCommand.code(s.verdict()));
+                printResult(print, plan, s);
+                worst = Math.max(worst, LabCommand.exitCode(s.verdict()));
                 if (shrink > 0 && s.verdict().equals("broken")) {
                     soak.shrink(plan, shrink);
                 }
@@ -73,13 +73,13 @@
             print.println("plans and reports: " + folder);
             print.flush();
         } catch (ScenarioException | IOException | IllegalArgumentException e) {
-            return LabCommand.bad(spec, e);
+            return LabCommand.printError(spec, e);
         }
         return worst;
     }
 
-    private int count(long seed) {
-        Matcher m = RANGE.matcher(nodes);
+    private int drawNodeCount(long seed) {
+        Matcher m = NODE_RANGE.matcher(nodes);
         if (!m.matches()) {
             throw new IllegalArgumentException("--nodes: '" + nodes + "' is neither a number nor a range like 10..40");
         }
@@ -91,14 +91,14 @@
         return least + (int) (seed * 7919 % (most - least + 1));
     }
 
-    private double seconds() {
+    private double parseLengthSeconds() {
         if (!length.matches("[0-9]{1,4}s")) {
             throw new IllegalArgumentException("--length: '" + length + "' is not of the form 30s");
         }
         return Double.parseDouble(length.substring(0, length.length() - 1));
     }
 
-    private static void tell(PrintWriter print, SoakPlan plan, Summary s) {
+    private static void printResult(PrintWriter print, SoakPlan plan, Summary s) {
         print.printf(
                 Locale.ROOT,
                 "seed %d: %s, %d requests, served %.3f, %d faults, late sends %.3f%n",
--- a/src/main/java/rushproxy/cli/LabSweep.java
+++ b/src/main/java/rushproxy/cli/LabSweep.java
@@ -30,7 +30,7 @@
         description = "Plays a scenario over seeds and variants in alternation, and says what differences are shown.")
 final class LabSweep implements Callable<Integer> {
     /** A name and what it changes; {@code jar} is null for the scenario's own program. */
-    private record Variant(String name, Map<String, String> changes, String jar) {}
+    private record Variant(String name, Map<String, String> overrides, String jar) {}
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -67,11 +67,11 @@
         try {
             on = Sweep.seeds(seeds);
             for (String v : variants.isEmpty() ? List.of("as-is") : variants) {
-                all.add(variant(v));
+                all.add(parseVariant(v));
             }
             build = Build.of(Build.findRoot());
             for (Variant v : all) {
-                ScenarioReader.read(scenario, v.changes);
+                ScenarioReader.read(scenario, v.overrides);
                 if (v.jar != null) {
                     build.with(v.jar);
                 }
@@ -82,9 +82,9 @@
                 }
             }
         } catch (ScenarioException | IOException | IllegalArgumentException e) {
-            return LabCommand.bad(spec, e);
+            return LabCommand.printError(spec, e);
         }
-        Path folder = out == null ? LabCommand.newFolder("sweep") : out;
+        Path folder = out == null ? LabCommand.newReportFolder("sweep") : out;
         try {
             for (int i = 0; i < on.size(); i++) {
                 for (int j = 0; j < all.size(); j++) {
@@ -93,21 +93,21 @@
                     play(v, on.get(i), build, folder, done, print);
                 }
             }
-            String table = table(all, on, done);
+            String table = formatComparison(all, on, done);
             print.print(table);
             Files.writeString(folder.resolve("sweep.txt"), table);
             print.flush();
         } catch (ScenarioException | IOException e) {
-            return LabCommand.bad(spec, e);
+            return LabCommand.printError(spec, e);
         }
         return done.values().stream()
                 .flatMap(m -> m.values().stream())
-                .mapToInt(s -> LabCommand.code(s.verdict()))
+                .mapToInt(s -> LabCommand.exitCode(s.verdict()))
                 .max()
                 .orElse(0);
     }
 
-    private static Variant variant(String text) throws ScenarioException {
+    private static Variant parseVariant(String text) throws ScenarioException {
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
         if (!name.matches("[A-Za-z0-9._-]{1,30}")) {
@@ -116,7 +116,7 @@
         }
         List<String> pairs =
                 colon < 0 ? List.of() : List.of(text.substring(colon + 1).split(";"));
-        Map<String, String> changes = LabCommand.Changes.pairs(pairs);
+        Map<String, String> changes = LabCommand.ScenarioOverrides.parseOverrides(pairs);
         String jar = changes.remove("jar");
         return new Variant(name, changes, jar);
     }
@@ -124,7 +124,7 @@
     private void play(
             Variant v, long seed, Build build, Path folder, Map<Variant, Map<Long, Summary>> done, PrintWriter print)
             throws ScenarioException, IOException, InterruptedException {
-        Map<String, String> changes = new LinkedHashMap<>(v.changes);
+        Map<String, String> changes = new LinkedHashMap<>(v.overrides);
         changes.put("seed", Long.toString(seed));
         Scenario s = ScenarioReader.read(scenario, changes);
         Summary summary = new Lab(
@@ -145,7 +145,7 @@
     }
 
     /** Runs that were void or did not start count for nothing, and neither does what they would be paired with. */
-    private String table(List<Variant> all, List<Long> on, Map<Variant, Map<Long, Summary>> done) {
+    private String formatComparison(List<Variant> all, List<Long> on, Map<Variant, Map<Long, Summary>> done) {
         StringBuilder text = new StringBuilder();
         List<Long> counted = on.stream()
                 .filter(seed -> all.stream().allMatch(v -> {
--- a/src/main/java/rushproxy/cli/ReleaseCommand.java
+++ b/src/main/java/rushproxy/cli/ReleaseCommand.java
@@ -36,20 +36,20 @@
         mixinStandardHelpOptions = true,
         description = "Brings new servers in by stages, halts, and takes them back.",
         subcommands = {
-            ReleaseCommand.PlanOf.class,
+            ReleaseCommand.PrintPlan.class,
             ReleaseCommand.Start.class,
             ReleaseCommand.Resume.class,
             ReleaseCommand.Status.class,
             ReleaseCommand.Halt.class,
-            ReleaseCommand.Back.class,
+            ReleaseCommand.RollBack.class,
             ReleaseCommand.Abort.class
         })
 final class ReleaseCommand implements Runnable {
-    static final int SUPERSEDED = 3;
-    private static final int UNREACHED = 1;
-    private static final long LOOK_MS = 1_000;
+    static final int EXIT_SUPERSEDED = 3;
+    private static final int EXIT_UNREACHED = 1;
+    private static final long POLL_INTERVAL_MS = 1_000;
     /** Nobody is waited for longer: neither the last to hear of the end, nor the first to answer at all. */
-    private static final long PATIENCE_S = 60;
+    private static final long UNREACHED_TIMEOUT_S = 60;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
@@ -60,15 +60,15 @@
     }
 
     /** The sidecars of a fleet, by their second addresses. Belongs to one command; {@link #close} ends its threads. */
-    static final class Sidecars implements AutoCloseable {
+    static final class SidecarClients implements AutoCloseable {
         private final List<String> addresses;
-        private final ExecutorService callers = Executors.newCachedThreadPool(work -> {
+        private final ExecutorService executor = Executors.newCachedThreadPool(work -> {
             Thread t = new Thread(work, "caller");
             t.setDaemon(true);
             return t;
         });
 
-        Sidecars(List<String> addresses) {
+        SidecarClients(List<String> addresses) {
             this.addresses = addresses;
         }
 
@@ -77,12 +77,12 @@
         }
 
         /** The answers by address, of those that gave one; all are asked at once. */
-        Map<String, String> call(String line) throws InterruptedException {
+        Map<String, String> callAll(String line) throws InterruptedException {
             Map<String, String> answers = new ConcurrentHashMap<>();
-            callers.invokeAll(addresses.stream()
+            executor.invokeAll(addresses.stream()
                     .map(a -> (Callable<Void>) () -> {
                         try {
-                            String answer = FleetCommand.call(a, line);
+                            String answer = FleetCommand.sendAdminCall(a, line);
                             if (!answer.isEmpty()) {
                                 answers.put(a, answer);
                             }
@@ -95,9 +95,9 @@
             return new TreeMap<>(answers);
         }
 
-        private Map<String, JsonNode> views(String line) throws InterruptedException {
+        private Map<String, JsonNode> queryJson(String line) throws InterruptedException {
             Map<String, JsonNode> views = new TreeMap<>();
-            call(line).forEach((a, answer) -> {
+            callAll(line).forEach((a, answer) -> {
                 try {
                     if (answer.startsWith("ACK {")) {
                         views.put(a, new ObjectMapper().readTree(answer.substring(4)));
@@ -110,9 +110,9 @@
         }
 
         /** The order of the latest epoch and step that any of them knows, null for none. */
-        Order latest(String release) throws InterruptedException {
+        Order latestOrder(String release) throws InterruptedException {
             Order latest = null;
-            for (JsonNode view : views("orders").values()) {
+            for (JsonNode view : queryJson("orders").values()) {
                 for (JsonNode o : view.path("orders")) {
                     if (!o.path("release").asText().equals(release)) {
                         continue;
@@ -135,8 +135,8 @@
         }
 
         /** Tells the order; how many have taken it, -1 where one knows a later controller's. */
-        int tell(Order o) throws InterruptedException {
-            Map<String, String> answers = call(String.format(
+        int sendOrder(Order o) throws InterruptedException {
+            Map<String, String> answers = callAll(String.format(
                     Locale.ROOT,
                     "order %s %d %d %s %s %s %s",
                     o.release(),
@@ -153,15 +153,15 @@
                             .count();
         }
 
-        Map<String, Map<String, Watch.Pair>> reports(String release) throws InterruptedException {
+        Map<String, Map<String, Watch.Pair>> queryTallies(String release) throws InterruptedException {
             Map<String, Map<String, Watch.Pair>> reports = new HashMap<>();
-            views("tallies " + release).forEach((a, view) -> {
+            queryJson("tallies " + release).forEach((a, view) -> {
                 try {
                     Map<String, Watch.Pair> strata = new TreeMap<>();
                     for (JsonNode t : view.path("tallies")) {
                         strata.put(
                                 t.path("stratum").asText(),
-                                new Watch.Pair(tally(t.path("new")), tally(t.path("control"))));
+                                new Watch.Pair(parseTally(t.path("new")), parseTally(t.path("control"))));
                     }
                     reports.put(a, strata);
                 } catch (IllegalArgumentException e) {
@@ -171,7 +171,7 @@
             return reports;
         }
 
-        private static rushproxy.fleet.release.Tally tally(JsonNode t) {
+        private static rushproxy.fleet.release.Tally parseTally(JsonNode t) {
             return Watch.read(
                     t.path(0).asLong(),
                     t.path(1).asLong(),
@@ -181,29 +181,30 @@
 
         @Override
         public void close() {
-            callers.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
     /** Runs a controller until its release is over, or another has come: the exit code. */
-    static int conduct(Conductor c, Sidecars sidecars, PrintWriter out, boolean untilHalt) throws InterruptedException {
+    static int runController(Conductor c, SidecarClients sidecars, PrintWriter out, boolean untilHalt)
+            throws InterruptedException {
         Conductor.Step said = null;
         String waited = "";
         long reachedNs = System.nanoTime();
         while (true) {
-            int took = sidecars.tell(c.last().order());
+            int took = sidecars.sendOrder(c.last().order());
             boolean enough = c.over() ? took == sidecars.count() : took > 0;
             reachedNs = enough || c.last() != said ? System.nanoTime() : reachedNs;
-            if (System.nanoTime() - reachedNs > TimeUnit.SECONDS.toNanos(PATIENCE_S)) {
-                out.println("ends after " + PATIENCE_S + " s in which " + took + " of " + sidecars.count()
+            if (System.nanoTime() - reachedNs > TimeUnit.SECONDS.toNanos(UNREACHED_TIMEOUT_S)) {
+                out.println("ends after " + UNREACHED_TIMEOUT_S + " s in which " + took + " of " + sidecars.count()
                         + " were reached; the others hear of it by these");
                 out.flush();
-                return UNREACHED;
+                return EXIT_UNREACHED;
             }
             if (took < 0) {
                 out.println("a later controller has taken over: this one ends");
                 out.flush();
-                return SUPERSEDED;
+                return EXIT_SUPERSEDED;
             }
             if (c.last() != said) {
                 said = c.last();
@@ -229,10 +230,10 @@
             if (untilHalt && c.last().order().state() == Order.State.HALTED) {
                 return 4;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             c.reports(
                     System.currentTimeMillis() * 1_000,
-                    sidecars.reports(c.last().order().release()),
+                    sidecars.queryTallies(c.last().order().release()),
                     sidecars.count());
         }
     }
@@ -241,7 +242,7 @@
             name = "plan",
             mixinStandardHelpOptions = true,
             description = "Reads a plan and prints what it says; starts nothing.")
-    static final class PlanOf implements Callable<Integer> {
+    static final class PrintPlan implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -280,7 +281,7 @@
     }
 
     /** What {@code start} and {@code resume} share. */
-    abstract static class Running implements Callable<Integer> {
+    abstract static class ControllerCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -301,7 +302,7 @@
                 description = "Keeps each step, on disk before it is taken.")
         private Path journal;
 
-        abstract boolean anew();
+        abstract boolean staysHalted();
 
         @Override
         public Integer call() throws InterruptedException {
@@ -315,11 +316,11 @@
                 return 2;
             }
             try (ReleaseJournal kept = new ReleaseJournal(journal);
-                    Sidecars sidecars = new Sidecars(addresses)) {
-                if (kept.cut() != null) {
-                    out.println(journal + ": " + kept.cut());
+                    SidecarClients sidecars = new SidecarClients(addresses)) {
+                if (kept.truncation() != null) {
+                    out.println(journal + ": " + kept.truncation());
                 }
-                Order known = sidecars.latest(plan.name());
+                Order known = sidecars.latestOrder(plan.name());
                 Conductor.Step last = kept.steps().isEmpty()
                         ? null
                         : kept.steps().get(kept.steps().size() - 1);
@@ -337,8 +338,8 @@
                                 && known.epoch() > last.order().epoch();
                 Conductor.Step after = last != null && !gone
                         ? last
-                        : known == null ? last : new Conductor.Step(known, stage(plan, known), "");
-                if (after != null && !anew() && after.order().state() == Order.State.HALTED) {
+                        : known == null ? last : new Conductor.Step(known, findStage(plan, known), "");
+                if (after != null && !staysHalted() && after.order().state() == Order.State.HALTED) {
                     after = new Conductor.Step(
                             new Order(
                                     plan.name(),
@@ -358,15 +359,15 @@
                         throw new UncheckedIOException(e);
                     }
                 });
-                return conduct(c, sidecars, out, true);
+                return runController(c, sidecars, out, true);
             } catch (IOException | UncheckedIOException e) {
                 err.println(e.getMessage());
-                return UNREACHED;
+                return EXIT_UNREACHED;
             }
         }
 
         /** The first stage that gives as much as is ordered. */
-        private static int stage(Plan plan, Order known) {
+        private static int findStage(Plan plan, Order known) {
             for (int i = 0; i < plan.stages().size(); i++) {
                 if (plan.stages().get(i).weight() >= known.weight() - 1e-9) {
                     return i;
@@ -388,9 +389,9 @@
                 "3:a later controller has taken over",
                 "4:halted"
             })
-    static final class Start extends Running {
+    static final class Start extends ControllerCommand {
         @Override
-        boolean anew() {
+        boolean staysHalted() {
             return true;
         }
     }
@@ -399,15 +400,15 @@
             name = "resume",
             mixinStandardHelpOptions = true,
             description = "Goes on with a release that was halted; its stage begins anew.")
-    static final class Resume extends Running {
+    static final class Resume extends ControllerCommand {
         @Override
-        boolean anew() {
+        boolean staysHalted() {
             return false;
         }
     }
 
     /** What needs no plan: the order that the sidecars know says it all. */
-    abstract static class ByName implements Callable<Integer> {
+    abstract static class KnownReleaseCommand implements Callable<Integer> {
         @CommandLine.Spec
         protected CommandLine.Model.CommandSpec spec;
 
@@ -421,22 +422,22 @@
                 description = "Second addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
-        abstract int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException;
+        abstract int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException;
 
         @Override
         public Integer call() throws InterruptedException {
-            try (Sidecars sidecars = new Sidecars(addresses)) {
-                Order known = sidecars.latest(name);
+            try (SidecarClients sidecars = new SidecarClients(addresses)) {
+                Order known = sidecars.latestOrder(name);
                 if (known == null) {
                     spec.commandLine().getErr().println("none of them knows a release " + name);
-                    return UNREACHED;
+                    return EXIT_UNREACHED;
                 }
-                return act(known, sidecars, spec.commandLine().getOut());
+                return apply(known, sidecars, spec.commandLine().getOut());
             }
         }
 
         /** A controller of a later epoch that takes the release from where it stands. */
-        static Conductor over(Order known) {
+        static Conductor takeOver(Order known) {
             Plan plan = new Plan(
                     known.release(),
                     known.whom(),
@@ -468,9 +469,9 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            try (Sidecars sidecars = new Sidecars(addresses)) {
+            try (SidecarClients sidecars = new SidecarClients(addresses)) {
                 PrintWriter out = spec.commandLine().getOut();
-                Map<String, JsonNode> views = sidecars.views("orders");
+                Map<String, JsonNode> views = sidecars.queryJson("orders");
                 java.util.Set<String> said = new java.util.HashSet<>();
                 for (String a : addresses) {
                     String line = views.containsKey(a) ? "knows nothing of it" : "no answer";
@@ -490,42 +491,42 @@
                     out.println(a + ": " + line);
                 }
                 out.flush();
-                return said.size() == 1 && views.size() == addresses.size() ? 0 : UNREACHED;
+                return said.size() == 1 && views.size() == addresses.size() ? 0 : EXIT_UNREACHED;
             }
         }
     }
 
     @Command(name = "halt", mixinStandardHelpOptions = true, description = "Freezes the weights where they are.")
-    static final class Halt extends ByName {
+    static final class Halt extends KnownReleaseCommand {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
+        int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            Conductor c = takeOver(known);
             c.halt(System.currentTimeMillis() * 1_000, "by an operator");
-            int took = sidecars.tell(c.last().order());
+            int took = sidecars.sendOrder(c.last().order());
             out.println(
                     "halted at weight " + c.last().order().weight() + ", taken by " + took + " of " + sidecars.count());
             out.flush();
-            return took == sidecars.count() ? 0 : UNREACHED;
+            return took == sidecars.count() ? 0 : EXIT_UNREACHED;
         }
     }
 
     @Command(name = "back", mixinStandardHelpOptions = true, description = "Takes the new servers out, by halves.")
-    static final class Back extends ByName {
+    static final class RollBack extends KnownReleaseCommand {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
+        int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            Conductor c = takeOver(known);
             c.back(System.currentTimeMillis() * 1_000, "by an operator");
-            return conduct(c, sidecars, out, false);
+            return runController(c, sidecars, out, false);
         }
     }
 
     @Command(name = "abort", mixinStandardHelpOptions = true, description = "Takes the new servers out at once.")
-    static final class Abort extends ByName {
+    static final class Abort extends KnownReleaseCommand {
         @Override
-        int act(Order known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            Conductor c = over(known);
+        int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            Conductor c = takeOver(known);
             c.abort(System.currentTimeMillis() * 1_000, "by an operator");
-            return conduct(c, sidecars, out, false);
+            return runController(c, sidecars, out, false);
         }
     }
 }
--- a/src/main/java/rushproxy/cli/ReleaseJournal.java
+++ b/src/main/java/rushproxy/cli/ReleaseJournal.java
@@ -19,35 +19,35 @@
  * half written is cut off, and said. One process has it at a time; {@link #close} gives it back.
  */
 final class ReleaseJournal implements AutoCloseable {
-    private static final int HEAD = 8;
-    private static final int MOST = 4_096;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 4_096;
 
-    private final Disk disk;
+    private final RecordWriter writer;
     private final FileChannel file;
     private final FileLock lock;
     private final List<Conductor.Step> steps = new ArrayList<>();
-    private String cut;
+    private String truncation;
     /** The end of the last record that is whole and on disk. */
-    private long end;
+    private long endOfRecords;
 
     /** Throws where another process has it, or where it holds records that are whole but no steps: it is not ours to change then. */
     ReleaseJournal(Path path) throws IOException {
-        this(path, Disk.REAL);
+        this(path, RecordWriter.WRITE_AND_FORCE);
     }
 
-    ReleaseJournal(Path path, Disk disk) throws IOException {
-        this.disk = disk;
+    ReleaseJournal(Path path, RecordWriter disk) throws IOException {
+        this.writer = disk;
         file = FileChannel.open(path, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.CREATE);
         try {
-            lock = lock(path);
-            read(path);
+            lock = acquireLock(path);
+            readRecords(path);
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
         }
     }
 
-    private FileLock lock(Path path) throws IOException {
+    private FileLock acquireLock(Path path) throws IOException {
         try {
             FileLock l = file.tryLock();
             if (l != null) {
@@ -59,38 +59,39 @@
         throw new IOException(path + ": another controller has it");
     }
 
-    private void read(Path path) throws IOException {
+    private void readRecords(Path path) throws IOException {
         ByteBuffer all = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
         while (all.hasRemaining() && file.read(all) >= 0) {
             // Until all of it is here.
         }
         all.flip();
         int good = 0;
-        while (all.remaining() >= HEAD) {
+        while (all.remaining() >= HEADER_BYTES) {
             int length = all.getInt();
             int check = all.getInt();
-            if (length <= 0 || length > MOST || length > all.remaining()) {
+            if (length <= 0 || length > MAX_RECORD_BYTES || length > all.remaining()) {
                 break;
             }
             byte[] text = new byte[length];
             all.get(text);
-            if (check(text) != check) {
+            if (crc32(text) != check) {
                 break;
             }
-            steps.add(step(path, new String(text, StandardCharsets.UTF_8)));
+            steps.add(parseStep(path, new String(text, StandardCharsets.UTF_8)));
             good = all.position();
         }
         if (good < all.limit()) {
-            cut = (all.limit() - good) + " bytes after record " + steps.size() + " were half written, and are cut off";
+            truncation = (all.limit() - good) + " bytes after record " + steps.size()
+                    + " were half written, and are cut off";
             file.truncate(good);
             file.force(true);
         }
-        end = good;
+        endOfRecords = good;
     }
 
     /** Null, or what was cut off at the opening. */
-    String cut() {
-        return cut;
+    String truncation() {
+        return truncation;
     }
 
     List<Conductor.Step> steps() {
@@ -113,23 +114,23 @@
                         "" + step.stage(),
                         why.substring(0, Math.min(1_000, why.length())))
                 .getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(HEAD + text.length)
+        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + text.length)
                 .putInt(text.length)
-                .putInt(check(text))
+                .putInt(crc32(text))
                 .put(text);
         b.flip();
         // A try that failed may have left a part, or a whole record that was never taken on: the next one begins before
         // it.
-        file.truncate(end);
-        file.position(end);
-        disk.write(file, b);
-        end = file.position();
+        file.truncate(endOfRecords);
+        file.position(endOfRecords);
+        writer.write(file, b);
+        endOfRecords = file.position();
         steps.add(step);
     }
 
     /** How a record is written so that it is on disk afterwards; either part may fail. */
-    interface Disk {
-        Disk REAL = (file, record) -> {
+    interface RecordWriter {
+        RecordWriter WRITE_AND_FORCE = (file, record) -> {
             while (record.hasRemaining()) {
                 file.write(record);
             }
@@ -139,7 +140,7 @@
         void write(FileChannel file, ByteBuffer record) throws IOException;
     }
 
-    private Conductor.Step step(Path path, String text) throws IOException {
+    private Conductor.Step parseStep(Path path, String text) throws IOException {
         String[] w = text.split("\t", -1);
         try {
             return new Conductor.Step(
@@ -158,7 +159,7 @@
         }
     }
 
-    private static int check(byte[] text) {
+    private static int crc32(byte[] text) {
         CRC32 crc = new CRC32();
         crc.update(text);
         return (int) crc.getValue();
--- a/src/main/java/rushproxy/cli/ReleasePlan.java
+++ b/src/main/java/rushproxy/cli/ReleasePlan.java
@@ -13,7 +13,7 @@
 
 /** Reads a release's plan from TOML, strictly: a mistake is one line that names the place. */
 final class ReleasePlan {
-    private static final double S = 1e6;
+    private static final double MICROS_PER_S = 1e6;
 
     private ReleasePlan() {}
 
@@ -43,13 +43,13 @@
         double sick = s.number("sick_at", 0.01, 1, usual.sickAt());
         List<Plan.Stage> stages = new ArrayList<>();
         for (Section one : s.tables("stages")) {
-            double least = one.number("least_s", 1, 86_400, usual.leastUs() / S);
-            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.mostUs() / S));
+            double least = one.number("least_s", 1, 86_400, usual.leastUs() / MICROS_PER_S);
+            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.mostUs() / MICROS_PER_S));
             stages.add(new Plan.Stage(
                     one.number("weight", 0.001, 1),
                     new Gate.Rule(
-                            (long) (least * S),
-                            (long) (most * S),
+                            (long) (least * MICROS_PER_S),
+                            (long) (most * MICROS_PER_S),
                             one.count("answers", 1, 1_000_000, (int) usual.answers()),
                             falseHalts,
                             worse,
@@ -59,7 +59,7 @@
         }
         double first = stages.isEmpty() ? 0 : stages.get(0).weight();
         double safe = s.number("safe_weight", 0, 1, first);
-        long back = (long) (s.number("back_s", 1, 3_600, 5) * S);
+        long back = (long) (s.number("back_s", 1, 3_600, 5) * MICROS_PER_S);
         s.end();
         try {
             Plan plan = new Plan(name, whom, stages, safe, back);
--- a/src/test/java/rushproxy/cli/FleetCommandTest.java
+++ b/src/test/java/rushproxy/cli/FleetCommandTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void disagreementsAreMarkedAndWhoGaveNoViewIsNamed() throws Exception {
+    void rowsThatDifferAreMarkedAndSidecarsWithoutAnswerAreNamed() throws Exception {
         Map<String, JsonNode> views = new LinkedHashMap<>();
         views.put("a:1", view("n0", ",{\"name\":\"n1\",\"state\":\"alive\",\"incarnation\":7}"));
         views.put(
@@ -27,7 +27,7 @@
                         "n1",
                         ",{\"name\":\"n1\",\"state\":\"dead\",\"incarnation\":7},{\"name\":\"n2\",\"state\":\"alive\",\"incarnation\":1}"));
         views.put("c:1", null);
-        List<String> lines = FleetCommand.table(views).lines().toList();
+        List<String> lines = FleetCommand.formatMembers(views).lines().toList();
         assertTrue(
                 lines.get(0).matches("  member +n0: majority 2/3 +n1: majority 2/3 +c:1 \\(none\\) *"), lines.get(0));
         assertTrue(lines.get(1).startsWith("  n0"), lines.get(1));
--- a/src/test/java/rushproxy/cli/ReleaseJournalTest.java
+++ b/src/test/java/rushproxy/cli/ReleaseJournalTest.java
@@ -23,31 +23,32 @@
 
 /** What a controller of releases knows after it was killed. */
 class ReleaseJournalTest {
-    private static final long S = 1_000_000;
-    private static final Gate.Rule RULE = new Gate.Rule(10 * S, 300 * S, 100, 0.01, 0.02, 1.25, 0.3);
+    private static final long MICROS_PER_S = 1_000_000;
+    private static final Gate.Rule RULE =
+            new Gate.Rule(10 * MICROS_PER_S, 300 * MICROS_PER_S, 100, 0.01, 0.02, 1.25, 0.3);
     private static final Plan PLAN = new Plan(
             "r1",
             Order.Selector.of("kind=new"),
             List.of(new Plan.Stage(0.05, RULE), new Plan.Stage(0.25, RULE), new Plan.Stage(1, RULE)),
             0.05,
-            5 * S);
+            5 * MICROS_PER_S);
 
     @TempDir
     Path folder;
 
     private final CountedFleet fleet = new CountedFleet();
-    private long now = 1_000 * S;
+    private long now = 1_000 * MICROS_PER_S;
 
-    private void play(Conductor c, int seconds) {
+    private void runController(Conductor c, int seconds) {
         for (int i = 0; i < seconds; i++) {
-            now += S;
+            now += MICROS_PER_S;
             c.reports(now, fleet.second(), 4);
         }
     }
 
     /** A disk that fails in the middle of a write, or after it: what is appended later is found again. */
     @Test
-    void whatFollowsAFailedWriteIsNotLostWithIt() throws Exception {
+    void recordAppendedAfterAFailedWriteIsReadBack() throws Exception {
         for (boolean whole : new boolean[] {false, true}) {
             Path path = folder.resolve("fails" + whole);
             boolean[] fails = new boolean[1];
@@ -60,7 +61,7 @@
                     file.write(record);
                     throw new IOException("No space left on device");
                 }
-                ReleaseJournal.Disk.REAL.write(file, record);
+                ReleaseJournal.RecordWriter.WRITE_AND_FORCE.write(file, record);
             })) {
                 j.append(step);
                 fails[0] = true;
@@ -70,7 +71,7 @@
                 assertEquals(2, j.steps().size());
             }
             try (ReleaseJournal j = new ReleaseJournal(path)) {
-                assertEquals(null, j.cut());
+                assertEquals(null, j.truncation());
                 assertEquals(2, j.steps().size(), "what was appended after a failed write, whole " + whole);
             }
         }
@@ -78,7 +79,7 @@
 
     /** Killed after each single step, before or after it was kept: the next one goes on from the last that was kept. */
     @Test
-    void killedAtEachStepItGoesOnWhereItStood() throws Exception {
+    void controllerResumesFromTheLastJournaledStepWhenKilledAtAnyStep() throws Exception {
         for (int at = 0; at < 4; at++) {
             for (boolean written : new boolean[] {false, true}) {
                 Path path = folder.resolve("j" + at + written);
@@ -89,12 +90,12 @@
                         if (s.order().step() == killAt && !written) {
                             throw new UncheckedIOException(new IOException("killed"));
                         }
-                        keep(j, s);
+                        append(j, s);
                         if (s.order().step() == killAt) {
                             throw new UncheckedIOException(new IOException("killed"));
                         }
                     });
-                    play(c, 100);
+                    runController(c, 100);
                 } catch (UncheckedIOException e) {
                     // It is gone.
                 }
@@ -102,7 +103,7 @@
                     int known = j.steps().size();
                     assertEquals(at + (written ? 1 : 0), known);
                     Conductor.Step last = known == 0 ? null : j.steps().get(known - 1);
-                    Conductor next = new Conductor(PLAN, 2, last, now, s -> keep(j, s));
+                    Conductor next = new Conductor(PLAN, 2, last, now, s -> append(j, s));
                     if (last != null) {
                         assertEquals(
                                 last.order().state() + " " + last.order().weight(),
@@ -110,14 +111,14 @@
                                         + next.last().order().weight());
                         assertEquals(2, next.last().order().epoch());
                     }
-                    play(next, 100);
+                    runController(next, 100);
                     assertTrue(next.over() && next.last().order().state() == State.DONE, "killed at " + at);
                 }
             }
         }
     }
 
-    private static void keep(ReleaseJournal j, Conductor.Step s) {
+    private static void append(ReleaseJournal j, Conductor.Step s) {
         try {
             j.append(s);
         } catch (IOException e) {
@@ -126,10 +127,10 @@
     }
 
     @Test
-    void aTornTailIsCutOffAndASpoiltRecordToo() throws Exception {
+    void partialAndCorruptRecordsAtTheEndAreTruncated() throws Exception {
         Path path = folder.resolve("journal");
         try (ReleaseJournal j = new ReleaseJournal(path)) {
-            new Conductor(PLAN, 1, null, now, s -> keep(j, s)).halt(now, "by hand");
+            new Conductor(PLAN, 1, null, now, s -> append(j, s)).halt(now, "by hand");
             assertThrows(IOException.class, () -> new ReleaseJournal(path), "two controllers at once");
         }
         byte[] whole = Files.readAllBytes(path);
@@ -141,8 +142,8 @@
                 long kept = Files.size(path);
                 assertTrue(
                         kept == length
-                                ? j.cut() == null
-                                : j.cut().contains("after record " + records + " were half written"));
+                                ? j.truncation() == null
+                                : j.truncation().contains("after record " + records + " were half written"));
             }
         }
         byte[] spoilt = whole.clone();
@@ -150,7 +151,7 @@
         Files.write(path, spoilt);
         try (ReleaseJournal j = new ReleaseJournal(path)) {
             assertEquals(1, j.steps().size());
-            assertNotNull(j.cut());
+            assertNotNull(j.truncation());
         }
         Files.write(path, whole);
         Files.write(
--- a/src/test/java/rushproxy/cli/ReleasePlanTest.java
+++ b/src/test/java/rushproxy/cli/ReleasePlanTest.java
@@ -14,7 +14,7 @@
             "[[stages]]\nweight = 0.1\nleast_s = 60\n[[stages]]\nweight = 1.0\nanswers = 500\n";
 
     @Test
-    void aPlanIsReadWithItsUsualValues() throws Exception {
+    void planWithoutOptionalKeysGetsDefaults() throws Exception {
         Plan p = ReleasePlan.parse("p", "name = \"r1\"\nservers = \"kind=new,zone=a\"\nfalse_halts = 0.001\n" + STAGES);
         assertEquals(
                 "r1 kind=new,zone=a 0.1 5000000",
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aMistakeIsOneLineThatNamesThePlace() {
+    void errorIsOneLineThatNamesFileAndKey() {
         String head = "name = \"r1\"\nservers = \"kind=new\"\n";
         for (String[] bad : new String[][] {
             {"servers = \"kind=k\"\n" + STAGES, "p: name: is missing"},
