--- a/src/main/java/rushproxy/cli/Commands.java
+++ b/src/main/java/rushproxy/cli/Commands.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The commands for people. {@code serve} and {@code simhost} are {@link rushproxy.Main}'s own and never come here. */
+/** Root of the operator commands. {@link rushproxy.Main} handles {@code serve} and {@code simhost} itself; they never get here. */
 @Command(
         name = "rushproxy",
         mixinStandardHelpOptions = true,
@@ -11,8 +11,8 @@
         description = "A load-balancing sidecar and its laboratory.",
         footer = {
             "",
-            "serve      runs a sidecar, configured by the file that BALANCER_CONFIG names",
-            "simhost    hosts many instances on the simulator's wire"
+            "serve      runs a sidecar with the configuration file named by BALANCER_CONFIG",
+            "simhost    runs many sidecar instances that speak the simulator's protocol"
         },
         subcommands = {LabCommand.class, FleetCommand.class, ReleaseCommand.class})
 public final class Commands implements Runnable {
@@ -21,13 +21,14 @@
 
     private Commands() {}
 
-    /** Returns the exit code: 2 where the words can't be understood. */
+    /** Runs a command and returns its exit code: 2 if the arguments are invalid. */
     public static int run(String... args) {
         return new CommandLine(new Commands()).execute(args);
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done? serve, simhost or a command");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a command is required: serve, simhost, lab, fleet or release");
     }
 }
--- a/src/main/java/rushproxy/cli/FleetCommand.java
+++ b/src/main/java/rushproxy/cli/FleetCommand.java
@@ -21,11 +21,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code fleet}: what running sidecars say of their fleet, by their second addresses. */
+/** {@code fleet}: queries running sidecars about their fleet, and sets fleet-wide limits, through their admin addresses. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description = "Asks running sidecars about their fleet.",
+        description = "Queries running sidecars about their fleet and sets fleet-wide limits.",
         subcommands = {
             FleetCommand.Members.class,
             FleetCommand.Verdicts.class,
@@ -40,30 +40,31 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be asked?");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a subcommand is required: members, verdicts, limits or limit");
     }
 
-    /** One line out, one line back; throws where there is no answer. */
+    /** Sends one line to an admin address and returns the answer, trimmed; it is empty if the sidecar closes without one. */
     static String sendAdminCall(String address, String line) throws IOException {
         int colon = address.lastIndexOf(':');
         if (colon <= 0 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
-            throw new IOException("'" + address + "' is no address of the form HOST:PORT");
+            throw new IOException("'" + address + "' is not an address of the form HOST:PORT");
         }
-        try (Socket s = new Socket()) {
-            s.connect(
+        try (Socket socket = new Socket()) {
+            socket.connect(
                     new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1))),
                     TIMEOUT_MS);
-            s.setSoTimeout(TIMEOUT_MS);
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         } catch (IllegalArgumentException e) {
             throw new IOException("'" + address + "': " + e.getMessage());
         }
     }
 
     /**
-     * The views side by side: a row a member, a column a sidecar that was asked; a row that is not the same in all columns
-     * is marked. A column whose sidecar gave no view says so in its head.
+     * Formats membership views side by side, with a row per member and a column per queried sidecar. Rows that differ between columns
+     * are marked with '!'. The heading of a sidecar that returned no view is its address and "(none)".
      */
     static String formatMembers(Map<String, JsonNode> views) {
         Map<String, Map<String, String>> rows = new TreeMap<>();
@@ -92,11 +93,11 @@
         }
         text.append('\n');
         for (Map.Entry<String, Map<String, String>> row : rows.entrySet()) {
-            Set<String> said = new HashSet<>();
+            Set<String> distinct = new HashSet<>();
             columns.stream()
                     .filter(c -> views.get(c) != null)
-                    .forEach(c -> said.add(row.getValue().getOrDefault(c, "-")));
-            text.append(String.format("%-2s%-16s", said.size() > 1 ? "!" : "", row.getKey()));
+                    .forEach(c -> distinct.add(row.getValue().getOrDefault(c, "-")));
+            text.append(String.format("%-2s%-16s", distinct.size() > 1 ? "!" : "", row.getKey()));
             for (String c : columns) {
                 text.append(String.format(
                         " %-24s", views.get(c) == null ? "" : row.getValue().getOrDefault(c, "-")));
@@ -106,7 +107,7 @@
         return text.toString();
     }
 
-    /** The answers to a call as JSON, by address; null where there was none, which is said on the error stream. */
+    /** Returns the JSON answers to an admin call by address; null for a sidecar without one, with the reason on the error stream. */
     private static Map<String, JsonNode> queryAll(
             CommandLine.Model.CommandSpec spec, List<String> addresses, String call) {
         Map<String, JsonNode> views = new LinkedHashMap<>();
@@ -128,11 +129,14 @@
         return views;
     }
 
-    /** A row for each thing, a column for each view; rows that differ are marked. {@code cells} reads a view. */
+    /**
+     * Formats views side by side, with a column per view and a row per key that {@code cells} reads from a view. Rows that differ between
+     * columns are marked with '!'; text in parentheses is not compared.
+     */
     private static String formatRows(
-            String head, Map<String, JsonNode> views, Function<JsonNode, Map<String, String>> cells) {
+            String heading, Map<String, JsonNode> views, Function<JsonNode, Map<String, String>> cells) {
         Map<String, Map<String, String>> rows = new TreeMap<>();
-        StringBuilder text = new StringBuilder(String.format("%-2s%-16s", "", head));
+        StringBuilder text = new StringBuilder(String.format("%-2s%-16s", "", heading));
         views.forEach((address, view) -> {
             text.append(String.format(
                     " %-30s",
@@ -144,20 +148,21 @@
             }
         });
         text.append('\n');
-        rows.forEach((row, of) -> {
-            Set<String> said = new HashSet<>();
-            views.forEach((a, v) ->
-                    said.add(v == null ? null : of.getOrDefault(a, "-").replaceAll(" \\(.*", "")));
-            said.remove(null);
-            text.append(String.format("%-2s%-16s", said.size() > 1 ? "!" : "", row));
+        rows.forEach((row, cellByAddress) -> {
+            Set<String> distinct = new HashSet<>();
+            views.forEach((a, v) -> distinct.add(
+                    v == null ? null : cellByAddress.getOrDefault(a, "-").replaceAll(" \\(.*", "")));
+            distinct.remove(null);
+            text.append(String.format("%-2s%-16s", distinct.size() > 1 ? "!" : "", row));
             views.keySet()
-                    .forEach(a ->
-                            text.append(String.format(" %-30s", views.get(a) == null ? "" : of.getOrDefault(a, "-"))));
+                    .forEach(a -> text.append(
+                            String.format(" %-30s", views.get(a) == null ? "" : cellByAddress.getOrDefault(a, "-"))));
             text.append('\n');
         });
         return text.toString();
     }
 
+    /** Prints a table and returns the exit code: 1 if a row is marked or a view is missing. */
     private static int printTable(CommandLine.Model.CommandSpec spec, String table, Map<String, JsonNode> views) {
         PrintWriter out = spec.commandLine().getOut();
         out.print(table);
@@ -168,15 +173,15 @@
     @Command(
             name = "verdicts",
             mixinStandardHelpOptions = true,
-            description = "Prints what each sidecar believes of servers, and by"
-                    + " whose word; '!' marks what they disagree on.",
+            description = "Prints each sidecar's verdicts on servers, and the sidecars"
+                    + " that reported them; '!' marks servers on which they disagree.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:all agree", "1:some disagree, or gave no answer", "2:bad words"})
+            exitCodeList = {"0:all agree", "1:some disagree, or did not answer", "2:invalid arguments"})
     static final class Verdicts implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Second addresses, HOST:PORT.")
+        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Admin addresses, HOST:PORT.")
         private List<String> addresses;
 
         @Override
@@ -188,13 +193,15 @@
         static String formatVerdicts(Map<String, JsonNode> views) {
             return formatRows("server", views, view -> {
                 Map<String, String> cells = new LinkedHashMap<>();
-                for (JsonNode c : view.path("verdicts")) {
-                    List<String> by = new ArrayList<>();
-                    c.path("words").forEach(w -> by.add(w.path("by").asText()));
+                for (JsonNode verdict : view.path("verdicts")) {
+                    List<String> reporters = new ArrayList<>();
+                    verdict.path("words")
+                            .forEach(w -> reporters.add(w.path("by").asText()));
                     cells.put(
-                            c.path("server").asText(),
-                            (c.path("holds").asBoolean() ? c.path("kind").asText() : "accused") + " ("
-                                    + String.join(" ", by) + ")");
+                            verdict.path("server").asText(),
+                            (verdict.path("holds").asBoolean()
+                                            ? verdict.path("kind").asText()
+                                            : "accused") + " (" + String.join(" ", reporters) + ")");
                 }
                 return cells;
             });
@@ -205,14 +212,14 @@
             name = "limits",
             mixinStandardHelpOptions = true,
             description = "Prints each sidecar's share of each fleet-wide limit;"
-                    + " '!' marks limits that are not the same everywhere.",
+                    + " '!' marks limits that differ between sidecars.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:all know the same limits", "1:some don't, or gave no answer", "2:bad words"})
+            exitCodeList = {"0:all have the same limits", "1:some do not, or did not answer", "2:invalid arguments"})
     static final class Limits implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Second addresses, HOST:PORT.")
+        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Admin addresses, HOST:PORT.")
         private List<String> addresses;
 
         @Override
@@ -225,18 +232,18 @@
             Map<String, Double> sums = new TreeMap<>();
             String rows = formatRows("limit", views, view -> {
                 Map<String, String> cells = new LinkedHashMap<>();
-                for (JsonNode l : view.path("limits")) {
-                    sums.merge(l.path("name").asText(), l.path("share").asDouble(), Double::sum);
+                for (JsonNode limit : view.path("limits")) {
+                    sums.merge(limit.path("name").asText(), limit.path("share").asDouble(), Double::sum);
                     cells.put(
-                            l.path("name").asText(),
+                            limit.path("name").asText(),
                             String.format(
                                     Locale.ROOT,
                                     "%.0f %s %s (has %.1f asks %.1f)",
-                                    l.path("most").asDouble(),
-                                    l.path("per").asText().equals("in_flight") ? "in flight" : "a s",
-                                    l.path("of").asText(),
-                                    l.path("share").asDouble(),
-                                    l.path("demand").asDouble()));
+                                    limit.path("most").asDouble(),
+                                    limit.path("per").asText().equals("in_flight") ? "in flight" : "a s",
+                                    limit.path("of").asText(),
+                                    limit.path("share").asDouble(),
+                                    limit.path("demand").asDouble()));
                 }
                 return cells;
             });
@@ -250,14 +257,18 @@
     @Command(
             name = "limit",
             mixinStandardHelpOptions = true,
-            description = "Sets a limit for the whole fleet by a call to one of its" + " sidecars, or takes it back.",
+            description = "Sets or removes a fleet-wide limit through one of its sidecars.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:the sidecar has taken it, and tells the others", "1:it has not", "2:bad words"})
+            exitCodeList = {
+                "0:the sidecar accepted it and passes it on to the others",
+                "1:the sidecar did not accept it",
+                "2:invalid arguments"
+            })
     static final class Limit implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "ADDR", description = "Second address of one sidecar, HOST:PORT.")
+        @Parameters(index = "0", paramLabel = "ADDR", description = "Admin address of one sidecar, HOST:PORT.")
         private String address;
 
         @Parameters(index = "1", paramLabel = "NAME", description = "The limit's name.")
@@ -266,19 +277,21 @@
         @Parameters(index = "2", arity = "0..1", paramLabel = "OF", description = "all, class:NAME or tenant:NAME.")
         private String scope;
 
-        @Parameters(index = "3", arity = "0..1", paramLabel = "MOST", description = "The limit of the whole fleet.")
+        @Parameters(index = "3", arity = "0..1", paramLabel = "MOST", description = "The maximum for the whole fleet.")
         private Double maximum;
 
         @Parameters(index = "4", arity = "0..1", paramLabel = "PER", description = "per_second (default) or in_flight.")
         private String unit;
 
-        @CommandLine.Option(names = "--off", description = "Take it back; one of the configuration holds again.")
+        @CommandLine.Option(
+                names = "--off",
+                description = "Remove the limit; the configured one, if any, applies again.")
         private boolean off;
 
         @Override
         public Integer call() {
             if (off != (scope == null) || !off && maximum == null) {
-                throw new CommandLine.ParameterException(spec.commandLine(), "OF and MOST, or --off, are wanted");
+                throw new CommandLine.ParameterException(spec.commandLine(), "either OF and MOST or --off is required");
             }
             try {
                 String answer = FleetCommand.sendAdminCall(
@@ -299,14 +312,14 @@
     @Command(
             name = "members",
             mixinStandardHelpOptions = true,
-            description = "Prints who is here as each sidecar sees it; '!' marks" + " what they disagree on.",
+            description = "Prints the members as each sidecar sees them; '!' marks members on which they disagree.",
             exitCodeListHeading = "%nExit codes:%n",
-            exitCodeList = {"0:all agree", "1:some disagree, or gave no view", "2:bad words"})
+            exitCodeList = {"0:all agree", "1:some disagree, or returned no view", "2:invalid arguments"})
     static final class Members implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Second addresses, HOST:PORT.")
+        @Parameters(arity = "1..*", paramLabel = "ADDR", description = "Admin addresses, HOST:PORT.")
         private List<String> addresses;
 
         @Override
--- a/src/main/java/rushproxy/cli/LabCapacity.java
+++ b/src/main/java/rushproxy/cli/LabCapacity.java
@@ -11,17 +11,17 @@
 import rushproxy.lab.scale.CapacityTables;
 import rushproxy.lab.scale.ScaleResult;
 
-/** {@code lab capacity}: the tables of {@code docs/CAPACITY.md}, from the files of scale runs. */
+/** {@code lab capacity}: prints the tables of {@code docs/CAPACITY.md} from the result files of scale runs. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
         description =
-                "Prints what scale runs have measured, and what follows from it for 7,800 members, as tables of Markdown.")
+                "Prints the measurements of scale runs, and their projection to 7,800 members, as Markdown tables.")
 final class LabCapacity implements Callable<Integer> {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Files that 'lab scale' wrote.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Result files written by 'lab scale'.")
     private List<Path> files;
 
     @Override
@@ -33,7 +33,7 @@
             } catch (IOException e) {
                 return LabCommand.printError(
                         spec,
-                        new IOException(file + ": no file of a scale run: "
+                        new IOException(file + ": is not a result file of a scale run: "
                                 + e.getMessage().lines().findFirst().orElse("")));
             }
         }
--- a/src/main/java/rushproxy/cli/LabCommand.java
+++ b/src/main/java/rushproxy/cli/LabCommand.java
@@ -29,19 +29,19 @@
 import rushproxy.lab.scenario.ScenarioException;
 import rushproxy.lab.scenario.ScenarioReader;
 
-/** {@code lab}: fleets of real sidecar processes with faults between them. */
+/** {@code lab}: runs fleets of real sidecar processes under injected faults, and checks their behavior. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Plays fleets of real sidecars in a world with faults, and checks what they do.",
+        description = "Runs fleets of real sidecars under injected faults and checks their behavior.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all held",
-            "1:a rule was broken, or something expected was missed",
-            "2:bad words, or a scenario that can't be played; nothing was started",
-            "3:void: the laboratory itself was too late",
-            "4:a sidecar or an address could not be had",
-            "5:stopped half way"
+            "0:all rules and expectations held",
+            "1:a rule was broken, or an expectation was not met",
+            "2:invalid arguments, or a scenario that cannot be run; nothing was started",
+            "3:void: the laboratory itself exceeded its lateness limits",
+            "4:a sidecar could not be started, or an address was not available",
+            "5:stopped before the end"
         },
         subcommands = {
             LabCommand.RunScenario.class,
@@ -56,6 +56,9 @@
 final class LabCommand implements Runnable {
     static final int EXIT_RULE_BROKEN = 1;
     static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_VOID = 3;
+    static final int EXIT_FAILED = 4;
+    private static final int EXIT_STOPPED = 5;
     private static final int MAX_VIOLATIONS_SHOWN = 10;
 
     @CommandLine.Spec
@@ -63,55 +66,60 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done in the laboratory?");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
+                "a subcommand is required: run, list, check, report, sweep, soak, scale or capacity");
     }
 
+    /** Returns the exit code for the verdict of a run. */
     static int exitCode(String verdict) {
         return switch (verdict) {
             case "held" -> 0;
             case "broken" -> EXIT_RULE_BROKEN;
-            case "void" -> 3;
-            case "stopped" -> 5;
-            default -> 4;
+            case "void" -> EXIT_VOID;
+            case "stopped" -> EXIT_STOPPED;
+            default -> EXIT_FAILED;
         };
     }
 
-    /** What a scenario is changed by before it is played. */
+    /** Options that override values of a scenario before it is run. */
     static final class ScenarioOverrides {
-        @Option(names = "--seed", description = "Another seed for all draws.")
+        @Option(names = "--seed", description = "Seed of all random draws, in place of the scenario's.")
         Long seed;
 
         @Option(
                 names = "--set",
                 paramLabel = "PATH=VALUE",
-                description = "Another value, as TOML: --set traffic.rate_per_s=200")
+                description = "Overrides a value, as TOML: --set traffic.rate_per_s=200")
         List<String> set = new ArrayList<>();
 
         Map<String, String> toOverrides() throws ScenarioException {
-            Map<String, String> changes = parseOverrides(set);
+            Map<String, String> overrides = parseOverrides(set);
             if (seed != null) {
-                changes.put("seed", Long.toString(seed));
+                overrides.put("seed", Long.toString(seed));
             }
-            return changes;
+            return overrides;
         }
 
         static Map<String, String> parseOverrides(List<String> set) throws ScenarioException {
-            Map<String, String> changes = new LinkedHashMap<>();
+            Map<String, String> overrides = new LinkedHashMap<>();
             for (String pair : set) {
                 int equals = pair.indexOf('=');
                 if (equals <= 0) {
                     throw new ScenarioException("'" + pair + "' is not of the form path=value");
                 }
-                changes.put(pair.substring(0, equals), pair.substring(equals + 1));
+                overrides.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
-            return changes;
+            return overrides;
         }
     }
 
     static Path newReportFolder(String name) {
-        String at = LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss", Locale.ROOT));
+        String timestamp = LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss", Locale.ROOT));
         return Path.of(
-                "target", "lab", at + "-" + name + "-" + ProcessHandle.current().pid());
+                "target",
+                "lab",
+                timestamp + "-" + name + "-" + ProcessHandle.current().pid());
     }
 
     static void printSummary(PrintWriter out, Summary s) {
@@ -122,7 +130,7 @@
                 s.scenario(),
                 s.seed(),
                 s.verdict().toUpperCase(Locale.ROOT));
-        s.why().forEach(w -> out.println("  " + w));
+        s.why().forEach(reason -> out.println("  " + reason));
         out.printf(
                 Locale.ROOT,
                 "  %d requests: served %.4f, late %.4f, refused %.4f, failed %.4f; worth %.4f; %.2f runs a request%n",
@@ -167,38 +175,38 @@
         }
     }
 
-    /** Says what is wrong in one line. */
+    /** Prints the exception's message and returns {@link #EXIT_BAD_INPUT}. */
     static int printError(CommandLine.Model.CommandSpec spec, Exception e) {
         spec.commandLine().getErr().println(e.getMessage());
         spec.commandLine().getErr().flush();
         return EXIT_BAD_INPUT;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one scenario.")
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs one scenario.")
     static final class RunScenario implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "SCENARIO", description = "A TOML file, or a name that 'lab list' shows.")
+        @Parameters(index = "0", paramLabel = "SCENARIO", description = "A TOML file, or a name shown by 'lab list'.")
         private String scenario;
 
         @Mixin
         private ScenarioOverrides overrides;
 
-        @Option(names = "--out", description = "The folder for the report; by default a new one in target/lab.")
+        @Option(names = "--out", description = "Folder for the report; by default a new one in target/lab.")
         private Path out;
 
-        @Option(names = "--jar", description = "Another build of the program for all sidecars.")
+        @Option(names = "--jar", description = "JAR of another build, used for all sidecars.")
         private String jar;
 
         @Option(
                 names = {"-q", "--quiet"},
-                description = "Only the summary.")
+                description = "Prints only the summary.")
         private boolean quiet;
 
         @Override
         public Integer call() throws InterruptedException {
-            PrintWriter print = spec.commandLine().getOut();
+            PrintWriter console = spec.commandLine().getOut();
             Scenario s;
             Build build;
             try {
@@ -213,21 +221,21 @@
             try {
                 Summary summary = new Lab(s, build, folder, line -> {
                             if (!quiet) {
-                                print.println(line);
-                                print.flush();
+                                console.println(line);
+                                console.flush();
                             }
                         })
                         .run();
-                printSummary(print, summary);
+                printSummary(console, summary);
                 if (!summary.violations().isEmpty()) {
-                    printViolations(print, Report.readRun(folder), summary.violations());
+                    printViolations(console, Report.readRun(folder), summary.violations());
                 }
-                print.println("  report: " + folder.resolve("report.html"));
-                print.flush();
+                console.println("  report: " + folder.resolve("report.html"));
+                console.flush();
                 return exitCode(summary.verdict());
             } catch (IOException e) {
-                spec.commandLine().getErr().println("the run could not be reported: " + e);
-                return 4;
+                spec.commandLine().getErr().println("the run failed, or its report could not be written: " + e);
+                return EXIT_FAILED;
             }
         }
 
@@ -243,10 +251,7 @@
         }
     }
 
-    @Command(
-            name = "list",
-            mixinStandardHelpOptions = true,
-            description = "Lists the scenarios that come with the program.")
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the built-in scenarios.")
     static final class ListScenarios implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -275,7 +280,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads a scenario and says what it would play, or looks through a run's folder again for broken rules.")
+                    "Reads a scenario and prints its plan, or checks the records in a run's folder against all rules again.")
     static final class Check implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -326,7 +331,7 @@
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
-            description = "Prints a run's summary, and writes its page anew.")
+            description = "Prints a run's summary and writes its report page again.")
     static final class RewriteReport implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -346,7 +351,7 @@
                 spec.commandLine().getOut().flush();
                 return 0;
             } catch (IOException e) {
-                return printError(spec, new IOException(folder + ": no run's folder: " + e.getMessage()));
+                return printError(spec, new IOException(folder + ": is not the folder of a run: " + e.getMessage()));
             }
         }
     }
--- a/src/main/java/rushproxy/cli/LabScale.java
+++ b/src/main/java/rushproxy/cli/LabScale.java
@@ -14,19 +14,19 @@
 import rushproxy.lab.scale.ScaleResult;
 import rushproxy.lab.scale.ScaleRun;
 
-/** {@code lab scale}: what the control plane of a large fleet costs, and how soon it knows. */
+/** {@code lab scale}: measures the cost and the propagation delays of a large fleet's control plane. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the control plane of a large fleet: hollow members, without a data path, in simulated time, or in "
+                "Measures the control plane of a large fleet whose members have no data path: in simulated time, or in "
                         + "real time over loopback beside real sidecars.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:measured",
-            "2:bad words, or a fleet that this machine can't hold; nothing was started",
+            "2:invalid arguments, or a fleet too large for this machine; nothing was started",
             "3:void: this host could not keep real time",
-            "4:an address, a socket or a sidecar could not be had"
+            "4:a sidecar could not be started, or an address or a socket was not available"
         })
 final class LabScale implements Callable<Integer> {
     private static final int EXIT_VOID = 3;
@@ -43,34 +43,35 @@
     @Option(
             names = "--real",
             defaultValue = "0",
-            description = "How many of them are real sidecars; with any, time is real (default ${DEFAULT-VALUE}).")
+            description =
+                    "Number of real sidecars among them; above 0 the run is in real time (default ${DEFAULT-VALUE}).")
     private int real;
 
-    @Option(names = "--services", defaultValue = "1", description = "Services that they belong to, in turn.")
+    @Option(names = "--services", defaultValue = "1", description = "Services, to which members are assigned in turn.")
     private int services;
 
     @Option(
             names = "--zones",
             defaultValue = "12",
-            description = "Zones that they are in, in turn (default ${DEFAULT-VALUE}).")
+            description = "Zones, to which members are assigned in turn (default ${DEFAULT-VALUE}).")
     private int zones;
 
     @Option(
             names = "--regions",
             defaultValue = "4",
-            description = "Regions of the zones, in turn (default ${DEFAULT-VALUE}).")
+            description = "Regions, to which zones are assigned in turn (default ${DEFAULT-VALUE}).")
     private int regions;
 
     @Option(
             names = "--event",
             defaultValue = "quiet",
-            description = "What happens: quiet, kill, rack-loss, zone-loss, region-cut or rolling-restart.")
+            description = "Event to measure: quiet, kill, rack-loss, zone-loss, region-cut or rolling-restart.")
     private String event;
 
     @Option(
             names = "--loss",
             defaultValue = "0.01",
-            description = "Part of all datagrams that is lost (default ${DEFAULT-VALUE}).")
+            description = "Fraction of datagrams lost (default ${DEFAULT-VALUE}).")
     private double loss;
 
     @Option(names = "--seed", defaultValue = "1")
@@ -78,12 +79,12 @@
 
     @Option(
             names = "--out",
-            description = "The folder for scale.json and the sidecars' logs; by default a new one in target/lab.")
+            description = "Folder for scale.json and the sidecars' logs; by default a new one in target/lab.")
     private Path out;
 
     @Override
     public Integer call() {
-        PrintWriter print = spec.commandLine().getOut();
+        PrintWriter console = spec.commandLine().getOut();
         ScalePlan plan;
         Path folder = out == null ? LabCommand.newReportFolder("scale") : out;
         Build build = null;
@@ -102,16 +103,16 @@
                     ? ScaleRun.simulated(plan, this::printLine)
                     : ScaleRun.real(plan, build, folder, this::printLine);
             result.write(file);
-            print.println("figures: " + file);
+            console.println("figures: " + file);
             if (result.voidWhy() != null) {
-                print.println("VOID: " + result.voidWhy());
+                console.println("VOID: " + result.voidWhy());
             }
-            print.flush();
+            console.flush();
             return result.voidWhy() == null ? 0 : EXIT_VOID;
         } catch (IOException e) {
-            spec.commandLine().getErr().println("the run could not be made or reported: " + e);
+            spec.commandLine().getErr().println("the run failed, or its result could not be written: " + e);
             spec.commandLine().getErr().flush();
-            return 4;
+            return LabCommand.EXIT_FAILED;
         }
     }
 
--- a/src/main/java/rushproxy/cli/LabSoak.java
+++ b/src/main/java/rushproxy/cli/LabSoak.java
@@ -17,14 +17,17 @@
 import rushproxy.lab.soak.Soak;
 import rushproxy.lab.soak.SoakPlan;
 
-/** {@code lab soak}: deployments and overlapping faults drawn from seeds, played with real sidecars. */
+/** {@code lab soak}: runs random deployments with overlapping faults, one drawn from each seed, on real sidecars. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Draws a deployment and overlapping faults from each seed and plays them with real sidecars; the rules and the sidecars'"
-                        + " own invariants must hold.")
+                "Draws a deployment and overlapping faults from each seed and runs them on real sidecars, which must keep the rules and"
+                        + " their own invariants.")
 final class LabSoak implements Callable<Integer> {
+    /** A prime, so that consecutive seeds spread over the range of node counts. */
+    private static final long SEED_MULTIPLIER = 7_919;
+
     private static final Pattern NODE_RANGE = Pattern.compile("([0-9]{1,3})(?:\\.\\.([0-9]{1,3}))?");
 
     @CommandLine.Spec
@@ -39,43 +42,43 @@
     @Option(
             names = "--nodes",
             defaultValue = "10..40",
-            description = "Sidecars, a number or a range to draw from; default ${DEFAULT-VALUE}.")
+            description = "Number of sidecars, or a range to draw it from; default ${DEFAULT-VALUE}.")
     private String nodes;
 
-    @Option(names = "--length", defaultValue = "30s", description = "Of each play; default ${DEFAULT-VALUE}.")
+    @Option(names = "--length", defaultValue = "30s", description = "Length of each run; default ${DEFAULT-VALUE}.")
     private String length;
 
     @Option(
             names = "--shrink",
             defaultValue = "0",
-            description = "Plays to spend on leaving out faults of a plan that fails.")
+            description = "Maximum number of runs that reduce a failing plan by leaving out faults.")
     private int shrink;
 
-    @Option(names = "--out", description = "The folder for plans and reports.")
+    @Option(names = "--out", description = "Folder for plans and reports.")
     private Path out;
 
     @Override
     public Integer call() throws InterruptedException {
-        PrintWriter print = spec.commandLine().getOut();
-        int worst = 0;
+        PrintWriter console = spec.commandLine().getOut();
+        int maxExitCode = 0;
         try {
             Path folder = out == null ? LabCommand.newReportFolder("soak") : out;
-            Soak soak = new Soak(Build.of(Build.findRoot()), folder, print::println);
+            Soak soak = new Soak(Build.of(Build.findRoot()), folder, console::println);
             for (long seed : Sweep.seeds(seeds)) {
                 SoakPlan plan = SoakPlan.draw(seed, drawNodeCount(seed), parseLengthSeconds());
-                Summary s = soak.play(plan, "seed-" + seed);
-                printResult(print, plan, s);
-                worst = Math.max(worst, LabCommand.exitCode(s.verdict()));
-                if (shrink > 0 && s.verdict().equals("broken")) {
+                Summary summary = soak.play(plan, "seed-" + seed);
+                printResult(console, plan, summary);
+                maxExitCode = Math.max(maxExitCode, LabCommand.exitCode(summary.verdict()));
+                if (shrink > 0 && summary.verdict().equals("broken")) {
                     soak.shrink(plan, shrink);
                 }
             }
-            print.println("plans and reports: " + folder);
-            print.flush();
+            console.println("plans and reports: " + folder);
+            console.flush();
         } catch (ScenarioException | IOException | IllegalArgumentException e) {
             return LabCommand.printError(spec, e);
         }
-        return worst;
+        return maxExitCode;
     }
 
     private int drawNodeCount(long seed) {
@@ -83,12 +86,13 @@
         if (!m.matches()) {
             throw new IllegalArgumentException("--nodes: '" + nodes + "' is neither a number nor a range like 10..40");
         }
-        int least = Integer.parseInt(m.group(1));
-        int most = m.group(2) == null ? least : Integer.parseInt(m.group(2));
-        if (least < 1 || most < least) {
-            throw new IllegalArgumentException("--nodes: '" + nodes + "' holds no number of sidecars");
+        int min = Integer.parseInt(m.group(1));
+        int max = m.group(2) == null ? min : Integer.parseInt(m.group(2));
+        if (min < 1 || max < min) {
+            throw new IllegalArgumentException(
+                    "--nodes: '" + nodes + "' must start at 1 or more and must not be descending");
         }
-        return least + (int) (seed * 7919 % (most - least + 1));
+        return min + (int) (seed * SEED_MULTIPLIER % (max - min + 1));
     }
 
     private double parseLengthSeconds() {
@@ -98,8 +102,8 @@
         return Double.parseDouble(length.substring(0, length.length() - 1));
     }
 
-    private static void printResult(PrintWriter print, SoakPlan plan, Summary s) {
-        print.printf(
+    private static void printResult(PrintWriter console, SoakPlan plan, Summary s) {
+        console.printf(
                 Locale.ROOT,
                 "seed %d: %s, %d requests, served %.3f, %d faults, late sends %.3f%n",
                 plan.seed(),
@@ -108,11 +112,11 @@
                 s.figures().served(),
                 plan.faults().size(),
                 s.lateness().getOrDefault("late_sends", 0.0));
-        s.why().forEach(w -> print.println("  " + w));
+        s.why().forEach(reason -> console.println("  " + reason));
         s.violations().stream()
                 .limit(5)
                 .forEach(v ->
-                        print.printf(Locale.ROOT, "  %.3f s %s %s %s%n", v.us() / 1e6, v.rule(), v.id(), v.words()));
-        print.flush();
+                        console.printf(Locale.ROOT, "  %.3f s %s %s %s%n", v.us() / 1e6, v.rule(), v.id(), v.words()));
+        console.flush();
     }
 }
--- a/src/main/java/rushproxy/cli/LabSweep.java
+++ b/src/main/java/rushproxy/cli/LabSweep.java
@@ -23,13 +23,13 @@
 import rushproxy.lab.scenario.ScenarioException;
 import rushproxy.lab.scenario.ScenarioReader;
 
-/** {@code lab sweep}: one scenario over seeds and variants, the variants in alternation on each seed. */
+/** {@code lab sweep}: runs a scenario in several variants on each of several seeds, and compares their figures. */
 @Command(
         name = "sweep",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario over seeds and variants in alternation, and says what differences are shown.")
+        description = "Runs a scenario in several variants on each seed and prints which figures differ significantly.")
 final class LabSweep implements Callable<Integer> {
-    /** A name and what it changes; {@code jar} is null for the scenario's own program. */
+    /** A named set of overrides; {@code jar} is null for the build that the scenario names. */
     private record Variant(String name, Map<String, String> overrides, String jar) {}
 
     @CommandLine.Spec
@@ -47,25 +47,24 @@
     @Option(
             names = "--variant",
             paramLabel = "NAME[:PATH=VALUE[;...]]",
-            description =
-                    "A variant; jar=FILE takes another build." + " The first is what the others are compared with.")
+            description = "A variant; jar=FILE uses another build." + " The others are compared with the first.")
     private List<String> variants = new ArrayList<>(List.of());
 
-    @Option(names = "--figure", description = "Figures to compare, in place of all.")
+    @Option(names = "--figure", description = "Figure to compare; by default all.")
     private List<String> figures = new ArrayList<>();
 
-    @Option(names = "--out", description = "The folder for the reports.")
+    @Option(names = "--out", description = "Folder for the reports.")
     private Path out;
 
     @Override
     public Integer call() throws InterruptedException {
-        PrintWriter print = spec.commandLine().getOut();
+        PrintWriter console = spec.commandLine().getOut();
         List<Variant> all = new ArrayList<>();
-        Map<Variant, Map<Long, Summary>> done = new LinkedHashMap<>();
-        List<Long> on;
+        Map<Variant, Map<Long, Summary>> summaries = new LinkedHashMap<>();
+        List<Long> seedList;
         Build build;
         try {
-            on = Sweep.seeds(seeds);
+            seedList = Sweep.seeds(seeds);
             for (String v : variants.isEmpty() ? List.of("as-is") : variants) {
                 all.add(parseVariant(v));
             }
@@ -78,7 +77,7 @@
             }
             for (String figure : figures) {
                 if (!Figures.NAMES.contains(figure)) {
-                    throw new ScenarioException("there is no figure '" + figure + "'; there are " + Figures.NAMES);
+                    throw new ScenarioException("unknown figure '" + figure + "'; known figures: " + Figures.NAMES);
                 }
             }
         } catch (ScenarioException | IOException | IllegalArgumentException e) {
@@ -86,21 +85,22 @@
         }
         Path folder = out == null ? LabCommand.newReportFolder("sweep") : out;
         try {
-            for (int i = 0; i < on.size(); i++) {
+            for (int i = 0; i < seedList.size(); i++) {
                 for (int j = 0; j < all.size(); j++) {
-                    // Each goes first on every other seed: what a machine does over time hits all alike.
+                    // The order rotates from seed to seed, so that drift of the machine over time affects all variants
+                    // alike.
                     Variant v = all.get((i + j) % all.size());
-                    play(v, on.get(i), build, folder, done, print);
+                    play(v, seedList.get(i), build, folder, summaries, console);
                 }
             }
-            String table = formatComparison(all, on, done);
-            print.print(table);
+            String table = formatComparison(all, seedList, summaries);
+            console.print(table);
             Files.writeString(folder.resolve("sweep.txt"), table);
-            print.flush();
+            console.flush();
         } catch (ScenarioException | IOException e) {
             return LabCommand.printError(spec, e);
         }
-        return done.values().stream()
+        return summaries.values().stream()
                 .flatMap(m -> m.values().stream())
                 .mapToInt(s -> LabCommand.exitCode(s.verdict()))
                 .max()
@@ -112,26 +112,31 @@
         String name = colon < 0 ? text : text.substring(0, colon);
         if (!name.matches("[A-Za-z0-9._-]{1,30}")) {
             throw new ScenarioException(
-                    "variant '" + name + "': a name has letters, digits, '.', '_' and '-', 30 at most");
+                    "variant '" + name + "': a name consists of 1 to 30 letters, digits, '.', '_' and '-'");
         }
-        List<String> pairs =
+        List<String> overrides =
                 colon < 0 ? List.of() : List.of(text.substring(colon + 1).split(";"));
-        Map<String, String> changes = LabCommand.ScenarioOverrides.parseOverrides(pairs);
-        String jar = changes.remove("jar");
-        return new Variant(name, changes, jar);
+        Map<String, String> parsed = LabCommand.ScenarioOverrides.parseOverrides(overrides);
+        String jar = parsed.remove("jar");
+        return new Variant(name, parsed, jar);
     }
 
     private void play(
-            Variant v, long seed, Build build, Path folder, Map<Variant, Map<Long, Summary>> done, PrintWriter print)
+            Variant v,
+            long seed,
+            Build build,
+            Path folder,
+            Map<Variant, Map<Long, Summary>> summaries,
+            PrintWriter console)
             throws ScenarioException, IOException, InterruptedException {
-        Map<String, String> changes = new LinkedHashMap<>(v.overrides);
-        changes.put("seed", Long.toString(seed));
-        Scenario s = ScenarioReader.read(scenario, changes);
+        Map<String, String> overrides = new LinkedHashMap<>(v.overrides);
+        overrides.put("seed", Long.toString(seed));
+        Scenario s = ScenarioReader.read(scenario, overrides);
         Summary summary = new Lab(
                         s, v.jar == null ? build : build.with(v.jar), folder.resolve(v.name + "-" + seed), line -> {})
                 .run();
-        done.computeIfAbsent(v, k -> new LinkedHashMap<>()).put(seed, summary);
-        print.printf(
+        summaries.computeIfAbsent(v, k -> new LinkedHashMap<>()).put(seed, summary);
+        console.printf(
                 Locale.ROOT,
                 "%-16s seed %-4d %-7s served %.4f worth %.4f p99 %.1f ms%s%n",
                 v.name,
@@ -141,42 +146,43 @@
                 summary.figures().worth(),
                 summary.figures().p99Ms(),
                 summary.why().isEmpty() ? "" : "  " + summary.why().get(0));
-        print.flush();
+        console.flush();
     }
 
-    /** Runs that were void or did not start count for nothing, and neither does what they would be paired with. */
-    private String formatComparison(List<Variant> all, List<Long> on, Map<Variant, Map<Long, Summary>> done) {
+    /** Compares the variants figure by figure. A seed counts only if every variant's run on it has the verdict held or broken. */
+    private String formatComparison(
+            List<Variant> all, List<Long> seedList, Map<Variant, Map<Long, Summary>> summaries) {
         StringBuilder text = new StringBuilder();
-        List<Long> counted = on.stream()
+        List<Long> counted = seedList.stream()
                 .filter(seed -> all.stream().allMatch(v -> {
-                    String verdict = done.get(v).get(seed).verdict();
+                    String verdict = summaries.get(v).get(seed).verdict();
                     return verdict.equals("held") || verdict.equals("broken");
                 }))
                 .toList();
-        text.append(counted.size()).append(" of ").append(on.size()).append(" seeds count\n");
+        text.append(counted.size()).append(" of ").append(seedList.size()).append(" seeds count\n");
         if (counted.isEmpty()) {
             return text.toString();
         }
         for (String figure : figures.isEmpty() ? Figures.NAMES : figures) {
             text.append(figure).append('\n');
-            List<Double> base = null;
+            List<Double> baseline = null;
             for (Variant v : all) {
                 List<Double> values = counted.stream()
-                        .map(seed -> done.get(v).get(seed).figures().named(figure))
+                        .map(seed -> summaries.get(v).get(seed).figures().named(figure))
                         .toList();
-                Sweep.Spread s = Sweep.spread(values);
+                Sweep.Spread spread = Sweep.spread(values);
                 text.append(String.format(
                         Locale.ROOT,
                         "  %-16s median %.4f  from %.4f to %.4f",
                         v.name,
-                        s.median(),
-                        s.least(),
-                        s.greatest()));
-                if (base == null) {
-                    base = values;
+                        spread.median(),
+                        spread.least(),
+                        spread.greatest()));
+                if (baseline == null) {
+                    baseline = values;
                 } else {
                     text.append("  difference ")
-                            .append(Sweep.difference(values, base).words());
+                            .append(Sweep.difference(values, baseline).words());
                 }
                 text.append('\n');
             }
--- a/src/main/java/rushproxy/cli/ReleaseCommand.java
+++ b/src/main/java/rushproxy/cli/ReleaseCommand.java
@@ -28,13 +28,13 @@
 import rushproxy.lab.scenario.ScenarioException;
 
 /**
- * {@code release}: the controller of a staged release of servers. {@code start} runs until the release is over; any other
- * command is a controller of a later epoch, which the running one hears of and ends.
+ * {@code release}: controllers of a staged release of servers. {@code start} and {@code resume} run until the release ends or halts.
+ * {@code halt}, {@code back} and {@code abort} take the release over with a later epoch, on which the running controller ends.
  */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
-        description = "Brings new servers in by stages, halts, and takes them back.",
+        description = "Brings new servers into use in stages; halts a release or rolls it back.",
         subcommands = {
             ReleaseCommand.PrintPlan.class,
             ReleaseCommand.Start.class,
@@ -46,9 +46,11 @@
         })
 final class ReleaseCommand implements Runnable {
     static final int EXIT_SUPERSEDED = 3;
+    private static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_HALTED = 4;
     private static final int EXIT_UNREACHED = 1;
     private static final long POLL_INTERVAL_MS = 1_000;
-    /** Nobody is waited for longer: neither the last to hear of the end, nor the first to answer at all. */
+    /** Limit on the time without any sidecar accepting an order, and on the time until all have accepted the last one. */
     private static final long UNREACHED_TIMEOUT_S = 60;
 
     @CommandLine.Spec
@@ -56,16 +58,17 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done with which release?");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a subcommand is required: plan, start, resume, status, halt, back or abort");
     }
 
-    /** The sidecars of a fleet, by their second addresses. Belongs to one command; {@link #close} ends its threads. */
+    /** Calls all sidecars of a fleet at their admin addresses in parallel. Used by one command; {@link #close} ends its threads. */
     static final class SidecarClients implements AutoCloseable {
         private final List<String> addresses;
         private final ExecutorService executor = Executors.newCachedThreadPool(work -> {
-            Thread t = new Thread(work, "caller");
-            t.setDaemon(true);
-            return t;
+            Thread thread = new Thread(work, "caller");
+            thread.setDaemon(true);
+            return thread;
         });
 
         SidecarClients(List<String> addresses) {
@@ -76,7 +79,7 @@
             return addresses.size();
         }
 
-        /** The answers by address, of those that gave one; all are asked at once. */
+        /** Sends a line to all sidecars in parallel and returns the answers by address; sidecars that do not answer are left out. */
         Map<String, String> callAll(String line) throws InterruptedException {
             Map<String, String> answers = new ConcurrentHashMap<>();
             executor.invokeAll(addresses.stream()
@@ -87,7 +90,7 @@
                                 answers.put(a, answer);
                             }
                         } catch (IOException e) {
-                            // It is not reached: the next look may find it.
+                            // Unreachable now; the next poll tries again.
                         }
                         return null;
                     })
@@ -95,6 +98,7 @@
             return new TreeMap<>(answers);
         }
 
+        /** As {@link #callAll}, for answers in JSON; other answers are left out. */
         private Map<String, JsonNode> queryJson(String line) throws InterruptedException {
             Map<String, JsonNode> views = new TreeMap<>();
             callAll(line).forEach((a, answer) -> {
@@ -103,13 +107,13 @@
                         views.put(a, new ObjectMapper().readTree(answer.substring(4)));
                     }
                 } catch (IOException e) {
-                    // A line that was cut off tells nothing.
+                    // A truncated answer counts as none.
                 }
             });
             return views;
         }
 
-        /** The order of the latest epoch and step that any of them knows, null for none. */
+        /** Returns the release's order with the highest epoch, then step, that any sidecar knows; null if none knows the release. */
         Order latestOrder(String release) throws InterruptedException {
             Order latest = null;
             for (JsonNode view : queryJson("orders").values()) {
@@ -117,7 +121,7 @@
                     if (!o.path("release").asText().equals(release)) {
                         continue;
                     }
-                    Order one = new Order(
+                    Order order = new Order(
                             release,
                             o.path("epoch").asInt(),
                             o.path("step").asInt(),
@@ -126,15 +130,15 @@
                             o.path("safe").asDouble(),
                             Order.Selector.of(o.path("whom").asText()));
                     boolean later = latest == null
-                            || one.epoch() > latest.epoch()
-                            || one.epoch() == latest.epoch() && one.step() > latest.step();
-                    latest = later ? one : latest;
+                            || order.epoch() > latest.epoch()
+                            || order.epoch() == latest.epoch() && order.step() > latest.step();
+                    latest = later ? order : latest;
                 }
             }
             return latest;
         }
 
-        /** Tells the order; how many have taken it, -1 where one knows a later controller's. */
+        /** Sends an order to all sidecars; returns how many accepted it, or -1 if any rejected its epoch for a later controller's. */
         int sendOrder(Order o) throws InterruptedException {
             Map<String, String> answers = callAll(String.format(
                     Locale.ROOT,
@@ -153,6 +157,7 @@
                             .count();
         }
 
+        /** Returns each sidecar's tallies of the release by stratum. */
         Map<String, Map<String, Watch.Pair>> queryTallies(String release) throws InterruptedException {
             Map<String, Map<String, Watch.Pair>> reports = new HashMap<>();
             queryJson("tallies " + release).forEach((a, view) -> {
@@ -165,7 +170,7 @@
                     }
                     reports.put(a, strata);
                 } catch (IllegalArgumentException e) {
-                    // What can't be read is as if it had not answered.
+                    // Unreadable tallies count as no answer.
                 }
             });
             return reports;
@@ -185,55 +190,56 @@
         }
     }
 
-    /** Runs a controller until its release is over, or another has come: the exit code. */
-    static int runController(Conductor c, SidecarClients sidecars, PrintWriter out, boolean untilHalt)
+    /** Runs a controller until its release ends, halts (with {@code untilHalt}) or is taken over, and returns the exit code. */
+    static int runController(Conductor conductor, SidecarClients sidecars, PrintWriter out, boolean untilHalt)
             throws InterruptedException {
-        Conductor.Step said = null;
-        String waited = "";
-        long reachedNs = System.nanoTime();
+        Conductor.Step printedStep = null;
+        String printedWait = "";
+        long lastProgressNanos = System.nanoTime();
         while (true) {
-            int took = sidecars.sendOrder(c.last().order());
-            boolean enough = c.over() ? took == sidecars.count() : took > 0;
-            reachedNs = enough || c.last() != said ? System.nanoTime() : reachedNs;
-            if (System.nanoTime() - reachedNs > TimeUnit.SECONDS.toNanos(UNREACHED_TIMEOUT_S)) {
-                out.println("ends after " + UNREACHED_TIMEOUT_S + " s in which " + took + " of " + sidecars.count()
-                        + " were reached; the others hear of it by these");
+            int accepted = sidecars.sendOrder(conductor.last().order());
+            boolean progressed = conductor.over() ? accepted == sidecars.count() : accepted > 0;
+            lastProgressNanos = progressed || conductor.last() != printedStep ? System.nanoTime() : lastProgressNanos;
+            if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(UNREACHED_TIMEOUT_S)) {
+                out.println("gives up after " + UNREACHED_TIMEOUT_S + " s in which " + accepted + " of "
+                        + sidecars.count() + " accepted the order; they pass it on to the others");
                 out.flush();
                 return EXIT_UNREACHED;
             }
-            if (took < 0) {
-                out.println("a later controller has taken over: this one ends");
+            if (accepted < 0) {
+                out.println("a later controller has taken over; this one ends");
                 out.flush();
                 return EXIT_SUPERSEDED;
             }
-            if (c.last() != said) {
-                said = c.last();
-                Order o = said.order();
+            if (conductor.last() != printedStep) {
+                printedStep = conductor.last();
+                Order o = printedStep.order();
                 out.printf(
                         Locale.ROOT,
-                        "step %d, %s: weight %.3f, taken by %d of %d: %s%n",
+                        "step %d, %s: weight %.3f, accepted by %d of %d: %s%n",
                         o.step(),
                         o.state().name().toLowerCase(Locale.ROOT),
                         o.weight(),
-                        took,
+                        accepted,
                         sidecars.count(),
-                        said.why());
+                        printedStep.why());
             }
-            if (!c.waitsFor().equals(waited) && !c.waitsFor().isEmpty()) {
-                waited = c.waitsFor();
-                out.println("  waits: " + waited);
+            if (!conductor.waitsFor().equals(printedWait)
+                    && !conductor.waitsFor().isEmpty()) {
+                printedWait = conductor.waitsFor();
+                out.println("  waits: " + printedWait);
             }
             out.flush();
-            if (c.over() && took == sidecars.count()) {
+            if (conductor.over() && accepted == sidecars.count()) {
                 return 0;
             }
-            if (untilHalt && c.last().order().state() == Order.State.HALTED) {
-                return 4;
+            if (untilHalt && conductor.last().order().state() == Order.State.HALTED) {
+                return EXIT_HALTED;
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
-            c.reports(
+            conductor.reports(
                     System.currentTimeMillis() * 1_000,
-                    sidecars.queryTallies(c.last().order().release()),
+                    sidecars.queryTallies(conductor.last().order().release()),
                     sidecars.count());
         }
     }
@@ -241,67 +247,68 @@
     @Command(
             name = "plan",
             mixinStandardHelpOptions = true,
-            description = "Reads a plan and prints what it says; starts nothing.")
+            description = "Reads a plan and prints it; starts nothing.")
     static final class PrintPlan implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(paramLabel = "PLAN", description = "A plan, TOML.")
+        @Parameters(paramLabel = "PLAN", description = "A release plan, TOML.")
         private Path file;
 
         @Override
         public Integer call() {
             try {
-                Plan p = ReleasePlan.read(file);
+                Plan plan = ReleasePlan.read(file);
                 PrintWriter out = spec.commandLine().getOut();
-                out.println(p.name() + ": " + p.whom().words());
-                for (Plan.Stage s : p.stages()) {
-                    Gate.Rule r = s.rule();
+                out.println(plan.name() + ": " + plan.whom().words());
+                for (Plan.Stage stage : plan.stages()) {
+                    Gate.Rule rule = stage.rule();
                     out.printf(
                             Locale.ROOT,
-                            "  weight %.3f for %.0f to %.0f s and %d answers of each; halted falsely in at most %.4f of cases%n",
-                            s.weight(),
-                            r.leastUs() / 1e6,
-                            r.mostUs() / 1e6,
-                            r.answers(),
-                            r.falseHalts());
+                            "  weight %.3f for %.0f to %.0f s and at least %d answers per group; false halts in at most %.4f of cases%n",
+                            stage.weight(),
+                            rule.leastUs() / 1e6,
+                            rule.mostUs() / 1e6,
+                            rule.answers(),
+                            rule.falseHalts());
                 }
                 out.printf(
                         Locale.ROOT,
-                        "  back by halves every %.0f s; %.3f at a sidecar that is cut off%n",
-                        p.backUs() / 1e6,
-                        p.safe());
+                        "  rollback halves the weight every %.0f s; weight %.3f at an isolated sidecar%n",
+                        plan.backUs() / 1e6,
+                        plan.safe());
                 out.flush();
                 return 0;
             } catch (ScenarioException e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                return 2;
+                return EXIT_BAD_INPUT;
             }
         }
     }
 
-    /** What {@code start} and {@code resume} share. */
+    /** A command that runs a controller with a plan and a journal. */
     abstract static class ControllerCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "PLAN", description = "A plan, TOML.")
+        @Parameters(index = "0", paramLabel = "PLAN", description = "A release plan, TOML.")
         private Path file;
 
         @Parameters(
                 index = "1..*",
                 arity = "1..*",
                 paramLabel = "ADDR",
-                description = "Second addresses of all sidecars, HOST:PORT.")
+                description = "Admin addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
         @Option(
                 names = "--journal",
                 paramLabel = "FILE",
                 required = true,
-                description = "Keeps each step, on disk before it is taken.")
-        private Path journal;
+                description = "Journal of the steps, each forced to disk before it is taken.")
+        private Path journalFile;
 
+        /** Whether a release that was halted stays so. */
         abstract boolean staysHalted();
 
         @Override
@@ -313,48 +320,52 @@
                 plan = ReleasePlan.read(file);
             } catch (ScenarioException e) {
                 err.println(e.getMessage());
-                return 2;
+                return EXIT_BAD_INPUT;
             }
-            try (ReleaseJournal kept = new ReleaseJournal(journal);
+            try (ReleaseJournal journal = new ReleaseJournal(journalFile);
                     SidecarClients sidecars = new SidecarClients(addresses)) {
-                if (kept.truncation() != null) {
-                    out.println(journal + ": " + kept.truncation());
+                if (journal.truncation() != null) {
+                    out.println(journalFile + ": " + journal.truncation());
                 }
                 Order known = sidecars.latestOrder(plan.name());
-                Conductor.Step last = kept.steps().isEmpty()
+                Conductor.Step last = journal.steps().isEmpty()
                         ? null
-                        : kept.steps().get(kept.steps().size() - 1);
+                        : journal.steps().get(journal.steps().size() - 1);
                 if (last != null && !last.order().release().equals(plan.name())) {
-                    err.println(journal + ": is of release " + last.order().release());
-                    return 2;
+                    err.println(
+                            journalFile + ": belongs to release " + last.order().release());
+                    return EXIT_BAD_INPUT;
                 }
                 int epoch = 1
                         + Math.max(
                                 known == null ? 0 : known.epoch(),
                                 last == null ? 0 : last.order().epoch());
-                boolean gone = last != null && known == null
+                // A later epoch known to the sidecars supersedes the journal; if they know no order, the journal's last
+                // step
+                // is used all the same.
+                boolean outdated = last != null && known == null
                         || known != null
                                 && last != null
                                 && known.epoch() > last.order().epoch();
-                Conductor.Step after = last != null && !gone
+                Conductor.Step resumeFrom = last != null && !outdated
                         ? last
                         : known == null ? last : new Conductor.Step(known, findStage(plan, known), "");
-                if (after != null && !staysHalted() && after.order().state() == Order.State.HALTED) {
-                    after = new Conductor.Step(
+                if (resumeFrom != null && !staysHalted() && resumeFrom.order().state() == Order.State.HALTED) {
+                    resumeFrom = new Conductor.Step(
                             new Order(
                                     plan.name(),
-                                    after.order().epoch(),
-                                    after.order().step(),
+                                    resumeFrom.order().epoch(),
+                                    resumeFrom.order().step(),
                                     Order.State.ON,
-                                    after.order().weight(),
+                                    resumeFrom.order().weight(),
                                     plan.safe(),
                                     plan.whom()),
-                            after.stage(),
+                            resumeFrom.stage(),
                             "");
                 }
-                Conductor c = new Conductor(plan, epoch, after, System.currentTimeMillis() * 1_000, s -> {
+                Conductor c = new Conductor(plan, epoch, resumeFrom, System.currentTimeMillis() * 1_000, s -> {
                     try {
-                        kept.append(s);
+                        journal.append(s);
                     } catch (IOException e) {
                         throw new UncheckedIOException(e);
                     }
@@ -366,7 +377,7 @@
             }
         }
 
-        /** The first stage that gives as much as is ordered. */
+        /** Returns the first stage whose weight is at least the order's, or the last stage. */
         private static int findStage(Plan plan, Order known) {
             for (int i = 0; i < plan.stages().size(); i++) {
                 if (plan.stages().get(i).weight() >= known.weight() - 1e-9) {
@@ -380,12 +391,12 @@
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
-            description = "Begins a release, or goes on where its journal stands.",
+            description = "Starts a release, or continues it from the last step in its journal.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:done, or all taken back",
-                "1:the journal can't be kept",
-                "2:bad words or a bad plan",
+                "0:done, or rolled back",
+                "1:the journal cannot be written, or sidecars were not reached",
+                "2:invalid arguments or plan, or the journal of another release",
                 "3:a later controller has taken over",
                 "4:halted"
             })
@@ -399,7 +410,7 @@
     @Command(
             name = "resume",
             mixinStandardHelpOptions = true,
-            description = "Goes on with a release that was halted; its stage begins anew.")
+            description = "Resumes a halted release; its stage starts again.")
     static final class Resume extends ControllerCommand {
         @Override
         boolean staysHalted() {
@@ -407,7 +418,7 @@
         }
     }
 
-    /** What needs no plan: the order that the sidecars know says it all. */
+    /** A command that needs no plan, only the latest order that the sidecars know. */
     abstract static class KnownReleaseCommand implements Callable<Integer> {
         @CommandLine.Spec
         protected CommandLine.Model.CommandSpec spec;
@@ -419,7 +430,7 @@
                 index = "1..*",
                 arity = "1..*",
                 paramLabel = "ADDR",
-                description = "Second addresses of all sidecars, HOST:PORT.")
+                description = "Admin addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
         abstract int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException;
@@ -429,21 +440,23 @@
             try (SidecarClients sidecars = new SidecarClients(addresses)) {
                 Order known = sidecars.latestOrder(name);
                 if (known == null) {
-                    spec.commandLine().getErr().println("none of them knows a release " + name);
+                    spec.commandLine().getErr().println("no sidecar knows the release " + name);
                     return EXIT_UNREACHED;
                 }
                 return apply(known, sidecars, spec.commandLine().getOut());
             }
         }
 
-        /** A controller of a later epoch that takes the release from where it stands. */
+        private static final long ROLLBACK_STEP_US = 5_000_000;
+
+        /** Returns a controller of the next epoch that continues from the order. Its plan is used for halting and rolling back only. */
         static Conductor takeOver(Order known) {
             Plan plan = new Plan(
                     known.release(),
                     known.whom(),
                     List.of(new Plan.Stage(Math.max(1e-3, known.weight()), Gate.Rule.USUAL)),
                     known.safe(),
-                    5_000_000);
+                    ROLLBACK_STEP_US);
             return new Conductor(
                     plan,
                     known.epoch() + 1,
@@ -456,7 +469,7 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Prints the release as each sidecar follows it.")
+            description = "Prints the order that each sidecar follows.")
     static final class Status implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -464,7 +477,7 @@
         @Parameters(index = "0", paramLabel = "RELEASE", description = "The release's name.")
         private String name;
 
-        @Parameters(index = "1..*", arity = "1..*", paramLabel = "ADDR", description = "Second addresses, HOST:PORT.")
+        @Parameters(index = "1..*", arity = "1..*", paramLabel = "ADDR", description = "Admin addresses, HOST:PORT.")
         private List<String> addresses;
 
         @Override
@@ -472,9 +485,9 @@
             try (SidecarClients sidecars = new SidecarClients(addresses)) {
                 PrintWriter out = spec.commandLine().getOut();
                 Map<String, JsonNode> views = sidecars.queryJson("orders");
-                java.util.Set<String> said = new java.util.HashSet<>();
+                java.util.Set<String> distinctLines = new java.util.HashSet<>();
                 for (String a : addresses) {
-                    String line = views.containsKey(a) ? "knows nothing of it" : "no answer";
+                    String line = views.containsKey(a) ? "does not know the release" : "no answer";
                     for (JsonNode o : views.containsKey(a) ? views.get(a).path("orders") : List.<JsonNode>of()) {
                         if (o.path("release").asText().equals(name)) {
                             line = String.format(
@@ -487,30 +500,33 @@
                                     o.path("whom").asText());
                         }
                     }
-                    said.add(line);
+                    distinctLines.add(line);
                     out.println(a + ": " + line);
                 }
                 out.flush();
-                return said.size() == 1 && views.size() == addresses.size() ? 0 : EXIT_UNREACHED;
+                return distinctLines.size() == 1 && views.size() == addresses.size() ? 0 : EXIT_UNREACHED;
             }
         }
     }
 
-    @Command(name = "halt", mixinStandardHelpOptions = true, description = "Freezes the weights where they are.")
+    @Command(name = "halt", mixinStandardHelpOptions = true, description = "Halts a release at its present weight.")
     static final class Halt extends KnownReleaseCommand {
         @Override
         int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
             Conductor c = takeOver(known);
             c.halt(System.currentTimeMillis() * 1_000, "by an operator");
-            int took = sidecars.sendOrder(c.last().order());
-            out.println(
-                    "halted at weight " + c.last().order().weight() + ", taken by " + took + " of " + sidecars.count());
+            int accepted = sidecars.sendOrder(c.last().order());
+            out.println("halted at weight " + c.last().order().weight() + ", accepted by " + accepted + " of "
+                    + sidecars.count());
             out.flush();
-            return took == sidecars.count() ? 0 : EXIT_UNREACHED;
+            return accepted == sidecars.count() ? 0 : EXIT_UNREACHED;
         }
     }
 
-    @Command(name = "back", mixinStandardHelpOptions = true, description = "Takes the new servers out, by halves.")
+    @Command(
+            name = "back",
+            mixinStandardHelpOptions = true,
+            description = "Rolls a release back by halving the new servers' weight repeatedly.")
     static final class RollBack extends KnownReleaseCommand {
         @Override
         int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
@@ -520,7 +536,7 @@
         }
     }
 
-    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Takes the new servers out at once.")
+    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Rolls a release back at once.")
     static final class Abort extends KnownReleaseCommand {
         @Override
         int apply(Order known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
--- a/src/main/java/rushproxy/cli/ReleaseJournal.java
+++ b/src/main/java/rushproxy/cli/ReleaseJournal.java
@@ -15,8 +15,9 @@
 import rushproxy.fleet.release.Order;
 
 /**
- * A controller's steps on disk: records of a length, a check and a text, each forced out before it is acted on. What a crash has left
- * half written is cut off, and said. One process has it at a time; {@link #close} gives it back.
+ * Write-ahead journal of a release controller's steps. A record is its length, the CRC-32 of its text and the text, tab-separated; it is
+ * forced to disk before the step is acted on. On opening, an incomplete or corrupt record and all that follows it are truncated and
+ * reported by {@link #truncation}. A file lock, which {@link #close} releases, admits one process at a time.
  */
 final class ReleaseJournal implements AutoCloseable {
     private static final int HEADER_BYTES = 8;
@@ -27,10 +28,13 @@
     private final FileLock lock;
     private final List<Conductor.Step> steps = new ArrayList<>();
     private String truncation;
-    /** The end of the last record that is whole and on disk. */
+    /** File position after the last complete record on disk. */
     private long endOfRecords;
 
-    /** Throws where another process has it, or where it holds records that are whole but no steps: it is not ours to change then. */
+    /**
+     * Opens or creates the journal and reads its records. Throws where another process holds the lock, and where a record with a valid
+     * checksum is not a step: such a file may belong to another program and is left unchanged.
+     */
     ReleaseJournal(Path path) throws IOException {
         this(path, RecordWriter.WRITE_AND_FORCE);
     }
@@ -54,42 +58,42 @@
                 return l;
             }
         } catch (OverlappingFileLockException e) {
-            // Held in this very process.
+            // Another journal in this process holds the lock.
         }
-        throw new IOException(path + ": another controller has it");
+        throw new IOException(path + ": is locked by another controller");
     }
 
     private void readRecords(Path path) throws IOException {
         ByteBuffer all = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
         while (all.hasRemaining() && file.read(all) >= 0) {
-            // Until all of it is here.
+            // A single read may return less than the file holds.
         }
         all.flip();
-        int good = 0;
+        int validEnd = 0;
         while (all.remaining() >= HEADER_BYTES) {
             int length = all.getInt();
-            int check = all.getInt();
+            int checksum = all.getInt();
             if (length <= 0 || length > MAX_RECORD_BYTES || length > all.remaining()) {
                 break;
             }
             byte[] text = new byte[length];
             all.get(text);
-            if (crc32(text) != check) {
+            if (crc32(text) != checksum) {
                 break;
             }
             steps.add(parseStep(path, new String(text, StandardCharsets.UTF_8)));
-            good = all.position();
+            validEnd = all.position();
         }
-        if (good < all.limit()) {
-            truncation = (all.limit() - good) + " bytes after record " + steps.size()
-                    + " were half written, and are cut off";
-            file.truncate(good);
+        if (validEnd < all.limit()) {
+            truncation = (all.limit() - validEnd) + " bytes after record " + steps.size()
+                    + " are incomplete or corrupt, and were truncated";
+            file.truncate(validEnd);
             file.force(true);
         }
-        endOfRecords = good;
+        endOfRecords = validEnd;
     }
 
-    /** Null, or what was cut off at the opening. */
+    /** Returns a message on what was truncated on opening; null if nothing was. */
     String truncation() {
         return truncation;
     }
@@ -98,7 +102,7 @@
         return List.copyOf(steps);
     }
 
-    /** On disk when it returns. */
+    /** Appends a step; it is on disk when this method returns. */
     void append(Conductor.Step step) throws IOException {
         Order o = step.order();
         String why = step.why().replaceAll("[\\t\\n]", " ");
@@ -114,21 +118,20 @@
                         "" + step.stage(),
                         why.substring(0, Math.min(1_000, why.length())))
                 .getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + text.length)
+        ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + text.length)
                 .putInt(text.length)
                 .putInt(crc32(text))
                 .put(text);
-        b.flip();
-        // A try that failed may have left a part, or a whole record that was never taken on: the next one begins before
-        // it.
+        record.flip();
+        // A failed append may have left part of a record, or a whole one whose step was never taken: overwrite it.
         file.truncate(endOfRecords);
         file.position(endOfRecords);
-        writer.write(file, b);
+        writer.write(file, record);
         endOfRecords = file.position();
         steps.add(step);
     }
 
-    /** How a record is written so that it is on disk afterwards; either part may fail. */
+    /** Writes a record at the channel's position and forces it to disk; tests replace it to inject failures. */
     interface RecordWriter {
         RecordWriter WRITE_AND_FORCE = (file, record) -> {
             while (record.hasRemaining()) {
@@ -141,21 +144,21 @@
     }
 
     private Conductor.Step parseStep(Path path, String text) throws IOException {
-        String[] w = text.split("\t", -1);
+        String[] fields = text.split("\t", -1);
         try {
             return new Conductor.Step(
                     new Order(
-                            w[0],
-                            Integer.parseInt(w[1]),
-                            Integer.parseInt(w[2]),
-                            Order.State.valueOf(w[3]),
-                            Double.parseDouble(w[4]),
-                            Double.parseDouble(w[5]),
-                            Order.Selector.of(w[6])),
-                    Integer.parseInt(w[7]),
-                    w[8]);
+                            fields[0],
+                            Integer.parseInt(fields[1]),
+                            Integer.parseInt(fields[2]),
+                            Order.State.valueOf(fields[3]),
+                            Double.parseDouble(fields[4]),
+                            Double.parseDouble(fields[5]),
+                            Order.Selector.of(fields[6])),
+                    Integer.parseInt(fields[7]),
+                    fields[8]);
         } catch (RuntimeException e) {
-            throw new IOException(path + ": record " + (steps.size() + 1) + " is no step: " + e.getMessage());
+            throw new IOException(path + ": record " + (steps.size() + 1) + " is not a valid step: " + e.getMessage());
         }
     }
 
--- a/src/main/java/rushproxy/cli/ReleasePlan.java
+++ b/src/main/java/rushproxy/cli/ReleasePlan.java
@@ -11,7 +11,7 @@
 import rushproxy.lab.scenario.ScenarioException;
 import rushproxy.lab.scenario.Section;
 
-/** Reads a release's plan from TOML, strictly: a mistake is one line that names the place. */
+/** Reads a release plan from TOML. Unknown keys are errors; an error is one line that names the file and the key. */
 final class ReleasePlan {
     private static final double MICROS_PER_S = 1e6;
 
@@ -22,50 +22,51 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new ScenarioException(file + ": can't be read: " + e);
+            throw new ScenarioException(file + ": cannot be read: " + e);
         }
         return parse(file.toString(), text);
     }
 
     static Plan parse(String file, String text) throws ScenarioException {
-        Section s = Section.toml(file, text);
-        String name = s.text("name");
-        Order.Selector whom;
+        Section plan = Section.toml(file, text);
+        String name = plan.text("name");
+        Order.Selector servers;
         try {
-            whom = Order.Selector.of(s.text("servers"));
+            servers = Order.Selector.of(plan.text("servers"));
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": servers: " + e.getMessage());
         }
-        Gate.Rule usual = Gate.Rule.USUAL;
-        double falseHalts = s.number("false_halts", 1e-6, 0.5, usual.falseHalts());
-        double worse = s.number("worse", 0, 1, usual.worse());
-        double slower = s.number("slower", 1, 100, usual.slower());
-        double sick = s.number("sick_at", 0.01, 1, usual.sickAt());
+        Gate.Rule defaults = Gate.Rule.USUAL;
+        double falseHalts = plan.number("false_halts", 1e-6, 0.5, defaults.falseHalts());
+        double maxExcessFailures = plan.number("worse", 0, 1, defaults.worse());
+        double maxSlowdown = plan.number("slower", 1, 100, defaults.slower());
+        double sickAt = plan.number("sick_at", 0.01, 1, defaults.sickAt());
         List<Plan.Stage> stages = new ArrayList<>();
-        for (Section one : s.tables("stages")) {
-            double least = one.number("least_s", 1, 86_400, usual.leastUs() / MICROS_PER_S);
-            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.mostUs() / MICROS_PER_S));
+        for (Section stage : plan.tables("stages")) {
+            double minSeconds = stage.number("least_s", 1, 86_400, defaults.leastUs() / MICROS_PER_S);
+            double maxSeconds = stage.number(
+                    "most_s", minSeconds, 7 * 86_400, Math.max(minSeconds, defaults.mostUs() / MICROS_PER_S));
             stages.add(new Plan.Stage(
-                    one.number("weight", 0.001, 1),
+                    stage.number("weight", 0.001, 1),
                     new Gate.Rule(
-                            (long) (least * MICROS_PER_S),
-                            (long) (most * MICROS_PER_S),
-                            one.count("answers", 1, 1_000_000, (int) usual.answers()),
+                            (long) (minSeconds * MICROS_PER_S),
+                            (long) (maxSeconds * MICROS_PER_S),
+                            stage.count("answers", 1, 1_000_000, (int) defaults.answers()),
                             falseHalts,
-                            worse,
-                            slower,
-                            sick)));
-            one.end();
+                            maxExcessFailures,
+                            maxSlowdown,
+                            sickAt)));
+            stage.end();
         }
-        double first = stages.isEmpty() ? 0 : stages.get(0).weight();
-        double safe = s.number("safe_weight", 0, 1, first);
-        long back = (long) (s.number("back_s", 1, 3_600, 5) * MICROS_PER_S);
-        s.end();
+        double firstWeight = stages.isEmpty() ? 0 : stages.get(0).weight();
+        double safeWeight = plan.number("safe_weight", 0, 1, firstWeight);
+        long backUs = (long) (plan.number("back_s", 1, 3_600, 5) * MICROS_PER_S);
+        plan.end();
         try {
-            Plan plan = new Plan(name, whom, stages, safe, back);
-            // Its names have to fit into an order.
-            new Order(name, 1, 0, Order.State.ON, first, safe, whom);
-            return plan;
+            Plan result = new Plan(name, servers, stages, safeWeight, backUs);
+            // The order's constructor rejects names and selectors that do not fit into an order.
+            new Order(name, 1, 0, Order.State.ON, firstWeight, safeWeight, servers);
+            return result;
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": " + e.getMessage());
         }
--- a/src/test/java/rushproxy/cli/FleetCommandTest.java
+++ b/src/test/java/rushproxy/cli/FleetCommandTest.java
@@ -10,11 +10,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Tables that compare the views of several sidecars. */
 class FleetCommandTest {
-    private static JsonNode view(String self, String others) throws Exception {
+    private static JsonNode view(String self, String otherMembers) throws Exception {
         return new ObjectMapper()
                 .readTree("{\"self\":\"" + self + "\",\"here\":2,\"expected\":3,\"standing\":\"majority\",\"members\":["
-                        + "{\"name\":\"n0\",\"state\":\"alive\",\"incarnation\":5}" + others + "]}");
+                        + "{\"name\":\"n0\",\"state\":\"alive\",\"incarnation\":5}" + otherMembers + "]}");
     }
 
     @Test
--- a/src/test/java/rushproxy/cli/ReleaseJournalTest.java
+++ b/src/test/java/rushproxy/cli/ReleaseJournalTest.java
@@ -21,7 +21,7 @@
 import rushproxy.fleet.release.Order.State;
 import rushproxy.fleet.release.Plan;
 
-/** What a controller of releases knows after it was killed. */
+/** Recovery of a release controller from its journal after a crash or a failed write. */
 class ReleaseJournalTest {
     private static final long MICROS_PER_S = 1_000_000;
     private static final Gate.Rule RULE =
@@ -46,17 +46,17 @@
         }
     }
 
-    /** A disk that fails in the middle of a write, or after it: what is appended later is found again. */
+    /** Guards against what a failed write leaves in the file, part of a record or all of it, hiding the records appended later. */
     @Test
     void recordAppendedAfterAFailedWriteIsReadBack() throws Exception {
         for (boolean whole : new boolean[] {false, true}) {
             Path path = folder.resolve("fails" + whole);
-            boolean[] fails = new boolean[1];
+            boolean[] writeFails = new boolean[1];
             List<Conductor.Step> steps = new java.util.ArrayList<>();
             new Conductor(PLAN, 1, null, now, steps::add);
             Conductor.Step step = steps.get(0);
             try (ReleaseJournal j = new ReleaseJournal(path, (file, record) -> {
-                if (fails[0]) {
+                if (writeFails[0]) {
                     record.limit(whole ? record.limit() : record.limit() / 2);
                     file.write(record);
                     throw new IOException("No space left on device");
@@ -64,26 +64,26 @@
                 ReleaseJournal.RecordWriter.WRITE_AND_FORCE.write(file, record);
             })) {
                 j.append(step);
-                fails[0] = true;
+                writeFails[0] = true;
                 assertThrows(IOException.class, () -> j.append(step));
-                fails[0] = false;
+                writeFails[0] = false;
                 j.append(step);
                 assertEquals(2, j.steps().size());
             }
             try (ReleaseJournal j = new ReleaseJournal(path)) {
                 assertEquals(null, j.truncation());
-                assertEquals(2, j.steps().size(), "what was appended after a failed write, whole " + whole);
+                assertEquals(2, j.steps().size(), "records after a failed write, whole record written: " + whole);
             }
         }
     }
 
-    /** Killed after each single step, before or after it was kept: the next one goes on from the last that was kept. */
+    /** The first controller is killed at each step, before or after journaling it; the second continues from the last journaled step. */
     @Test
     void controllerResumesFromTheLastJournaledStepWhenKilledAtAnyStep() throws Exception {
-        for (int at = 0; at < 4; at++) {
+        for (int killStep = 0; killStep < 4; killStep++) {
             for (boolean written : new boolean[] {false, true}) {
-                Path path = folder.resolve("j" + at + written);
-                int killAt = at;
+                Path path = folder.resolve("j" + killStep + written);
+                int killAt = killStep;
                 Conductor c = null;
                 try (ReleaseJournal j = new ReleaseJournal(path)) {
                     c = new Conductor(PLAN, 1, null, now, s -> {
@@ -97,11 +97,11 @@
                     });
                     runController(c, 100);
                 } catch (UncheckedIOException e) {
-                    // It is gone.
+                    // The first controller was killed.
                 }
                 try (ReleaseJournal j = new ReleaseJournal(path)) {
                     int known = j.steps().size();
-                    assertEquals(at + (written ? 1 : 0), known);
+                    assertEquals(killStep + (written ? 1 : 0), known);
                     Conductor.Step last = known == 0 ? null : j.steps().get(known - 1);
                     Conductor next = new Conductor(PLAN, 2, last, now, s -> append(j, s));
                     if (last != null) {
@@ -112,7 +112,7 @@
                         assertEquals(2, next.last().order().epoch());
                     }
                     runController(next, 100);
-                    assertTrue(next.over() && next.last().order().state() == State.DONE, "killed at " + at);
+                    assertTrue(next.over() && next.last().order().state() == State.DONE, "killed at step " + killStep);
                 }
             }
         }
@@ -131,35 +131,35 @@
         Path path = folder.resolve("journal");
         try (ReleaseJournal j = new ReleaseJournal(path)) {
             new Conductor(PLAN, 1, null, now, s -> append(j, s)).halt(now, "by hand");
-            assertThrows(IOException.class, () -> new ReleaseJournal(path), "two controllers at once");
+            assertThrows(IOException.class, () -> new ReleaseJournal(path), "the journal is locked");
         }
-        byte[] whole = Files.readAllBytes(path);
-        for (int length = 0; length <= whole.length; length++) {
-            Files.write(path, Arrays.copyOf(whole, length));
+        byte[] complete = Files.readAllBytes(path);
+        for (int length = 0; length <= complete.length; length++) {
+            Files.write(path, Arrays.copyOf(complete, length));
             try (ReleaseJournal j = new ReleaseJournal(path)) {
                 int records = j.steps().size();
-                assertTrue(length == whole.length ? records == 2 : records < 2);
+                assertTrue(length == complete.length ? records == 2 : records < 2);
                 long kept = Files.size(path);
                 assertTrue(
                         kept == length
                                 ? j.truncation() == null
-                                : j.truncation().contains("after record " + records + " were half written"));
+                                : j.truncation().contains("after record " + records + " are incomplete or corrupt"));
             }
         }
-        byte[] spoilt = whole.clone();
-        spoilt[whole.length - 3] ^= 1;
-        Files.write(path, spoilt);
+        byte[] corrupt = complete.clone();
+        corrupt[complete.length - 3] ^= 1;
+        Files.write(path, corrupt);
         try (ReleaseJournal j = new ReleaseJournal(path)) {
             assertEquals(1, j.steps().size());
             assertNotNull(j.truncation());
         }
-        Files.write(path, whole);
+        Files.write(path, complete);
         Files.write(
                 path,
                 new byte[] {0, 0, 0, 1, (byte) 0xE8, (byte) 0xB7, (byte) 0xBE, 0x43, 'a'},
                 StandardOpenOption.APPEND);
         assertTrue(assertThrows(IOException.class, () -> new ReleaseJournal(path))
                 .getMessage()
-                .contains("record 3 is no step"));
+                .contains("record 3 is not a valid step"));
     }
 }
