--- a/src/main/java/rushproxy/cli/LabCommand.java
+++ b/src/main/java/rushproxy/cli/LabCommand.java
@@ -204,7 +204,7 @@
             try {
                 s = ScenarioReader.read(scenario, changes.all());
                 build = Build.of(Build.findRoot());
-                build = jar == null ? build : build.with(jar);
+                build = jar == null ? build : build.withJar(jar);
                 check(build, s);
             } catch (ScenarioException | IOException e) {
                 return bad(spec, e);
@@ -233,11 +233,11 @@
 
         private static void check(Build build, Scenario s) throws IOException {
             if (s.fleet().jar() != null) {
-                build.with(s.fleet().jar());
+                build.withJar(s.fleet().jar());
             }
             for (Scenario.Fault f : s.faults()) {
                 if (f.jar() != null) {
-                    build.with(f.jar());
+                    build.withJar(f.jar());
                 }
             }
         }
--- a/src/main/java/rushproxy/cli/LabSoak.java
+++ b/src/main/java/rushproxy/cli/LabSoak.java
@@ -62,8 +62,8 @@
             Path folder = out == null ? LabCommand.newFolder("soak") : out;
             Soak soak = new Soak(Build.of(Build.findRoot()), folder, print::println);
             for (long seed : Sweep.seeds(seeds)) {
-                SoakPlan plan = SoakPlan.draw(seed, count(seed), seconds());
-                Summary s = soak.play(plan, "seed-" + seed);
+                SoakPlan plan = SoakPlan.generate(seed, count(seed), seconds());
+                Summary s = soak.run(plan, "seed-" + seed);
                 tell(print, plan, s);
                 worst = Math.max(worst, LabCommand.code(s.verdict()));
                 if (shrink > 0 && s.verdict().equals("broken")) {
--- a/src/main/java/rushproxy/cli/LabSweep.java
+++ b/src/main/java/rushproxy/cli/LabSweep.java
@@ -73,7 +73,7 @@
             for (Variant v : all) {
                 ScenarioReader.read(scenario, v.changes);
                 if (v.jar != null) {
-                    build.with(v.jar);
+                    build.withJar(v.jar);
                 }
             }
             for (String figure : figures) {
@@ -128,7 +128,7 @@
         changes.put("seed", Long.toString(seed));
         Scenario s = ScenarioReader.read(scenario, changes);
         Summary summary = new Lab(
-                        s, v.jar == null ? build : build.with(v.jar), folder.resolve(v.name + "-" + seed), line -> {})
+                        s, v.jar == null ? build : build.withJar(v.jar), folder.resolve(v.name + "-" + seed), line -> {})
                 .run();
         done.computeIfAbsent(v, k -> new LinkedHashMap<>()).put(seed, summary);
         print.printf(
@@ -162,7 +162,7 @@
             List<Double> base = null;
             for (Variant v : all) {
                 List<Double> values = counted.stream()
-                        .map(seed -> done.get(v).get(seed).figures().named(figure))
+                        .map(seed -> done.get(v).get(seed).figures().valueOf(figure))
                         .toList();
                 Sweep.Spread s = Sweep.spread(values);
                 text.append(String.format(
--- a/src/main/java/rushproxy/lab/Expectations.java
+++ b/src/main/java/rushproxy/lab/Expectations.java
@@ -20,7 +20,7 @@
                 case "rules_broken" -> violations.size();
                 case "lost" ->
                     violations.stream().filter(v -> v.rule().equals("lost")).count();
-                default -> Figures.of(run, e.fromUs(), e.toUs()).named(e.figure());
+                default -> Figures.of(run, e.fromUs(), e.toUs()).valueOf(e.figure());
             };
             if (is < e.least() || is > e.most()) {
                 missed.add(String.format(
--- a/src/main/java/rushproxy/lab/Lab.java
+++ b/src/main/java/rushproxy/lab/Lab.java
@@ -30,9 +30,9 @@
 import rushproxy.lab.check.Starvation;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.node.Build;
-import rushproxy.lab.node.Keeper;
+import rushproxy.lab.node.ProcessReaper;
 import rushproxy.lab.node.Node;
-import rushproxy.lab.node.ProcessorWaits;
+import rushproxy.lab.node.ProcessorWaitMonitor;
 import rushproxy.lab.node.SystemFaults;
 import rushproxy.lab.report.Figures;
 import rushproxy.lab.report.Report;
@@ -128,7 +128,7 @@
 
     private void stopAndWait() {
         stop();
-        nodes.forEach(Node::end);
+        nodes.forEach(Node::destroy);
         try {
             reported.get(20, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
@@ -160,7 +160,7 @@
         ExecutorService hands = Executors.newCachedThreadPool();
         ScheduledExecutorService times = Executors.newSingleThreadScheduledExecutor();
         try (Addresses addresses = Addresses.take();
-                Keeper keeper = new Keeper()) {
+                ProcessReaper keeper = new ProcessReaper()) {
             World world = new World(scenario, seen, addresses);
             try {
                 world.open();
@@ -175,16 +175,16 @@
                     long inUs = Math.max(0, f.atUs() - seen.us());
                     times.schedule(() -> begin(f, world, times, hands), inUs, TimeUnit.MICROSECONDS);
                 }
-                ProcessorWaits waits = new ProcessorWaits(seen, world.processorFigures());
+                ProcessorWaitMonitor waits = new ProcessorWaitMonitor(seen, world.processorFigures());
                 times.scheduleWithFixedDelay(
-                        () -> waits.look(nodes), 0, ProcessorWaits.EVERY_MS, TimeUnit.MILLISECONDS);
+                        () -> waits.look(nodes), 0, ProcessorWaitMonitor.EVERY_MS, TimeUnit.MILLISECONDS);
                 times.scheduleAtFixedRate(
                         () -> progress.says(counts.line((System.nanoTime() - zero) / 1_000_000_000)),
                         1,
                         1,
                         TimeUnit.SECONDS);
                 await(settled, world);
-            } catch (Node.Trouble e) {
+            } catch (Node.NodeException e) {
                 failure = e.getMessage();
             } catch (IOException e) {
                 failure = "" + e.getMessage();
@@ -192,7 +192,7 @@
                 times.shutdownNow();
                 measure(world);
                 endedUs = seen.us();
-                nodes.forEach(Node::end);
+                nodes.forEach(Node::destroy);
                 hands.shutdownNow();
                 hands.awaitTermination(10, TimeUnit.SECONDS);
                 world.close();
@@ -225,11 +225,11 @@
         return library;
     }
 
-    private void startAll(World world, Addresses addresses, ExecutorService hands, Keeper keeper)
-            throws IOException, InterruptedException, Node.Trouble {
+    private void startAll(World world, Addresses addresses, ExecutorService hands, ProcessReaper keeper)
+            throws IOException, InterruptedException, Node.NodeException {
         Build first = scenario.fleet().jar() == null
                 ? build
-                : build.with(scenario.fleet().jar());
+                : build.withJar(scenario.fleet().jar());
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(scenario.seed());
         Optional<Path> library = library();
         boolean replaced = scenario.faults().stream().anyMatch(f -> f.what().equals("replace"));
@@ -247,13 +247,13 @@
                     keeper);
             nodes.add(node);
             if (library.isPresent()) {
-                node.withSystemFaults(library.get(), scenario.seed() * 1_000 + i);
+                node.enableSystemFaults(library.get(), scenario.seed() * 1_000 + i);
             }
             if (stopped.isDone()) {
                 return;
             }
             if (replaced) {
-                node.share();
+                node.useSharedSocket();
             }
             node.start();
             ready.add(CompletableFuture.runAsync(
@@ -270,7 +270,7 @@
             try {
                 CompletableFuture.anyOf(r, stopped).get();
             } catch (ExecutionException e) {
-                if (e.getCause() instanceof Node.Trouble trouble) {
+                if (e.getCause() instanceof Node.NodeException trouble) {
                     throw trouble;
                 }
                 throw new IOException(e.getCause());
@@ -326,7 +326,7 @@
             }
         } catch (InterruptedException e) {
             // The run is over.
-        } catch (IOException | Node.Trouble | RuntimeException e) {
+        } catch (IOException | Node.NodeException | RuntimeException e) {
             if (!stopped.isDone()) {
                 troubles.add(e.getMessage() == null ? e.toString() : e.getMessage());
             }
@@ -335,8 +335,8 @@
 
     /** One after the other for each node: a platform does not start two processes in one's place. */
     private void replaceProcess(Scenario.Fault f, Node node, World world)
-            throws IOException, InterruptedException, Node.Trouble {
-        node.lifecycle().lockInterruptibly();
+            throws IOException, InterruptedException, Node.NodeException {
+        node.lifecycleLock().lockInterruptibly();
         try {
             switch (f.what()) {
                 case "kill" -> {
@@ -347,21 +347,21 @@
                     }
                 }
                 case "start" -> {
-                    if (!node.running()) {
+                    if (!node.isRunning()) {
                         again(node);
                     }
                 }
                 case "restart" -> restart(node, world);
                 case "restart-series" -> restartBySeries(node, world);
                 case "jar" -> {
-                    node.build(build.with(f.jar()));
+                    node.useBuild(build.withJar(f.jar()));
                     restart(node, world);
                 }
                 case "replace" -> node.replace(patienceMs());
                 default -> throw new IllegalStateException(f.what());
             }
         } finally {
-            node.lifecycle().unlock();
+            node.lifecycleLock().unlock();
         }
     }
 
@@ -389,20 +389,20 @@
         switch (f.call()) {
             case "wall-clock" -> faults.stepWallClock(Math.round(f.factor()));
             case "calls" -> {
-                faults.set(SystemFaults.Call.ACCEPT_FAILS, f.factor());
-                faults.set(SystemFaults.Call.SOCKET_FAILS, f.factor() / 2);
-                faults.set(SystemFaults.Call.CONNECT_FAILS, f.factor() / 2);
-                faults.set(SystemFaults.Call.WAIT_INTERRUPTED, f.factor() / 4);
-                faults.set(SystemFaults.Call.READ_INTERRUPTED, f.factor() / 4);
-                faults.set(SystemFaults.Call.READ_SHORT, 2 * f.factor());
-                faults.set(SystemFaults.Call.WRITE_SHORT, 2 * f.factor());
+                faults.setProbability(SystemFaults.Call.ACCEPT_FAILS, f.factor());
+                faults.setProbability(SystemFaults.Call.SOCKET_FAILS, f.factor() / 2);
+                faults.setProbability(SystemFaults.Call.CONNECT_FAILS, f.factor() / 2);
+                faults.setProbability(SystemFaults.Call.WAIT_INTERRUPTED, f.factor() / 4);
+                faults.setProbability(SystemFaults.Call.READ_INTERRUPTED, f.factor() / 4);
+                faults.setProbability(SystemFaults.Call.READ_SHORT, 2 * f.factor());
+                faults.setProbability(SystemFaults.Call.WRITE_SHORT, 2 * f.factor());
             }
-            case "sockets" -> SOCKET_CALLS.forEach(call -> faults.set(call, f.factor()));
-            case "established" -> faults.set(SystemFaults.Call.ESTABLISHED_FAILS, f.factor());
+            case "sockets" -> SOCKET_CALLS.forEach(call -> faults.setProbability(call, f.factor()));
+            case "established" -> faults.setProbability(SystemFaults.Call.ESTABLISHED_FAILS, f.factor());
             case "files" -> {
-                faults.set(SystemFaults.Call.FILE_WRITE_FAILS, f.factor());
-                faults.set(SystemFaults.Call.FILE_SYNC_FAILS, f.factor());
-                faults.set(SystemFaults.Call.FILE_RENAME_FAILS, f.factor());
+                faults.setProbability(SystemFaults.Call.FILE_WRITE_FAILS, f.factor());
+                faults.setProbability(SystemFaults.Call.FILE_SYNC_FAILS, f.factor());
+                faults.setProbability(SystemFaults.Call.FILE_RENAME_FAILS, f.factor());
             }
             default -> throw new IllegalStateException(f.call());
         }
@@ -449,7 +449,7 @@
         return Math.min(longest, LONGEST_MS) + THEN_KILL_MS;
     }
 
-    private void restart(Node node, World world) throws IOException, InterruptedException, Node.Trouble {
+    private void restart(Node node, World world) throws IOException, InterruptedException, Node.NodeException {
         world.leaving(node.number, true);
         node.stop(patienceMs());
         again(node);
@@ -457,36 +457,36 @@
     }
 
     /** As {@link #restart}, the signals in a series: a reload just before the end is asked for, another in it, and the end asked for twice. */
-    private void restartBySeries(Node node, World world) throws IOException, InterruptedException, Node.Trouble {
+    private void restartBySeries(Node node, World world) throws IOException, InterruptedException, Node.NodeException {
         world.moveDiscovery(node.number);
         node.reload();
         world.leaving(node.number, true);
-        node.stopBySeries(patienceMs());
+        node.stopWithRepeatedSignals(patienceMs());
         again(node);
         world.leaving(node.number, false);
     }
 
     /** Discovery moves some times in a row, each told by SIGHUP, with no pause between them. A platform tells no process that starts or ends. */
     private static void reload(Node node, World world, int times) throws IOException, InterruptedException {
-        node.lifecycle().lockInterruptibly();
+        node.lifecycleLock().lockInterruptibly();
         try {
             for (int i = 0; i < times; i++) {
                 world.moveDiscovery(node.number);
                 node.reload();
             }
         } finally {
-            node.lifecycle().unlock();
+            node.lifecycleLock().unlock();
         }
     }
 
-    private void again(Node node) throws IOException, InterruptedException, Node.Trouble {
+    private void again(Node node) throws IOException, InterruptedException, Node.NodeException {
         node.start();
         node.awaitReady();
     }
 
     private void measure(World world) throws InterruptedException {
         for (int i = 0; i < nodes.size(); i++) {
-            Map<String, Double> cost = nodes.get(i).cost();
+            Map<String, Double> cost = nodes.get(i).resourceUsage();
             long[] peers = world.peerCost(i);
             cost.put("datagrams", (double) peers[0]);
             cost.put("datagram_bytes", (double) peers[1]);
--- a/src/main/java/rushproxy/lab/node/Build.java
+++ b/src/main/java/rushproxy/lab/node/Build.java
@@ -28,7 +28,7 @@
     }
 
     /** The same line with another program: for fleets of mixed versions. It starts without the class archive. */
-    public Build with(String jar) throws IOException {
+    public Build withJar(String jar) throws IOException {
         Path other = root.resolve(jar).toAbsolutePath();
         if (!Files.isRegularFile(other)) {
             throw new IOException(other + " is no file that could be run");
--- a/src/main/java/rushproxy/lab/node/LoopWait.java
+++ b/src/main/java/rushproxy/lab/node/LoopWaitTracker.java
@@ -5,7 +5,7 @@
  * on is seen by the thread's state. A loop that stands at a safepoint waits for the virtual machine's own thread: while that one waits
  * for a processor, the loop does too.
  */
-final class LoopWait {
+final class LoopWaitTracker {
     private static final double NANOS_A_MS = 1e6;
 
     private ThreadSample loop;
@@ -14,7 +14,7 @@
     /** Of the wait that goes on, what has been told. */
     private double toldMs;
 
-    LoopWait(ThreadSample loop, ThreadSample machine) {
+    LoopWaitTracker(ThreadSample loop, ThreadSample machine) {
         this.loop = loop;
         this.machine = machine;
     }
@@ -22,9 +22,9 @@
     /** {@code periodMs}: the time since the last look. */
     double since(ThreadSample loopNow, ThreadSample machineNow, double periodMs) {
         double overMs = (loopNow.waitedNanos() - loop.waitedNanos()) / NANOS_A_MS;
-        boolean waits = loopNow.waitedSince(loop);
+        boolean waits = loopNow.hasWaitedSince(loop);
         boolean stands = loopNow.ranNanos() == loop.ranNanos();
-        boolean machineWaits = stands && machineNow != null && machine != null && machineNow.waitedSince(machine);
+        boolean machineWaits = stands && machineNow != null && machine != null && machineNow.hasWaitedSince(machine);
         loop = loopNow;
         machine = machineNow;
         if (overMs > 0) {
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -25,22 +25,22 @@
 
 /**
  * One sidecar of a run: its folder (configuration, log, what outlives its process) and its processes, of which there are
- * two while one replaces the other. Its calls block and belong to one thread; {@link #end} may come from any, and leaves
+ * two while one replaces the other. Its calls block and belong to one thread; {@link #destroy} may come from any, and leaves
  * no process of it.
  */
 public final class Node {
-    private static final long READY_MS = 30_000;
-    private static final long POLL_MS = 20;
-    private static final int CALL_MS = 3_000;
-    private static final int FIRST_CALL_MS = 200;
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long POLL_PERIOD_MS = 20;
+    private static final int CALL_TIMEOUT_MS = 3_000;
+    private static final int NOT_SERVING_CALL_TIMEOUT_MS = 200;
     /** No reload comes in a program's first second. */
-    private static final long FIRST_RELOAD_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MIN_RELOAD_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     /** A node that can't be had; the message is for the one who reads the terminal. */
-    public static final class Trouble extends Exception {
+    public static final class NodeException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Trouble(String message) {
+        NodeException(String message) {
             super(message);
         }
     }
@@ -50,47 +50,47 @@
     private final Scenario scenario;
     private final World world;
     private final Addresses addresses;
-    private final Observations seen;
+    private final Observations observations;
     private final Path folder;
     private final NodeLog log;
     private final UniformRandomProvider random;
-    private final Keeper keeper;
+    private final ProcessReaper keeper;
     private final List<Process> processes = new ArrayList<>();
     private Build build;
-    private SharedSocket shared;
+    private SharedSocket sharedSocket;
     /** Which of the two addresses for operators the process that was started last has. */
-    private int current;
+    private int adminSlot;
 
     /** When the process that was started last was. */
     private long launchedNanos;
     /** How much its processes had written when the last one was started. */
-    private long logBefore;
+    private long logLengthAtLaunch;
     /** When processes were first asked to leave, by their ids. */
-    private final Map<Long, Long> termsUs = new ConcurrentHashMap<>();
+    private final Map<Long, Long> termSentAtUs = new ConcurrentHashMap<>();
 
-    private boolean ended;
+    private boolean destroyed;
     /** Null where its processes meet the machine as it is. */
     private SystemFaults systemFaults;
 
-    private final Lock lifecycle = new ReentrantLock();
+    private final Lock lifecycleLock = new ReentrantLock();
 
     public Node(
             int number,
             Scenario scenario,
             World world,
             Addresses addresses,
-            Observations seen,
+            Observations observations,
             Path folder,
             Build build,
             UniformRandomProvider random,
-            Keeper keeper) {
+            ProcessReaper keeper) {
         this.keeper = keeper;
         this.number = number;
         this.name = "n" + number;
         this.scenario = scenario;
         this.world = world;
         this.addresses = addresses;
-        this.seen = seen;
+        this.observations = observations;
         this.folder = folder;
         log = new NodeLog(folder.resolve("log"));
         this.build = build;
@@ -98,19 +98,19 @@
     }
 
     /** From the next start on it runs this program. */
-    public void build(Build next) {
+    public void useBuild(Build next) {
         build = next;
     }
 
     /** Its processes are started with this library of faults, none of which is on yet. */
-    public void withSystemFaults(Path library, long seed) throws IOException {
+    public void enableSystemFaults(Path library, long seed) throws IOException {
         Files.createDirectories(folder);
-        systemFaults = SystemFaults.with(library, folder.resolve("faults"), seed);
+        systemFaults = SystemFaults.create(library, folder.resolve("faults"), seed);
     }
 
     /** Held by whoever ends this node's process and starts the next. */
-    public Lock lifecycle() {
-        return lifecycle;
+    public Lock lifecycleLock() {
+        return lifecycleLock;
     }
 
     /** Null where it has none. */
@@ -124,30 +124,30 @@
     }
 
     /** Its clients' socket is the laboratory's from now on, inherited by each process as descriptor 0. */
-    public void share() throws IOException {
-        shared = new SharedSocket(addresses.listen(number));
+    public void useSharedSocket() throws IOException {
+        sharedSocket = new SharedSocket(addresses.listen(number));
     }
 
     /** Between two signals of a series. */
-    private static final long SERIES_MS = 100;
+    private static final long REPEATED_SIGNAL_DELAY_MS = 100;
 
     /** Starts its process; {@link #awaitReady} tells when it serves. A {@code $TMPDIR} of before is emptied. */
-    public void start() throws IOException, InterruptedException, Trouble {
-        if (shared == null) {
-            free(addresses.listen(number), "clients");
+    public void start() throws IOException, InterruptedException, NodeException {
+        if (sharedSocket == null) {
+            requireFree(addresses.listen(number), "clients");
         }
-        free(addresses.admin(number, 0), "operators");
+        requireFree(addresses.admin(number, 0), "operators");
         Path kept = folder.resolve("tmp");
-        empty(kept);
+        deleteRecursively(kept);
         Files.createDirectories(kept);
         launch(0);
     }
 
-    private void free(InetSocketAddress address, String whose) throws Trouble {
+    private void requireFree(InetSocketAddress address, String whose) throws NodeException {
         try {
             new AddressProbe(address).close();
         } catch (IOException e) {
-            throw new Trouble(name + ": the address for its " + whose + ", " + Addresses.text(address)
+            throw new NodeException(name + ": the address for its " + whose + ", " + Addresses.text(address)
                     + ", is taken by somebody else");
         }
     }
@@ -175,84 +175,84 @@
         }
         builder.redirectErrorStream(true);
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log.file().toFile()));
-        logBefore = log.length();
+        logLengthAtLaunch = log.length();
         launchedNanos = System.nanoTime();
         synchronized (this) {
-            if (ended) {
+            if (destroyed) {
                 throw new InterruptedException("the run is over");
             }
             Process p;
-            if (shared == null) {
+            if (sharedSocket == null) {
                 p = builder.redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
                         .start();
             } else {
                 builder.environment().put("BALANCER_ACCEPT_FD", "0");
-                p = shared.inherited(() ->
+                p = sharedSocket.startInheriting(() ->
                         builder.redirectInput(ProcessBuilder.Redirect.INHERIT).start());
             }
             processes.add(p);
             keeper.keep(p);
-            current = process;
-            seen.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
-            p.onExit().thenAccept(this::ended);
+            adminSlot = process;
+            observations.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
+            p.onExit().thenAccept(this::recordExit);
         }
     }
 
     /** By its own words a process that left took nobody any more a while before its end was heard of. */
-    private void ended(Process gone) {
-        Long termUs = termsUs.remove(gone.pid());
+    private void recordExit(Process gone) {
+        Long termUs = termSentAtUs.remove(gone.pid());
         boolean left = termUs != null && gone.exitValue() == 0;
-        OptionalLong leftAfterUs = left ? log.lastLeftAfterUs() : OptionalLong.empty();
+        OptionalLong leftAfterUs = left ? log.lastShutdownDurationUs() : OptionalLong.empty();
         long leftUs = leftAfterUs.isPresent() ? termUs + leftAfterUs.getAsLong() : 0;
-        seen.see(What.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
+        observations.see(What.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
     }
 
-    private Process last() {
+    private Process latestProcess() {
         return processes.get(processes.size() - 1);
     }
 
-    public synchronized boolean running() {
-        return !processes.isEmpty() && last().isAlive();
+    public synchronized boolean isRunning() {
+        return !processes.isEmpty() && latestProcess().isAlive();
     }
 
     /** Of the process that was started last, while it runs. */
     synchronized OptionalLong pid() {
-        return running() ? OptionalLong.of(last().pid()) : OptionalLong.empty();
+        return isRunning() ? OptionalLong.of(latestProcess().pid()) : OptionalLong.empty();
     }
 
     /** Throws, with the end of its log, where it ends before it is ready, or is not within 30 s. */
-    public void awaitReady() throws InterruptedException, Trouble {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+    public void awaitReady() throws InterruptedException, NodeException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         boolean serving = false;
         while (true) {
-            if (shared != null && !serving && log.saysItServes(logBefore)) {
+            if (sharedSocket != null && !serving && log.reportsServing(logLengthAtLaunch)) {
                 serving = true;
-                seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
+                observations.see(What.NODE, name, null, null, null, "serving", latestProcess().pid(), 0);
             }
             // Before somebody takes from a socket that is held nobody answers.
-            if (ready(shared == null || serving ? CALL_MS : FIRST_CALL_MS)) {
+            if (isReady(sharedSocket == null || serving ? CALL_TIMEOUT_MS : NOT_SERVING_CALL_TIMEOUT_MS)) {
                 break;
             }
-            if (!running()) {
-                if (isEnded()) {
+            if (!isRunning()) {
+                if (isDestroyed()) {
                     throw new InterruptedException("the run is over");
                 }
-                throw new Trouble(
-                        name + " ended before it was ready, with " + last().exitValue() + ": " + log.lastWords());
+                throw new NodeException(
+                        name + " ended before it was ready, with " + latestProcess().exitValue() + ": " + log.lastLines());
             }
             if (System.nanoTime() > until) {
-                throw new Trouble(name + " was not ready after " + READY_MS / 1_000 + " s: " + log.lastWords());
+                throw new NodeException(name + " was not ready after " + READY_TIMEOUT_MS / 1_000 + " s: " + log.lastLines());
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_PERIOD_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "ready", last().pid(), 0);
+        observations.see(What.NODE, name, null, null, null, "ready", latestProcess().pid(), 0);
     }
 
-    private synchronized boolean isEnded() {
-        return ended;
+    private synchronized boolean isDestroyed() {
+        return destroyed;
     }
 
-    private boolean ready(int patienceMs) {
+    private boolean isReady(int patienceMs) {
         try (Socket s = new Socket()) {
             s.connect(addresses.listen(number), patienceMs);
             s.setSoTimeout(patienceMs);
@@ -268,40 +268,40 @@
 
     /** An operators' call to the process that was started last; the answer, or why there is none. */
     public String call(String line) {
-        return call(line, current);
+        return call(line, adminSlot);
     }
 
     private String call(String line, int process) {
         String answer;
-        long sentUs = seen.us();
+        long sentUs = observations.us();
         try (Socket s = new Socket()) {
-            s.connect(addresses.admin(number, process), CALL_MS);
-            s.setSoTimeout(CALL_MS);
+            s.connect(addresses.admin(number, process), CALL_TIMEOUT_MS);
+            s.setSoTimeout(CALL_TIMEOUT_MS);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         } catch (IOException e) {
             answer = "no answer: " + e.getMessage();
         }
-        seen.see(What.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
+        observations.see(What.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
         return answer;
     }
 
     /** Sends a signal to the process that was started last. */
     public void signal(String signal) throws IOException, InterruptedException {
-        signal(signal, last());
+        signal(signal, latestProcess());
     }
 
     private void signal(String signal, Process to) throws IOException, InterruptedException {
         if (to.isAlive()) {
             if (signal.equals("TERM")) {
-                termsUs.putIfAbsent(to.pid(), seen.us());
+                termSentAtUs.putIfAbsent(to.pid(), observations.us());
             }
-            seen.see(What.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
+            observations.see(What.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
             new ProcessBuilder("kill", "-" + signal, Long.toString(to.pid()))
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start()
                     .waitFor();
-            seen.see(
+            observations.see(
                     What.NODE,
                     name,
                     null,
@@ -315,7 +315,7 @@
 
     /** Writes the configuration anew, with discovery where it is now, and asks for a reload. */
     public void reload() throws IOException, InterruptedException {
-        TimeUnit.NANOSECONDS.sleep(launchedNanos + FIRST_RELOAD_NANOS - System.nanoTime());
+        TimeUnit.NANOSECONDS.sleep(launchedNanos + MIN_RELOAD_DELAY_NANOS - System.nanoTime());
         Files.write(
                 folder.resolve("config.json"),
                 NodeConfig.write(
@@ -325,16 +325,16 @@
 
     /** Asks the process to leave and sends SIGKILL {@code patienceMs} later; true where it left by itself. */
     public boolean stop(long patienceMs) throws IOException, InterruptedException {
-        return stop(last(), patienceMs);
+        return stop(latestProcess(), patienceMs);
     }
 
     /** As {@link #stop(long)}, and asks for a reload and once more for the end soon after the first time. */
-    public void stopBySeries(long patienceMs) throws IOException, InterruptedException {
-        Process p = last();
+    public void stopWithRepeatedSignals(long patienceMs) throws IOException, InterruptedException {
+        Process p = latestProcess();
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
         signal("TERM", p);
         signal("HUP", p);
-        p.waitFor(SERIES_MS, TimeUnit.MILLISECONDS);
+        p.waitFor(REPEATED_SIGNAL_DELAY_MS, TimeUnit.MILLISECONDS);
         signal("TERM", p);
         if (!p.waitFor(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS)) {
             signal("KILL", p);
@@ -353,35 +353,35 @@
     }
 
     /** A second process beside the running one takes over: its health says yes, then the old one is asked to leave. */
-    public void replace(long patienceMs) throws IOException, InterruptedException, Trouble {
-        if (shared == null) {
-            throw new Trouble(name + ": can't be replaced: its clients' socket is not the laboratory's");
+    public void replace(long patienceMs) throws IOException, InterruptedException, NodeException {
+        if (sharedSocket == null) {
+            throw new NodeException(name + ": can't be replaced: its clients' socket is not the laboratory's");
         }
-        Process old = last();
-        int process = 1 - current;
+        Process old = latestProcess();
+        int process = 1 - adminSlot;
         launch(process);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (!call("health", process).startsWith("ACK")) {
-            if (isEnded()) {
+            if (isDestroyed()) {
                 throw new InterruptedException("the run is over");
             }
-            if (!last().isAlive() || System.nanoTime() > until) {
-                throw new Trouble(name + ": the process that was to take over did not: " + log.lastWords());
+            if (!latestProcess().isAlive() || System.nanoTime() > until) {
+                throw new NodeException(name + ": the process that was to take over did not: " + log.lastLines());
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_PERIOD_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
+        observations.see(What.NODE, name, null, null, null, "serving", latestProcess().pid(), 0);
         stop(old, patienceMs);
     }
 
     /** What the process that was started last has cost so far, "cpu_s" and "rss_mb", and how many "starts" there were. */
-    public synchronized Map<String, Double> cost() {
+    public synchronized Map<String, Double> resourceUsage() {
         Map<String, Double> cost = new TreeMap<>();
         cost.put("starts", (double) processes.size());
-        if (running()) {
-            last().info().totalCpuDuration().ifPresent(d -> cost.put("cpu_s", d.toMillis() / 1e3));
+        if (isRunning()) {
+            latestProcess().info().totalCpuDuration().ifPresent(d -> cost.put("cpu_s", d.toMillis() / 1e3));
             try {
-                for (String line : Files.readAllLines(Path.of("/proc/" + last().pid() + "/status"))) {
+                for (String line : Files.readAllLines(Path.of("/proc/" + latestProcess().pid() + "/status"))) {
                     if (line.startsWith("VmRSS:")) {
                         cost.put("rss_mb", Double.parseDouble(line.replaceAll("\\D", "")) / 1024);
                     }
@@ -394,9 +394,9 @@
     }
 
     /** Ends all of its processes at once, by id, whatever state they are in. */
-    public void end() {
+    public void destroy() {
         synchronized (this) {
-            ended = true;
+            destroyed = true;
             for (Process p : processes) {
                 p.descendants().forEach(ProcessHandle::destroyForcibly);
                 p.destroyForcibly();
@@ -410,15 +410,15 @@
             }
         }
         try {
-            if (shared != null) {
-                shared.close();
+            if (sharedSocket != null) {
+                sharedSocket.close();
             }
         } catch (IOException e) {
             // The laboratory's end closes it.
         }
     }
 
-    private static void empty(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (java.util.stream.Stream<Path> all = Files.walk(folder)) {
                 for (Path p : all.sorted(java.util.Comparator.reverseOrder()).toList()) {
--- a/src/main/java/rushproxy/lab/node/NodeLog.java
+++ b/src/main/java/rushproxy/lab/node/NodeLog.java
@@ -13,7 +13,7 @@
 final class NodeLog {
     private static final String SERVES = " serves on ";
     private static final Pattern LEAVES = Pattern.compile("leaves after (\\d+) ms");
-    private static final int LAST_WORDS = 3;
+    private static final int LAST_LINES = 3;
 
     private final Path file;
 
@@ -34,7 +34,7 @@
     }
 
     /** Whether a process that has written from this byte on says that it takes clients. */
-    boolean saysItServes(long sinceByte) {
+    boolean reportsServing(long sinceByte) {
         try {
             byte[] all = Files.readAllBytes(file);
             int since = (int) Math.min(sinceByte, all.length);
@@ -45,7 +45,7 @@
     }
 
     /** How long after it was asked to leave the process that left last did so, in microseconds; empty where none says so. */
-    OptionalLong lastLeftAfterUs() {
+    OptionalLong lastShutdownDurationUs() {
         OptionalLong afterUs = OptionalLong.empty();
         try {
             for (String line : lines()) {
@@ -60,12 +60,12 @@
         return afterUs;
     }
 
-    String lastWords() {
+    String lastLines() {
         try {
             List<String> lines = lines();
             return lines.isEmpty()
                     ? "its log is empty"
-                    : String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_WORDS), lines.size()));
+                    : String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
         } catch (IOException e) {
             return "its log can't be read: " + e.getMessage();
         }
--- a/src/main/java/rushproxy/lab/node/Keeper.java
+++ b/src/main/java/rushproxy/lab/node/ProcessReaper.java
@@ -11,7 +11,7 @@
  * Ends a laboratory's processes, by id, where the laboratory itself was ended by SIGKILL and can't: a shell that is told each
  * of them, and acts when its input ends. Belongs to one run, whose end closes it.
  */
-public final class Keeper implements AutoCloseable {
+public final class ProcessReaper implements AutoCloseable {
     /** An id is told with its process's start: the kernel may have given the id to somebody else. Ctrl-C reaches the shell too. */
     private static final String SCRIPT = """
             trap '' INT TERM HUP
@@ -25,7 +25,7 @@
     private final Process shell;
     private final OutputStream told;
 
-    public Keeper() throws IOException {
+    public ProcessReaper() throws IOException {
         shell = new ProcessBuilder("/bin/sh", "-c", SCRIPT)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
--- a/src/main/java/rushproxy/lab/node/ProcessorWaits.java
+++ b/src/main/java/rushproxy/lab/node/ProcessorWaitMonitor.java
@@ -15,7 +15,7 @@
  * Sees by the kernel's figures for how long event loops were ready to run and had to wait for a processor: the laboratory's own, and that
  * of each sidecar. What callers miss meanwhile is the machine's. Belongs to one thread; sees nothing on a kernel that has no such figures.
  */
-public final class ProcessorWaits {
+public final class ProcessorWaitMonitor {
     /** How often to look. */
     public static final long EVERY_MS = 100;
     /** The kernel's names of a sidecar's event loop and of its virtual machine's own thread. */
@@ -38,7 +38,7 @@
         /** Null where it is not known. */
         private final Path machine;
 
-        private LoopWait wait;
+        private LoopWaitTracker wait;
         private long sinceUs;
 
         Watched(long pid, Path loop, Path machine) {
@@ -49,7 +49,7 @@
     }
 
     /** {@code laboratory}: the kernel's figures for the laboratory's loop; null where it has none. */
-    public ProcessorWaits(Observations seen, Path laboratory) {
+    public ProcessorWaitMonitor(Observations seen, Path laboratory) {
         this.seen = seen;
         this.laboratory = laboratory == null ? null : laboratory.getParent();
     }
@@ -99,7 +99,7 @@
             return;
         }
         if (of.wait == null) {
-            of.wait = new LoopWait(loop, machine);
+            of.wait = new LoopWaitTracker(loop, machine);
         } else {
             double waitedMs = of.wait.since(loop, machine, (now - of.sinceUs) / US_A_MS);
             if (waitedMs >= LEAST_MS) {
--- a/src/main/java/rushproxy/lab/node/SharedSocket.java
+++ b/src/main/java/rushproxy/lab/node/SharedSocket.java
@@ -16,11 +16,11 @@
  * {@code java.base/java.io} opened, which the jar's manifest does.
  */
 public final class SharedSocket implements AutoCloseable {
-    private static final Object ONE_AT_A_TIME = new Object();
+    private static final Object DESCRIPTOR_LOCK = new Object();
     private static final int BACKLOG = 256;
 
     /** Starts a process. */
-    public interface Start<T> {
+    public interface ProcessStarter<T> {
         T start() throws IOException;
     }
 
@@ -39,13 +39,13 @@
     }
 
     /** {@code start} starts a process whose standard input is inherited: it gets this socket. */
-    public <T> T inherited(Start<T> start) throws IOException {
-        synchronized (ONE_AT_A_TIME) {
+    public <T> T startInheriting(ProcessStarter<T> start) throws IOException {
+        synchronized (DESCRIPTOR_LOCK) {
             try {
                 Class<?> channel = Class.forName("sun.nio.ch.InheritedChannel");
-                Method dup = opened(channel.getDeclaredMethod("dup", int.class));
-                Method dup2 = opened(channel.getDeclaredMethod("dup2", int.class, int.class));
-                Method close = opened(channel.getDeclaredMethod("close0", int.class));
+                Method dup = makeAccessible(channel.getDeclaredMethod("dup", int.class));
+                Method dup2 = makeAccessible(channel.getDeclaredMethod("dup2", int.class, int.class));
+                Method close = makeAccessible(channel.getDeclaredMethod("close0", int.class));
                 Field of = Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fd");
                 of.setAccessible(true);
                 Field number = FileDescriptor.class.getDeclaredField("fd");
@@ -68,7 +68,7 @@
         }
     }
 
-    private static Method opened(Method method) {
+    private static Method makeAccessible(Method method) {
         method.setAccessible(true);
         return method;
     }
--- a/src/main/java/rushproxy/lab/node/SystemFaults.java
+++ b/src/main/java/rushproxy/lab/node/SystemFaults.java
@@ -18,11 +18,11 @@
  */
 public final class SystemFaults {
     private static final String SOURCE = "faults.c";
-    private static final int SIZE = 4096;
-    private static final int SEED_AT = 8;
-    private static final int CHANCES_AT = 16;
-    private static final double CHANCE_UNIT = 1e6;
-    private static final long COMPILE_S = 60;
+    private static final int CONTROL_SIZE_BYTES = 4096;
+    private static final int SEED_OFFSET = 8;
+    private static final int PROBABILITIES_OFFSET = 16;
+    private static final double PROBABILITY_SCALE = 1e6;
+    private static final long COMPILE_TIMEOUT_S = 60;
 
     /** Calls that may fail, in the order of the library's control block. */
     public enum Call {
@@ -53,18 +53,18 @@
     }
 
     private final Path library;
-    private final Path control;
-    private final MappedByteBuffer block;
+    private final Path controlFile;
+    private final MappedByteBuffer controlBlock;
 
     private SystemFaults(Path library, Path control, long seed) throws IOException {
         this.library = library;
-        this.control = control;
-        Files.write(control, new byte[SIZE]);
+        this.controlFile = control;
+        Files.write(control, new byte[CONTROL_SIZE_BYTES]);
         try (FileChannel channel = FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            block = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE);
+            controlBlock = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_SIZE_BYTES);
         }
-        block.order(ByteOrder.nativeOrder());
-        block.putLong(SEED_AT, seed);
+        controlBlock.order(ByteOrder.nativeOrder());
+        controlBlock.putLong(SEED_OFFSET, seed);
     }
 
     /** Compiles the library into the folder; empty, with no library, where the machine has no C compiler. */
@@ -84,15 +84,15 @@
         } catch (IOException e) {
             return Optional.empty();
         }
-        if (!compiler.waitFor(COMPILE_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+        if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             compiler.destroyForcibly();
             throw new IOException("the library of faults does not compile");
         }
         return Optional.of(library);
     }
 
-    /** Faults for one process, none of which is on yet; {@code control} is a file of their own. */
-    public static SystemFaults with(Path library, Path control, long seed) throws IOException {
+    /** Faults for one process, none of which is on yet; {@code controlFile} is a file of their own. */
+    public static SystemFaults create(Path library, Path control, long seed) throws IOException {
         return new SystemFaults(library, control, seed);
     }
 
@@ -102,23 +102,23 @@
                 "LD_PRELOAD",
                 library.toAbsolutePath().toString(),
                 "FAULTS_CONTROL",
-                control.toAbsolutePath().toString());
+                controlFile.toAbsolutePath().toString());
     }
 
     /** The process's wall clock is off by so much from now on; its monotonic clock is not. */
     public void stepWallClock(long ms) {
-        block.putLong(0, TimeUnit.MILLISECONDS.toNanos(ms));
+        controlBlock.putLong(0, TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
     /** From now on such a call fails by this chance; 0 ends it. */
-    public void set(Call call, double chance) {
-        block.putInt(CHANCES_AT + Integer.BYTES * call.ordinal(), (int) Math.round(chance * CHANCE_UNIT));
+    public void setProbability(Call call, double chance) {
+        controlBlock.putInt(PROBABILITIES_OFFSET + Integer.BYTES * call.ordinal(), (int) Math.round(chance * PROBABILITY_SCALE));
     }
 
     /** All calls work again, and the wall clock is right. */
     public void clear() {
         for (Call c : Call.values()) {
-            set(c, 0);
+            setProbability(c, 0);
         }
         stepWallClock(0);
     }
--- a/src/main/java/rushproxy/lab/node/ThreadSample.java
+++ b/src/main/java/rushproxy/lab/node/ThreadSample.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether it was ready at both moments and never ran between them: it waited for a processor all the while. */
-    boolean waitedSince(ThreadSample before) {
+    boolean hasWaitedSince(ThreadSample before) {
         return ready && before.ready && ranNanos == before.ranNanos;
     }
 }
--- a/src/main/java/rushproxy/lab/report/Figures.java
+++ b/src/main/java/rushproxy/lab/report/Figures.java
@@ -63,19 +63,19 @@
                 by.getOrDefault("refused", 0) / n,
                 by.getOrDefault("failed", 0) / n,
                 asked == 0 ? 0 : earned / asked,
-                ms(latency, 50),
-                ms(latency, 90),
-                ms(latency, 99),
+                percentileMs(latency, 50),
+                percentileMs(latency, 90),
+                percentileMs(latency, 99),
                 latency.getMaxValue() / 1e3,
                 runs / n);
     }
 
-    private static double ms(Histogram latency, double percentile) {
+    private static double percentileMs(Histogram latency, double percentile) {
         return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1e3;
     }
 
     /** The figure by the name that a scenario has for it. */
-    public double named(String figure) {
+    public double valueOf(String figure) {
         return switch (figure) {
             case "served" -> served;
             case "worth" -> worth;
@@ -89,7 +89,7 @@
         };
     }
 
-    /** Names for {@link #named}, as sweeps list them. */
+    /** Names for {@link #valueOf}, as sweeps list them. */
     public static final List<String> NAMES =
             List.of("served", "worth", "refused", "failed", "p50_ms", "p99_ms", "runs_per_request");
 
@@ -150,9 +150,9 @@
                     b.getOrDefault("late", 0),
                     b.getOrDefault("refused", 0),
                     b.getOrDefault("failed", 0),
-                    none ? null : ms(h, 50),
-                    none ? null : ms(h, 90),
-                    none ? null : ms(h, 99),
+                    none ? null : percentileMs(h, 50),
+                    none ? null : percentileMs(h, 90),
+                    none ? null : percentileMs(h, 99),
                     held.get(s),
                     late[s]));
         }
--- a/src/main/java/rushproxy/lab/report/Report.java
+++ b/src/main/java/rushproxy/lab/report/Report.java
@@ -32,8 +32,8 @@
             .configure(MapperFeature.SORT_PROPERTIES_ALPHABETICALLY, false)
             .serializationInclusion(JsonInclude.Include.NON_NULL)
             .build();
-    private static final String PLOTS = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
-    private static final int MOST_HISTORIES = 20;
+    private static final String UPLOT_PATH = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
+    private static final int MAX_HISTORIES = 20;
 
     private Report() {}
 
@@ -41,14 +41,14 @@
         Files.createDirectories(folder);
         JSON.writerWithDefaultPrettyPrinter()
                 .writeValue(folder.resolve("scenario.json").toFile(), run.scenario());
-        lines(folder.resolve("events.jsonl"), run.all());
-        lines(folder.resolve("figures.jsonl"), Figures.seconds(run));
+        writeLines(folder.resolve("events.jsonl"), run.all());
+        writeLines(folder.resolve("figures.jsonl"), Figures.seconds(run));
         JSON.writerWithDefaultPrettyPrinter()
                 .writeValue(folder.resolve("summary.json").toFile(), summary);
         Files.writeString(folder.resolve("report.html"), html(run, summary));
     }
 
-    private static void lines(Path file, List<?> all) throws IOException {
+    private static void writeLines(Path file, List<?> all) throws IOException {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
             for (Object one : all) {
                 out.write(JSON.writeValueAsString(one));
@@ -89,25 +89,25 @@
 
     private static String html(Run run, Summary summary) throws IOException {
         return resource("/rushproxy/lab/report.html")
-                .replace("/*PLOT_CSS*/", resource(PLOTS + "uPlot.min.css"))
-                .replace("/*PLOT_JS*/", resource(PLOTS + "uPlot.iife.min.js"))
-                .replace("<!--TITLE-->", escape(summary.scenario() + ", seed " + summary.seed()))
-                .replace("<!--VERDICT-->", escape(summary.verdict()))
+                .replace("/*PLOT_CSS*/", resource(UPLOT_PATH + "uPlot.min.css"))
+                .replace("/*PLOT_JS*/", resource(UPLOT_PATH + "uPlot.iife.min.js"))
+                .replace("<!--TITLE-->", escapeHtml(summary.scenario() + ", seed " + summary.seed()))
+                .replace("<!--VERDICT-->", escapeHtml(summary.verdict()))
                 .replace("<!--BODY-->", body(run, summary))
-                .replace("/*DATA*/null", data(run));
+                .replace("/*DATA*/null", chartData(run));
     }
 
     /** Text that stands between tags. */
-    static String escape(String text) {
+    static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
     private static String body(Run run, Summary s) {
         StringBuilder html = new StringBuilder();
-        html.append("<p>").append(escape(run.scenario().about())).append("</p>");
+        html.append("<p>").append(escapeHtml(run.scenario().about())).append("</p>");
         if (!s.why().isEmpty()) {
             html.append("<ul>");
-            s.why().forEach(w -> html.append("<li>").append(escape(w)).append("</li>"));
+            s.why().forEach(w -> html.append("<li>").append(escapeHtml(w)).append("</li>"));
             html.append("</ul>");
         }
         Figures f = s.figures();
@@ -130,15 +130,15 @@
                 f.maxMs(),
                 f.runsPerRequest()));
         html.append("<h2>The laboratory's own lateness, ms</h2><p>")
-                .append(escape(s.lateness().toString()))
+                .append(escapeHtml(s.lateness().toString()))
                 .append("</p>");
         html.append("<h2>Sidecars</h2><table><tr><th></th>");
         TreeSet<String> columns = new TreeSet<>();
         s.nodes().values().forEach(n -> columns.addAll(n.keySet()));
-        columns.forEach(c -> html.append("<th>").append(escape(c)).append("</th>"));
+        columns.forEach(c -> html.append("<th>").append(escapeHtml(c)).append("</th>"));
         html.append("</tr>");
         for (Map.Entry<String, Map<String, Double>> n : s.nodes().entrySet()) {
-            html.append("<tr><td>").append(escape(n.getKey())).append("</td>");
+            html.append("<tr><td>").append(escapeHtml(n.getKey())).append("</td>");
             columns.forEach(c -> html.append("<td>")
                     .append(
                             n.getValue().containsKey(c)
@@ -152,26 +152,26 @@
         if (!s.violations().isEmpty()) {
             html.append("<h2>Rules broken</h2>");
             for (Violation v : s.violations()
-                    .subList(0, Math.min(MOST_HISTORIES, s.violations().size()))) {
+                    .subList(0, Math.min(MAX_HISTORIES, s.violations().size()))) {
                 html.append(String.format(
                         Locale.ROOT,
                         "<p><b>%s</b> at %.3f s: %s</p>",
-                        escape(v.rule()),
+                        escapeHtml(v.rule()),
                         v.us() / 1e6,
-                        escape(v.words())));
+                        escapeHtml(v.words())));
                 if (v.id() != null) {
-                    html.append("<pre>").append(escape(run.history(v.id()))).append("</pre>");
+                    html.append("<pre>").append(escapeHtml(run.history(v.id()))).append("</pre>");
                 }
             }
         }
         return html.toString();
     }
 
-    private record Shade(double from, double to, String words) {}
+    private record FaultInterval(double from, double to, String words) {}
 
-    private static String data(Run run) throws IOException {
-        List<Shade> shades = run.scenario().faults().stream()
-                .map(f -> new Shade(f.atUs() / 1e6, (f.atUs() + Math.max(f.forUs(), 100_000)) / 1e6, f.words()))
+    private static String chartData(Run run) throws IOException {
+        List<FaultInterval> shades = run.scenario().faults().stream()
+                .map(f -> new FaultInterval(f.atUs() / 1e6, (f.atUs() + Math.max(f.forUs(), 100_000)) / 1e6, f.words()))
                 .toList();
         // A '<' within a script could end it.
         return JSON.copy()
--- a/src/main/java/rushproxy/lab/scale/RealSidecars.java
+++ b/src/main/java/rushproxy/lab/scale/RealSidecars.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import rushproxy.lab.node.Build;
-import rushproxy.lab.node.Keeper;
+import rushproxy.lab.node.ProcessReaper;
 import rushproxy.lab.world.Addresses;
 
 /** Processes of the sidecar that are members of a scale run's fleet, without requests and without discovery. */
@@ -33,7 +33,7 @@
     private final List<InetSocketAddress> peers;
     private final Build build;
     private final Path folder;
-    private final Keeper keeper;
+    private final ProcessReaper keeper;
     private final List<Running> running = new ArrayList<>();
 
     RealSidecars(ScalePlan plan, Addresses addresses, List<InetSocketAddress> peers, Build build, Path folder)
@@ -43,7 +43,7 @@
         this.peers = peers;
         this.build = build;
         this.folder = folder;
-        keeper = new Keeper();
+        keeper = new ProcessReaper();
     }
 
     void start() throws IOException {
--- a/src/main/java/rushproxy/lab/soak/Soak.java
+++ b/src/main/java/rushproxy/lab/soak/Soak.java
@@ -24,7 +24,7 @@
     }
 
     /** One play of the plan. */
-    public Summary play(SoakPlan plan, String name) throws IOException, InterruptedException, ScenarioException {
+    public Summary run(SoakPlan plan, String name) throws IOException, InterruptedException, ScenarioException {
         Path at = folder.resolve(name);
         Files.createDirectories(at);
         Files.writeString(at.resolve("plan.toml"), plan.toml());
@@ -32,14 +32,14 @@
     }
 
     /** Leaves out one fault after the other for as long as the rest still breaks a rule; at most so many plays. */
-    public SoakPlan shrink(SoakPlan failing, int mostPlays)
+    public SoakPlan shrink(SoakPlan failing, int maxRuns)
             throws IOException, InterruptedException, ScenarioException {
         SoakPlan least = failing;
         int plays = 0;
-        for (int i = least.faults().size() - 1; i >= 0 && plays < mostPlays; i--) {
+        for (int i = least.faults().size() - 1; i >= 0 && plays < maxRuns; i--) {
             SoakPlan without = least.without(i);
             String name = "shrink-" + failing.seed() + "-" + ++plays;
-            boolean fails = play(without, name).verdict().equals(BROKEN);
+            boolean fails = run(without, name).verdict().equals(BROKEN);
             progress.says(name + ": " + without.faults().size() + " faults, " + (fails ? "still fails" : "holds"));
             if (fails) {
                 least = without;
--- a/src/main/java/rushproxy/lab/soak/SoakPlan.java
+++ b/src/main/java/rushproxy/lab/soak/SoakPlan.java
@@ -18,18 +18,18 @@
  * @param faults one table of the scenario file each
  */
 public record SoakPlan(long seed, String head, List<String> faults) {
-    private static final double RATE_PER_NODE = 8;
+    private static final double RATE_PER_NODE_PER_S = 8;
     private static final double FIRST_FAULT_S = 1;
     /** Faults begin this long before the end, so that their recovery is seen. */
-    private static final double LAST_FAULT_S = 4;
+    private static final double FAULT_FREE_END_S = 4;
 
     private static final double FAULTS_PER_S = 0.7;
     /** Sidecars of which a fault takes a part at once. */
-    private static final int MOST_AT_ONCE = 3;
+    private static final int MAX_AFFECTED_NODES = 3;
 
     /** The plan of this seed, for so many sidecars and so many seconds. */
-    public static SoakPlan draw(long seed, int nodes, double lengthS) {
-        return new Draw(seed, nodes, lengthS).plan();
+    public static SoakPlan generate(long seed, int nodes, double lengthS) {
+        return new Generator(seed, nodes, lengthS).plan();
     }
 
     /** The same plan without its i-th fault. */
@@ -49,14 +49,14 @@
         return ScenarioReader.parse("soak-" + seed, toml(), Map.of());
     }
 
-    private static final class Draw {
+    private static final class Generator {
         private final UniformRandomProvider random;
         private final long seed;
         private final int nodes;
         private final double lengthS;
         private final int servers;
 
-        Draw(long seed, int nodes, double lengthS) {
+        Generator(long seed, int nodes, double lengthS) {
             this.seed = seed;
             this.nodes = nodes;
             this.lengthS = lengthS;
@@ -68,7 +68,7 @@
             String head = head();
             boolean replaced = random.nextInt(4) == 0;
             List<String> faults = new ArrayList<>();
-            int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - LAST_FAULT_S) * FAULTS_PER_S);
+            int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - FAULT_FREE_END_S) * FAULTS_PER_S);
             for (int i = 0; i < count; i++) {
                 faults.add(fault(replaced));
             }
@@ -122,7 +122,7 @@
                     requestClass("read", "safe"),
                     requestClass("book", "unsafe"),
                     requestClass("log", "keyed"),
-                    RATE_PER_NODE * nodes,
+                    RATE_PER_NODE_PER_S * nodes,
                     random.nextInt(3));
         }
 
@@ -150,7 +150,7 @@
 
         private String nodesHit() {
             StringBuilder names = new StringBuilder();
-            int count = 1 + random.nextInt(Math.min(MOST_AT_ONCE, Math.max(1, nodes / 3)));
+            int count = 1 + random.nextInt(Math.min(MAX_AFFECTED_NODES, Math.max(1, nodes / 3)));
             int first = random.nextInt(nodes);
             for (int i = 0; i < count; i++) {
                 names.append(i == 0 ? "" : ", ")
@@ -175,7 +175,7 @@
 
         private String fault(boolean replaced) {
             return String.format(
-                            Locale.ROOT, "[[faults]]%nat_s = %.2f%n", between(FIRST_FAULT_S, lengthS - LAST_FAULT_S))
+                            Locale.ROOT, "[[faults]]%nat_s = %.2f%n", between(FIRST_FAULT_S, lengthS - FAULT_FREE_END_S))
                     + switch (random.nextInt(27)) {
                         case 0 -> "do = \"kill\"\n" + nodesHit() + lasts(0.3, 1.5);
                         case 1, 2 ->
--- a/src/test/java/rushproxy/known/KnownRedEntry.java
+++ b/src/test/java/rushproxy/known/KnownRedEntry.java
@@ -12,7 +12,7 @@
  * @param seen    the symptom
  * @param issue   the number of the open issue
  */
-record KnownRedEntry(String test, String command, String seed, String seen, int issue) {
+record KnownRedEntry(String test, String command, String seed, String symptom, int issue) {
     private static final String FIELD = "([^| ][^|]*)";
     private static final Pattern LINE = Pattern.compile("(\\w+#\\w+) \\| command: " + FIELD + " \\| seed: " + FIELD
             + " \\| seen: " + FIELD + " \\| issue: ([0-9]+)");
--- a/src/test/java/rushproxy/known/KnownRedTest.java
+++ b/src/test/java/rushproxy/known/KnownRedTest.java
@@ -14,13 +14,13 @@
 
 /** A list of known failures is taken by CI and by the tests only where each entry has all of its parts. */
 class KnownRedTest {
-    private static final String WHOLE =
+    private static final String COMPLETE_ENTRY =
             "LabIT#some | command: mvn -B verify -Dit.test='LabIT#some' | seed: 7 | seen: one of 50 failed | issue: 34";
 
     @TempDir
     Path folder;
 
-    private int checkedByCi(String... lines) throws Exception {
+    private int ciCheckExitCode(String... lines) throws Exception {
         Path list = folder.resolve("list");
         Files.write(list, java.util.List.of(lines));
         Process check = new ProcessBuilder("bash", ".ci/known-red", list.toString())
@@ -32,11 +32,11 @@
     }
 
     @Test
-    void aWholeEntryIsTaken() throws Exception {
-        assertEquals(0, checkedByCi(WHOLE));
+    void completeEntryIsAccepted() throws Exception {
+        assertEquals(0, ciCheckExitCode(COMPLETE_ENTRY));
         assertEquals(
                 new KnownRedEntry("LabIT#some", "mvn -B verify -Dit.test='LabIT#some'", "7", "one of 50 failed", 34),
-                KnownRedEntry.parse(WHOLE));
+                KnownRedEntry.parse(COMPLETE_ENTRY));
     }
 
     @ParameterizedTest
@@ -51,18 +51,18 @@
                 "LabIT#some | command: x | seed: 7 | seen: one of 50 failed | issue: soon",
                 "LabIT | command: x | seed: 7 | seen: one of 50 failed | issue: 34"
             })
-    void anEntryThatLacksAPartIsRefused(String line) throws Exception {
-        assertEquals(1, checkedByCi(WHOLE, line));
+    void incompleteEntryIsRejected(String line) throws Exception {
+        assertEquals(1, ciCheckExitCode(COMPLETE_ENTRY, line));
         assertThrows(IllegalArgumentException.class, () -> KnownRedEntry.parse(line));
     }
 
     @Test
-    void aLongListIsRefused() throws Exception {
-        assertEquals(1, checkedByCi(WHOLE, WHOLE, WHOLE, WHOLE));
+    void tooLongListIsRejected() throws Exception {
+        assertEquals(1, ciCheckExitCode(COMPLETE_ENTRY, COMPLETE_ENTRY, COMPLETE_ENTRY, COMPLETE_ENTRY));
     }
 
     @Test
-    void theListOfThisProjectIsWhole() {
+    void projectListIsWellFormed() {
         Path list = Path.of("KNOWN-RED.txt");
         if (Files.exists(list)) {
             KnownRed.read(list);
--- a/src/test/java/rushproxy/lab/SoakIT.java
+++ b/src/test/java/rushproxy/lab/SoakIT.java
@@ -36,19 +36,19 @@
     @Test
     void aPlanIsTheSameForItsSeedAndCanBeReadAgain() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
-            SoakPlan plan = SoakPlan.draw(seed, NODES, LENGTH_S);
-            assertEquals(plan, SoakPlan.draw(seed, NODES, LENGTH_S));
+            SoakPlan plan = SoakPlan.generate(seed, NODES, LENGTH_S);
+            assertEquals(plan, SoakPlan.generate(seed, NODES, LENGTH_S));
             assertEquals(plan.faults().size(), plan.scenario().faults().size(), plan.toml());
             assertEquals(plan.faults().size() - 1, plan.without(0).faults().size());
         }
-        assertFalse(SoakPlan.draw(1, NODES, LENGTH_S).equals(SoakPlan.draw(2, NODES, LENGTH_S)));
+        assertFalse(SoakPlan.generate(1, NODES, LENGTH_S).equals(SoakPlan.generate(2, NODES, LENGTH_S)));
     }
 
     /** Two seeds whose plans hold a restart, spoilt answers and faults of the system between them. */
     @ParameterizedTest
     @CsvSource({"3", "8"})
     void aShortSoakHolds(long seed) throws Exception {
-        Summary s = soak().play(SoakPlan.draw(seed, NODES, LENGTH_S), "seed-" + seed);
+        Summary s = soak().run(SoakPlan.generate(seed, NODES, LENGTH_S), "seed-" + seed);
         assertEquals("held", s.verdict(), s.why() + " " + s.violations());
         assertTrue(s.figures().requests() > 300, s.figures().toString());
         assertTrue(Files.exists(folder.resolve("seed-" + seed).resolve("plan.toml")));
--- a/src/test/java/rushproxy/lab/node/AddressProbeTest.java
+++ b/src/test/java/rushproxy/lab/node/AddressProbeTest.java
@@ -13,7 +13,7 @@
 class AddressProbeTest {
     /** Guards against a look that lets a client's connection come up and resets it at its end, which counts as a sidecar's loss. */
     @Test
-    void whoConnectsMeanwhileIsRefused() throws Exception {
+    void connectionsAreRefusedWhileAddressIsProbed() throws Exception {
         try (Addresses own = Addresses.take()) {
             InetSocketAddress address = own.listen(0);
             try (AddressProbe probe = new AddressProbe(address);
--- a/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
+++ b/src/test/java/rushproxy/sidecar/FaultInjectionIT.java
@@ -68,7 +68,7 @@
         if (library.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(SystemFaults.with(library.get(), folder.resolve("control"), 7));
+        return Optional.of(SystemFaults.create(library.get(), folder.resolve("control"), 7));
     }
 
     /** How the answer on this connection ends for its client: "whole", "broken", "failed", or "open" where it has no end by then. */
@@ -353,13 +353,13 @@
                     line.answer("200 OK", "", m.header("X-Txn"));
                 },
                 faults.get().environment());
-        faults.get().set(Call.READ_INTERRUPTED, 0.03);
-        faults.get().set(Call.WAIT_INTERRUPTED, 0.02);
-        faults.get().set(Call.READ_SHORT, 0.2);
-        faults.get().set(Call.WRITE_SHORT, 0.2);
-        faults.get().set(Call.ACCEPT_FAILS, 0.1);
-        faults.get().set(Call.SOCKET_FAILS, 0.05);
-        faults.get().set(Call.CONNECT_FAILS, 0.05);
+        faults.get().setProbability(Call.READ_INTERRUPTED, 0.03);
+        faults.get().setProbability(Call.WAIT_INTERRUPTED, 0.02);
+        faults.get().setProbability(Call.READ_SHORT, 0.2);
+        faults.get().setProbability(Call.WRITE_SHORT, 0.2);
+        faults.get().setProbability(Call.ACCEPT_FAILS, 0.1);
+        faults.get().setProbability(Call.SOCKET_FAILS, 0.05);
+        faults.get().setProbability(Call.CONNECT_FAILS, 0.05);
         ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
         List<Thread> clients = new ArrayList<>();
         for (int n = 0; n < 16; n++) {
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -87,12 +87,12 @@
     void theLoopWaitsWhileCallsFail(Call call) throws Exception {
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
-        SystemFaults faults = SystemFaults.with(library.get(), folder.resolve("control"), 7);
+        SystemFaults faults = SystemFaults.create(library.get(), folder.resolve("control"), 7);
         try (StandIns standIns = new StandIns()) {
             standIns.servers(2, (message, line) -> {});
             SidecarProcess sidecar = standIns.start(folder, faults.environment());
             clientsThatDoNothingGood(sidecar);
-            faults.set(call, 1);
+            faults.setProbability(call, 1);
             clientsThatDoNothingGood(sidecar);
             Thread.sleep(SETTLED_MS);
             Path loop = loopOf(sidecar);
--- a/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/MomentaryFailuresIT.java
@@ -63,7 +63,7 @@
         standIns = new StandIns();
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
-        faults = SystemFaults.with(library.get(), folder.resolve("control"), SEED);
+        faults = SystemFaults.create(library.get(), folder.resolve("control"), SEED);
         standIns.servers(SERVERS, (m, line) -> {
             runs.merge(m.header("X-Txn"), 1, Integer::sum);
             line.answer("200 OK", "", m.header("X-Txn"));
@@ -94,7 +94,7 @@
             })
     void newConnectionsAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
+        faults.setProbability(call, CHANCE);
         play(client -> {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 try (Peer.Client connection = sidecar.client()) {
@@ -110,7 +110,7 @@
     @EnumSource(names = {"OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS", "READ_FAILS", "SEND_FAILS"})
     void connectionsThatStayOpenAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
+        faults.setProbability(call, CHANCE);
         play(client -> {
             try (Peer.Client connection = sidecar.client()) {
                 for (int i = 0; i < REQUESTS_EACH; i++) {
@@ -126,7 +126,7 @@
     @EnumSource(names = {"SOCKET_FAILS", "OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS"})
     void aProcessStarts(Call call) throws Exception {
         for (int i = 0; i < STARTS; i++) {
-            faults.set(call, OFTEN);
+            faults.setProbability(call, OFTEN);
             start();
             faults.clear();
             try (Peer.Client connection = sidecar.client()) {
@@ -142,7 +142,7 @@
     void aProcessTakesAHeldSocket() throws Exception {
         try (SharedSocket socket = new SharedSocket(new InetSocketAddress("127.0.0.1", 0))) {
             for (int i = 0; i < STARTS; i++) {
-                faults.set(Call.NAME_FAILS, OFTEN);
+                faults.setProbability(Call.NAME_FAILS, OFTEN);
                 SidecarProcess process = standIns.startOn(socket, folder, faults.environment());
                 faults.clear();
                 try (Peer.Client connection = new Peer.Client(socket.address())) {
@@ -165,7 +165,7 @@
                 line.socket().close();
             };
         }
-        faults.set(call, OFTEN);
+        faults.setProbability(call, OFTEN);
         List<String> failed = new ArrayList<>();
         try (Peer.Client connection = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
@@ -192,7 +192,7 @@
         try (Peer.Client connection = sidecar.client()) {
             request(connection, "safe-first");
         }
-        faults.set(Call.SEND_FAILS, 1);
+        faults.setProbability(Call.SEND_FAILS, 1);
         for (int i = 0; i < CLIENTS; i++) {
             try (Peer.Client connection = sidecar.client()) {
                 connection.send(SidecarProcess.get("safe-left" + i, "safe", REMAINING_MS));
@@ -219,7 +219,7 @@
                 line.socket().close();
             };
         }
-        faults.set(Call.SHUTDOWN_FAILS, OFTEN);
+        faults.setProbability(Call.SHUTDOWN_FAILS, OFTEN);
         List<String> late = new ArrayList<>();
         for (int i = 0; i < REQUESTS_EACH; i++) {
             try (Peer.Client connection = sidecar.client()) {
@@ -249,7 +249,7 @@
                 line.reset();
             };
         }
-        faults.set(Call.OPTION_FAILS, OFTEN);
+        faults.setProbability(Call.OPTION_FAILS, OFTEN);
         List<String> whole = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             try (Peer.Client connection = sidecar.client()) {
@@ -279,7 +279,7 @@
     @EnumSource(names = {"READ_FAILS", "SEND_FAILS", "REGISTER_FAILS", "SHUTDOWN_FAILS", "OPTION_FAILS"})
     void aStopLosesNothing(Call call) throws Exception {
         start();
-        faults.set(call, CHANCE);
+        faults.setProbability(call, CHANCE);
         Thread signal = new Thread(() -> {
             pause();
             try {
