--- a/src/main/java/rushproxy/lab/Lab.java
+++ b/src/main/java/rushproxy/lab/Lab.java
@@ -177,7 +177,7 @@
                 }
                 ProcessorWaitMonitor waits = new ProcessorWaitMonitor(seen, world.processorFigures());
                 times.scheduleWithFixedDelay(
-                        () -> waits.look(nodes), 0, ProcessorWaitMonitor.EVERY_MS, TimeUnit.MILLISECONDS);
+                        () -> waits.sample(nodes), 0, ProcessorWaitMonitor.SAMPLE_PERIOD_MS, TimeUnit.MILLISECONDS);
                 times.scheduleAtFixedRate(
                         () -> progress.says(counts.line((System.nanoTime() - zero) / 1_000_000_000)),
                         1,
--- a/src/main/java/rushproxy/lab/node/LoopWaitTracker.java
+++ b/src/main/java/rushproxy/lab/node/LoopWaitTracker.java
@@ -6,34 +6,34 @@
  * for a processor, the loop does too.
  */
 final class LoopWaitTracker {
-    private static final double NANOS_A_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
     private ThreadSample loop;
     /** Null where it is not known. */
-    private ThreadSample machine;
+    private ThreadSample vmThread;
     /** Of the wait that goes on, what has been told. */
-    private double toldMs;
+    private double reportedMs;
 
     LoopWaitTracker(ThreadSample loop, ThreadSample machine) {
         this.loop = loop;
-        this.machine = machine;
+        this.vmThread = machine;
     }
 
     /** {@code periodMs}: the time since the last look. */
-    double since(ThreadSample loopNow, ThreadSample machineNow, double periodMs) {
-        double overMs = (loopNow.waitedNanos() - loop.waitedNanos()) / NANOS_A_MS;
+    double update(ThreadSample loopNow, ThreadSample machineNow, double periodMs) {
+        double overMs = (loopNow.waitedNanos() - loop.waitedNanos()) / NANOS_PER_MS;
         boolean waits = loopNow.hasWaitedSince(loop);
         boolean stands = loopNow.ranNanos() == loop.ranNanos();
-        boolean machineWaits = stands && machineNow != null && machine != null && machineNow.hasWaitedSince(machine);
+        boolean machineWaits = stands && machineNow != null && vmThread != null && machineNow.hasWaitedSince(vmThread);
         loop = loopNow;
-        machine = machineNow;
+        vmThread = machineNow;
         if (overMs > 0) {
-            double untoldMs = Math.max(0, overMs - toldMs);
-            toldMs = 0;
+            double untoldMs = Math.max(0, overMs - reportedMs);
+            reportedMs = 0;
             return untoldMs;
         }
         if (waits) {
-            toldMs += periodMs;
+            reportedMs += periodMs;
         }
         return waits || machineWaits ? periodMs : 0;
     }
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -191,7 +191,7 @@
                         builder.redirectInput(ProcessBuilder.Redirect.INHERIT).start());
             }
             processes.add(p);
-            keeper.keep(p);
+            keeper.register(p);
             adminSlot = process;
             observations.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
             p.onExit().thenAccept(this::recordExit);
--- a/src/main/java/rushproxy/lab/node/ProcessReaper.java
+++ b/src/main/java/rushproxy/lab/node/ProcessReaper.java
@@ -23,18 +23,18 @@
             """;
 
     private final Process shell;
-    private final OutputStream told;
+    private final OutputStream shellInput;
 
     public ProcessReaper() throws IOException {
         shell = new ProcessBuilder("/bin/sh", "-c", SCRIPT)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        told = shell.getOutputStream();
+        shellInput = shell.getOutputStream();
     }
 
     /** From now on it is ended with the laboratory. One that has ended already is nobody's. */
-    public synchronized void keep(Process p) throws IOException {
+    public synchronized void register(Process p) throws IOException {
         String stat;
         try {
             stat = Files.readString(Path.of("/proc/" + p.pid() + "/stat"));
@@ -43,14 +43,14 @@
         }
         // The second field is the program's name in brackets, and may have any character.
         String start = stat.substring(stat.lastIndexOf(')') + 2).split(" ")[19];
-        told.write((p.pid() + " " + start + "\n").getBytes(StandardCharsets.US_ASCII));
-        told.flush();
+        shellInput.write((p.pid() + " " + start + "\n").getBytes(StandardCharsets.US_ASCII));
+        shellInput.flush();
     }
 
     /** Whoever is left of those it was told of ends now. */
     @Override
     public void close() throws IOException {
-        told.close();
+        shellInput.close();
         try {
             if (!shell.waitFor(5, TimeUnit.SECONDS)) {
                 shell.destroyForcibly();
--- a/src/main/java/rushproxy/lab/node/ProcessorWaitMonitor.java
+++ b/src/main/java/rushproxy/lab/node/ProcessorWaitMonitor.java
@@ -17,22 +17,22 @@
  */
 public final class ProcessorWaitMonitor {
     /** How often to look. */
-    public static final long EVERY_MS = 100;
+    public static final long SAMPLE_PERIOD_MS = 100;
     /** The kernel's names of a sidecar's event loop and of its virtual machine's own thread. */
-    private static final String LOOP = "multiThreadIoEv";
+    private static final String LOOP_THREAD = "multiThreadIoEv";
 
-    private static final String MACHINE = "VM Thread";
+    private static final String VM_THREAD = "VM Thread";
     /** Shorter waits are not worth an observation. */
-    private static final double LEAST_MS = 5;
+    private static final double MIN_REPORTED_MS = 5;
 
-    private static final double US_A_MS = 1e3;
+    private static final double US_PER_MS = 1e3;
 
-    private final Observations seen;
+    private final Observations observations;
     private final Path laboratory;
-    private final Map<String, Watched> watched = new HashMap<>();
+    private final Map<String, WatchedLoop> watchedLoops = new HashMap<>();
 
     /** An event loop that is looked at again and again. */
-    private static final class Watched {
+    private static final class WatchedLoop {
         private final long pid;
         private final Path loop;
         /** Null where it is not known. */
@@ -41,7 +41,7 @@
         private LoopWaitTracker wait;
         private long sinceUs;
 
-        Watched(long pid, Path loop, Path machine) {
+        WatchedLoop(long pid, Path loop, Path machine) {
             this.pid = pid;
             this.loop = loop;
             this.machine = machine;
@@ -49,32 +49,32 @@
     }
 
     /** {@code laboratory}: the kernel's figures for the laboratory's loop; null where it has none. */
-    public ProcessorWaitMonitor(Observations seen, Path laboratory) {
-        this.seen = seen;
+    public ProcessorWaitMonitor(Observations observations, Path laboratory) {
+        this.observations = observations;
         this.laboratory = laboratory == null ? null : laboratory.getParent();
     }
 
     /** Notes what was waited since the last look. */
-    public void look(List<Node> nodes) {
+    public void sample(List<Node> nodes) {
         if (laboratory != null) {
-            look(null, watched.computeIfAbsent(null, n -> new Watched(0, laboratory, null)));
+            sample(null, watchedLoops.computeIfAbsent(null, n -> new WatchedLoop(0, laboratory, null)));
         }
         for (Node node : nodes) {
             node.pid().ifPresent(pid -> {
-                Watched known = watched.get(node.name);
+                WatchedLoop known = watchedLoops.get(node.name);
                 if (known == null || known.pid != pid) {
-                    known = new Watched(pid, threadOf(pid, LOOP), threadOf(pid, MACHINE));
+                    known = new WatchedLoop(pid, findThread(pid, LOOP_THREAD), findThread(pid, VM_THREAD));
                 }
                 if (known.loop != null) {
-                    watched.put(node.name, known);
-                    look(node.name, known);
+                    watchedLoops.put(node.name, known);
+                    sample(node.name, known);
                 }
             });
         }
     }
 
     /** The folder of the process's thread of this name; null where it has none yet. */
-    private static Path threadOf(long pid, String name) {
+    private static Path findThread(long pid, String name) {
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path thread : threads) {
                 if (Files.readString(thread.resolve("comm")).startsWith(name)) {
@@ -87,23 +87,23 @@
         return null;
     }
 
-    private void look(String node, Watched of) {
-        long now = seen.us();
+    private void sample(String node, WatchedLoop of) {
+        long now = observations.us();
         ThreadSample loop;
         ThreadSample machine;
         try {
             loop = ThreadSample.of(of.loop);
             machine = of.machine == null ? null : ThreadSample.of(of.machine);
         } catch (IOException | RuntimeException e) {
-            watched.remove(node);
+            watchedLoops.remove(node);
             return;
         }
         if (of.wait == null) {
             of.wait = new LoopWaitTracker(loop, machine);
         } else {
-            double waitedMs = of.wait.since(loop, machine, (now - of.sinceUs) / US_A_MS);
-            if (waitedMs >= LEAST_MS) {
-                seen.see(What.WAITED, node, null, null, null, null, waitedMs, of.sinceUs);
+            double waitedMs = of.wait.update(loop, machine, (now - of.sinceUs) / US_PER_MS);
+            if (waitedMs >= MIN_REPORTED_MS) {
+                observations.see(What.WAITED, node, null, null, null, null, waitedMs, of.sinceUs);
             }
         }
         of.sinceUs = now;
--- a/src/main/java/rushproxy/lab/scale/RealSidecars.java
+++ b/src/main/java/rushproxy/lab/scale/RealSidecars.java
@@ -67,7 +67,7 @@
                 .redirectOutput(own.resolve("log").toFile())
                 .redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")));
         Process process = builder.start();
-        keeper.keep(process);
+        keeper.register(process);
         running.add(new Running(name, addresses.admin(member, 0), process, System.nanoTime()));
     }
 
--- a/src/main/java/rushproxy/lab/soak/SoakPlan.java
+++ b/src/main/java/rushproxy/lab/soak/SoakPlan.java
@@ -65,7 +65,7 @@
         }
 
         SoakPlan plan() {
-            String head = head();
+            String head = deployment();
             boolean replaced = random.nextInt(4) == 0;
             List<String> faults = new ArrayList<>();
             int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - FAULT_FREE_END_S) * FAULTS_PER_S);
@@ -79,11 +79,11 @@
             return least + (most - least) * random.nextDouble();
         }
 
-        private String of(String... words) {
+        private String pick(String... words) {
             return words[random.nextInt(words.length)];
         }
 
-        private String head() {
+        private String deployment() {
             return String.format(
                     Locale.ROOT,
                     """
@@ -116,7 +116,7 @@
                     lengthS,
                     seed,
                     nodes,
-                    of("pushed", "on_request"),
+                    pick("pushed", "on_request"),
                     2 + random.nextInt(3),
                     servers,
                     requestClass("read", "safe"),
@@ -144,11 +144,11 @@
                     semantics,
                     deadlineMs,
                     deadlineMs * between(0.3, 0.8),
-                    of("all", "zone", "cell"),
+                    pick("all", "zone", "cell"),
                     between(200, 3_000));
         }
 
-        private String nodesHit() {
+        private String affectedNodes() {
             StringBuilder names = new StringBuilder();
             int count = 1 + random.nextInt(Math.min(MAX_AFFECTED_NODES, Math.max(1, nodes / 3)));
             int first = random.nextInt(nodes);
@@ -161,15 +161,15 @@
             return "nodes = [" + names + "]\n";
         }
 
-        private String serverHit() {
+        private String affectedServer() {
             return "servers = \"s" + random.nextInt(servers) + "\"\n";
         }
 
-        private String lasts(double least, double most) {
+        private String duration(double least, double most) {
             return String.format(Locale.ROOT, "for_s = %.2f%n", between(least, most));
         }
 
-        private String part(double least, double most) {
+        private String fraction(double least, double most) {
             return String.format(Locale.ROOT, "part = %.2f%n", between(least, most));
         }
 
@@ -177,55 +177,55 @@
             return String.format(
                             Locale.ROOT, "[[faults]]%nat_s = %.2f%n", between(FIRST_FAULT_S, lengthS - FAULT_FREE_END_S))
                     + switch (random.nextInt(27)) {
-                        case 0 -> "do = \"kill\"\n" + nodesHit() + lasts(0.3, 1.5);
+                        case 0 -> "do = \"kill\"\n" + affectedNodes() + duration(0.3, 1.5);
                         case 1, 2 ->
-                            "do = \"restart\"\n" + nodesHit()
+                            "do = \"restart\"\n" + affectedNodes()
                                     + String.format(Locale.ROOT, "stagger_s = %.2f%n", between(0, 1));
-                        case 3 -> "do = \"discovery-moves\"\n" + nodesHit() + "stagger_s = 0.05\n";
+                        case 3 -> "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 4 ->
                             replaced
-                                    ? "do = \"replace\"\n" + nodesHit()
-                                    : "do = \"discovery-moves\"\n" + nodesHit() + "stagger_s = 0.05\n";
-                        case 5, 6 -> "do = \"stall\"\n" + nodesHit() + lasts(0.05, 0.15);
+                                    ? "do = \"replace\"\n" + affectedNodes()
+                                    : "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
+                        case 5, 6 -> "do = \"stall\"\n" + affectedNodes() + duration(0.05, 0.15);
                         case 7 ->
                             "do = \"cut\"\nfrom = \"nodes:a\"\nto = \"servers:b\"\none_way = " + random.nextBoolean()
-                                    + "\n" + lasts(0.5, 2);
+                                    + "\n" + duration(0.5, 2);
                         case 8 ->
-                            "do = \"reset\"\nfrom = \"nodes:" + of("a", "b") + "\"\nto = \"servers:" + of("a", "b")
+                            "do = \"reset\"\nfrom = \"nodes:" + pick("a", "b") + "\"\nto = \"servers:" + pick("a", "b")
                                     + "\"\n";
-                        case 9 -> "do = \"hang\"\n" + serverHit() + lasts(1, 5);
-                        case 10, 11 -> "do = \"spoil\"\nhow = \"half\"\n" + serverHit() + part(0.1, 0.6) + lasts(2, 6);
+                        case 9 -> "do = \"hang\"\n" + affectedServer() + duration(1, 5);
+                        case 10, 11 -> "do = \"spoil\"\nhow = \"half\"\n" + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
                         case 12 ->
-                            "do = \"spoil\"\nhow = \"" + of("second", "reset", "bytewise", "close") + "\"\n"
-                                    + serverHit() + part(0.1, 0.6) + lasts(2, 6);
+                            "do = \"spoil\"\nhow = \"" + pick("second", "reset", "bytewise", "close") + "\"\n"
+                                    + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
                         case 13, 14 ->
-                            "do = \"clients\"\nhow = \"" + of("leave", "stop", "slow") + "\"\n" + part(0.05, 0.3)
-                                    + lasts(2, 6);
+                            "do = \"clients\"\nhow = \"" + pick("leave", "stop", "slow") + "\"\n" + fraction(0.05, 0.3)
+                                    + duration(2, 6);
                         case 15 ->
                             random.nextBoolean()
-                                    ? "do = \"list-silent\"\n" + nodesHit() + lasts(1, 4)
-                                    : "do = \"list-late\"\n" + nodesHit() + lasts(1, 4) + "by_ms = 300\n";
-                        case 16 -> "do = \"drain\"\n" + serverHit() + lasts(2, 4);
+                                    ? "do = \"list-silent\"\n" + affectedNodes() + duration(1, 4)
+                                    : "do = \"list-late\"\n" + affectedNodes() + duration(1, 4) + "by_ms = 300\n";
+                        case 16 -> "do = \"drain\"\n" + affectedServer() + duration(2, 4);
                         case 17 ->
-                            "do = \"system\"\nhow = \"wall-clock\"\n" + nodesHit() + "by = "
-                                    + of("3600000", "-3600000", "4000", "-4000") + "\n" + lasts(2, 8);
+                            "do = \"system\"\nhow = \"wall-clock\"\n" + affectedNodes() + "by = "
+                                    + pick("3600000", "-3600000", "4000", "-4000") + "\n" + duration(2, 8);
                         case 18 ->
-                            "do = \"system\"\nhow = \"calls\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + lasts(1, 5);
+                            "do = \"system\"\nhow = \"calls\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + duration(1, 5);
                         case 19, 20, 21 ->
-                            "do = \"system\"\nhow = \"sockets\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.01, 0.08)) + lasts(2, 8);
+                            "do = \"system\"\nhow = \"sockets\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.01, 0.08)) + duration(2, 8);
                         case 22 ->
-                            "do = \"system\"\nhow = \"" + of("established", "files") + "\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + lasts(2, 6);
+                            "do = \"system\"\nhow = \"" + pick("established", "files") + "\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + duration(2, 6);
                         case 23 ->
-                            "do = \"restart-series\"\n" + nodesHit()
+                            "do = \"restart-series\"\n" + affectedNodes()
                                     + String.format(Locale.ROOT, "stagger_s = %.2f%n", between(0, 1));
-                        case 24 -> "do = \"reload-series\"\n" + nodesHit() + "stagger_s = 0.05\n";
+                        case 24 -> "do = \"reload-series\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 25 ->
-                            "do = \"clients\"\nhow = \"" + of("crowd", "slow-read") + "\"\n" + part(0.2, 0.6)
-                                    + lasts(2, 5);
-                        default -> "do = \"crash\"\n" + serverHit() + lasts(0.5, 2);
+                            "do = \"clients\"\nhow = \"" + pick("crowd", "slow-read") + "\"\n" + fraction(0.2, 0.6)
+                                    + duration(2, 5);
+                        default -> "do = \"crash\"\n" + affectedServer() + duration(0.5, 2);
                     };
         }
     }
--- a/src/test/java/rushproxy/lab/node/LoopWaitTrackerTest.java
+++ b/src/test/java/rushproxy/lab/node/LoopWaitTrackerTest.java
@@ -11,12 +11,12 @@
     private static final ThreadSample READY = new ThreadSample(5 * MS, 0, true);
 
     private static double since(LoopWaitTracker wait, ThreadSample loop, ThreadSample machine) {
-        return wait.since(loop, machine, 100);
+        return wait.update(loop, machine, 100);
     }
 
     /** Guards against a wait that the run's end cuts off, which the kernel never tells: ten seconds of it were held against the sidecar. */
     @Test
-    void aWaitThatGoesOnIsToldOnce() {
+    void ongoingWaitIsReportedOnce() {
         LoopWaitTracker wait = new LoopWaitTracker(SLEEPS, null);
         assertEquals(0, since(wait, READY, null));
         assertEquals(100, since(wait, READY, null));
@@ -26,7 +26,7 @@
 
     /** Guards against blaming a sidecar whose loop stands at a safepoint while the virtual machine's thread has no processor. */
     @Test
-    void aLoopWaitsWithTheThreadOfItsVirtualMachine() {
+    void loopWaitsWhileVmThreadWaits() {
         LoopWaitTracker wait = new LoopWaitTracker(SLEEPS, READY);
         assertEquals(100, since(wait, SLEEPS, READY));
         assertEquals(0, since(wait, new ThreadSample(6 * MS, 0, false), READY), "the loop ran");
