--- a/src/main/java/rushproxy/cli/LabSweep.java
+++ b/src/main/java/rushproxy/cli/LabSweep.java
@@ -128,7 +128,10 @@
         changes.put("seed", Long.toString(seed));
         Scenario s = ScenarioReader.read(scenario, changes);
         Summary summary = new Lab(
-                        s, v.jar == null ? build : build.withJar(v.jar), folder.resolve(v.name + "-" + seed), line -> {})
+                        s,
+                        v.jar == null ? build : build.withJar(v.jar),
+                        folder.resolve(v.name + "-" + seed),
+                        line -> {})
                 .run();
         done.computeIfAbsent(v, k -> new LinkedHashMap<>()).put(seed, summary);
         print.printf(
--- a/src/main/java/rushproxy/lab/node/AddressProbe.java
+++ b/src/main/java/rushproxy/lab/node/AddressProbe.java
@@ -5,13 +5,13 @@
 import java.net.Socket;
 
 /**
- * A look at whether somebody listens on an address; lasts until it is closed. It has the address without listening, so that whoever
- * connects meanwhile is refused: a listener's end would reset the connections that its queue had let up.
+ * Checks that an address is free by binding it until closed. It does not listen, so connections made meanwhile are refused: closing
+ * a listener would reset the connections accepted into its backlog.
  */
 final class AddressProbe implements AutoCloseable {
     private final Socket socket = new Socket();
 
-    /** Fails where somebody listens there, or where this machine does not have the address. */
+    /** Binds the address; throws if it is in use or not an address of this machine. */
     AddressProbe(InetSocketAddress address) throws IOException {
         try {
             socket.setReuseAddress(true);
--- a/src/main/java/rushproxy/lab/node/Build.java
+++ b/src/main/java/rushproxy/lab/node/Build.java
@@ -7,14 +7,15 @@
 import java.nio.file.Path;
 
 /**
- * How a sidecar is started: the line {@code run} of a checkout's deploy file, and the folder to start it in.
+ * A build of the sidecar and how to start it: the {@code run} entry of a checkout's deploy file.
  *
- * @param command a line for {@code /bin/sh -c} that becomes one process, by {@code exec}
+ * @param root    the working directory
+ * @param command a command line for {@code /bin/sh -c} that replaces the shell by {@code exec}
  */
 public record Build(Path root, String command) {
     private static final String JAR = "target/rushproxy.jar";
 
-    /** The checkout's own build. Throws where there is no deploy file, or nothing was built. */
+    /** Returns the build of the checkout in {@code root}; throws if it has no deploy file or its jar is not built. */
     public static Build of(Path root) throws IOException {
         Path deploy = root.resolve("deploy/balancer.toml");
         JsonNode run = new TomlMapper().readTree(Files.readString(deploy)).get("run");
@@ -22,27 +23,29 @@
             throw new IOException(deploy + ": 'run' is missing");
         }
         if (!Files.exists(root.resolve(JAR))) {
-            throw new IOException(root.resolve(JAR) + " is missing: build it first, as 'build' in " + deploy + " says");
+            throw new IOException(
+                    root.resolve(JAR) + " is missing: build it first with the 'build' command of " + deploy);
         }
         return new Build(root, run.asText());
     }
 
-    /** The same line with another program: for fleets of mixed versions. It starts without the class archive. */
+    /** Returns this command with another jar, for fleets of mixed versions. The class archive only fits the original jar and is left out. */
     public Build withJar(String jar) throws IOException {
-        Path other = root.resolve(jar).toAbsolutePath();
-        if (!Files.isRegularFile(other)) {
-            throw new IOException(other + " is no file that could be run");
+        Path otherJar = root.resolve(jar).toAbsolutePath();
+        if (!Files.isRegularFile(otherJar)) {
+            throw new IOException(otherJar + " is not a regular file");
         }
-        return new Build(root, command.replace(JAR, "'" + other + "'").replaceAll("-XX:SharedArchiveFile=\\S+ ?", ""));
+        return new Build(
+                root, command.replace(JAR, "'" + otherJar + "'").replaceAll("-XX:SharedArchiveFile=\\S+ ?", ""));
     }
 
-    /** The folder above this one, or this one, that holds a deploy file. */
+    /** Returns the nearest folder with a deploy file, from the working directory upwards. */
     public static Path findRoot() throws IOException {
         for (Path p = Path.of("").toAbsolutePath(); p != null; p = p.getParent()) {
             if (Files.exists(p.resolve("deploy/balancer.toml"))) {
                 return p;
             }
         }
-        throw new IOException("no deploy/balancer.toml in this folder or above it");
+        throw new IOException("no deploy/balancer.toml in the working directory or above it");
     }
 }
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -24,19 +24,19 @@
 import rushproxy.lab.world.World;
 
 /**
- * One sidecar of a run: its folder (configuration, log, what outlives its process) and its processes, of which there are
- * two while one replaces the other. Its calls block and belong to one thread; {@link #destroy} may come from any, and leaves
- * no process of it.
+ * One sidecar of a run: its folder (configuration, log, state that outlives its process) and its processes, of which there
+ * are two while one replaces the other. Methods block and are confined to one thread, except {@link #destroy}, which may be
+ * called from any thread and leaves no process behind.
  */
 public final class Node {
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long POLL_PERIOD_MS = 20;
     private static final int CALL_TIMEOUT_MS = 3_000;
     private static final int NOT_SERVING_CALL_TIMEOUT_MS = 200;
-    /** No reload comes in a program's first second. */
+    /** A process is not asked to reload in its first second. */
     private static final long MIN_RELOAD_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** A node that can't be had; the message is for the one who reads the terminal. */
+    /** Thrown when a node can't be started or replaced; the message is shown to the user. */
     public static final class NodeException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -58,18 +58,17 @@
     private final List<Process> processes = new ArrayList<>();
     private Build build;
     private SharedSocket sharedSocket;
-    /** Which of the two addresses for operators the process that was started last has. */
+    /** Which of the two admin addresses the latest process uses, 0 or 1. */
     private int adminSlot;
 
-    /** When the process that was started last was. */
     private long launchedNanos;
-    /** How much its processes had written when the last one was started. */
+    /** Length of the log in bytes when the latest process was started. */
     private long logLengthAtLaunch;
-    /** When processes were first asked to leave, by their ids. */
+    /** Time of the first SIGTERM to each process, by process id. */
     private final Map<Long, Long> termSentAtUs = new ConcurrentHashMap<>();
 
     private boolean destroyed;
-    /** Null where its processes meet the machine as it is. */
+    /** Null unless fault injection is enabled. */
     private SystemFaults systemFaults;
 
     private final Lock lifecycleLock = new ReentrantLock();
@@ -97,62 +96,62 @@
         this.random = random;
     }
 
-    /** From the next start on it runs this program. */
+    /** Sets the build to run from the next start on. */
     public void useBuild(Build next) {
         build = next;
     }
 
-    /** Its processes are started with this library of faults, none of which is on yet. */
+    /** Starts processes with this fault injection library from now on; all faults are off at first. */
     public void enableSystemFaults(Path library, long seed) throws IOException {
         Files.createDirectories(folder);
         systemFaults = SystemFaults.create(library, folder.resolve("faults"), seed);
     }
 
-    /** Held by whoever ends this node's process and starts the next. */
+    /** Held while this node's process is stopped and the next one started. */
     public Lock lifecycleLock() {
         return lifecycleLock;
     }
 
-    /** Null where it has none. */
+    /** Returns the fault injection controls, or null unless they are enabled. */
     public SystemFaults systemFaults() {
         return systemFaults;
     }
 
-    /** What its processes have written. */
+    /** Returns the log lines of all its processes. */
     public List<String> log() throws IOException {
         return log.lines();
     }
 
-    /** Its clients' socket is the laboratory's from now on, inherited by each process as descriptor 0. */
+    /** Lets the laboratory own the listening socket for clients; each process inherits it as descriptor 0. */
     public void useSharedSocket() throws IOException {
         sharedSocket = new SharedSocket(addresses.listen(number));
     }
 
-    /** Between two signals of a series. */
+    /** Time between the first SIGTERM and the repeated one. */
     private static final long REPEATED_SIGNAL_DELAY_MS = 100;
 
-    /** Starts its process; {@link #awaitReady} tells when it serves. A {@code $TMPDIR} of before is emptied. */
+    /** Starts a process with an empty {@code $TMPDIR}; {@link #awaitReady} waits until it serves. */
     public void start() throws IOException, InterruptedException, NodeException {
         if (sharedSocket == null) {
             requireFree(addresses.listen(number), "clients");
         }
         requireFree(addresses.admin(number, 0), "operators");
-        Path kept = folder.resolve("tmp");
-        deleteRecursively(kept);
-        Files.createDirectories(kept);
+        Path tempFolder = folder.resolve("tmp");
+        deleteRecursively(tempFolder);
+        Files.createDirectories(tempFolder);
         launch(0);
     }
 
-    private void requireFree(InetSocketAddress address, String whose) throws NodeException {
+    private void requireFree(InetSocketAddress address, String users) throws NodeException {
         try {
             new AddressProbe(address).close();
         } catch (IOException e) {
-            throw new NodeException(name + ": the address for its " + whose + ", " + Addresses.text(address)
+            throw new NodeException(name + ": the address for its " + users + ", " + Addresses.text(address)
                     + ", is taken by somebody else");
         }
     }
 
-    private void launch(int process) throws IOException, InterruptedException {
+    private void launch(int slot) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Path config = folder.resolve("config.json");
         ObjectNode known = world.known(number);
@@ -165,9 +164,9 @@
         builder.environment().put("BALANCER_CONFIG", config.toAbsolutePath().toString());
         builder.environment().put("BALANCER_NAME", name);
         builder.environment().put("BALANCER_LISTEN", Addresses.text(addresses.listen(number)));
-        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.text(addresses.admin(number, process)));
-        // For commands to a run that is on its way.
-        Files.writeString(folder.resolve("admin"), Addresses.text(addresses.admin(number, process)) + "\n");
+        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.text(addresses.admin(number, slot)));
+        // Read by commands that act on a running scenario.
+        Files.writeString(folder.resolve("admin"), Addresses.text(addresses.admin(number, slot)) + "\n");
         builder.environment()
                 .put("TMPDIR", folder.resolve("tmp").toAbsolutePath().toString());
         if (systemFaults != null) {
@@ -192,19 +191,22 @@
             }
             processes.add(p);
             keeper.register(p);
-            adminSlot = process;
+            adminSlot = slot;
             observations.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
             p.onExit().thenAccept(this::recordExit);
         }
     }
 
-    /** By its own words a process that left took nobody any more a while before its end was heard of. */
-    private void recordExit(Process gone) {
-        Long termUs = termSentAtUs.remove(gone.pid());
-        boolean left = termUs != null && gone.exitValue() == 0;
-        OptionalLong leftAfterUs = left ? log.lastShutdownDurationUs() : OptionalLong.empty();
-        long leftUs = leftAfterUs.isPresent() ? termUs + leftAfterUs.getAsLong() : 0;
-        observations.see(What.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
+    /**
+     * Records the end of a process. For a clean exit after SIGTERM the shutdown time is the one the process logged: it stops accepting
+     * clients some time before its exit is noticed.
+     */
+    private void recordExit(Process process) {
+        Long termUs = termSentAtUs.remove(process.pid());
+        boolean exitedCleanly = termUs != null && process.exitValue() == 0;
+        OptionalLong shutdownUs = exitedCleanly ? log.lastShutdownDurationUs() : OptionalLong.empty();
+        long leftUs = shutdownUs.isPresent() ? termUs + shutdownUs.getAsLong() : 0;
+        observations.see(What.NODE, name, null, null, null, "exit " + process.exitValue(), process.pid(), leftUs);
     }
 
     private Process latestProcess() {
@@ -215,21 +217,30 @@
         return !processes.isEmpty() && latestProcess().isAlive();
     }
 
-    /** Of the process that was started last, while it runs. */
+    /** Returns the id of the latest process, or empty if it has ended. */
     synchronized OptionalLong pid() {
         return isRunning() ? OptionalLong.of(latestProcess().pid()) : OptionalLong.empty();
     }
 
-    /** Throws, with the end of its log, where it ends before it is ready, or is not within 30 s. */
+    /** Waits until the latest process serves; throws, with the last lines of its log, if it ends first or takes longer than 30 s. */
     public void awaitReady() throws InterruptedException, NodeException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         boolean serving = false;
         while (true) {
             if (sharedSocket != null && !serving && log.reportsServing(logLengthAtLaunch)) {
                 serving = true;
-                observations.see(What.NODE, name, null, null, null, "serving", latestProcess().pid(), 0);
+                observations.see(
+                        What.NODE,
+                        name,
+                        null,
+                        null,
+                        null,
+                        "serving",
+                        latestProcess().pid(),
+                        0);
             }
-            // Before somebody takes from a socket that is held nobody answers.
+            // The shared socket completes connections before a process accepts them, so a call until then only times
+            // out.
             if (isReady(sharedSocket == null || serving ? CALL_TIMEOUT_MS : NOT_SERVING_CALL_TIMEOUT_MS)) {
                 break;
             }
@@ -237,25 +248,27 @@
                 if (isDestroyed()) {
                     throw new InterruptedException("the run is over");
                 }
-                throw new NodeException(
-                        name + " ended before it was ready, with " + latestProcess().exitValue() + ": " + log.lastLines());
+                throw new NodeException(name + " ended before it was ready, with "
+                        + latestProcess().exitValue() + ": " + log.lastLines());
             }
-            if (System.nanoTime() > until) {
-                throw new NodeException(name + " was not ready after " + READY_TIMEOUT_MS / 1_000 + " s: " + log.lastLines());
+            if (System.nanoTime() > deadline) {
+                throw new NodeException(
+                        name + " was not ready after " + READY_TIMEOUT_MS / 1_000 + " s: " + log.lastLines());
             }
             Thread.sleep(POLL_PERIOD_MS);
         }
-        observations.see(What.NODE, name, null, null, null, "ready", latestProcess().pid(), 0);
+        observations.see(
+                What.NODE, name, null, null, null, "ready", latestProcess().pid(), 0);
     }
 
     private synchronized boolean isDestroyed() {
         return destroyed;
     }
 
-    private boolean isReady(int patienceMs) {
+    private boolean isReady(int timeoutMs) {
         try (Socket s = new Socket()) {
-            s.connect(addresses.listen(number), patienceMs);
-            s.setSoTimeout(patienceMs);
+            s.connect(addresses.listen(number), timeoutMs);
+            s.setSoTimeout(timeoutMs);
             s.getOutputStream()
                     .write("GET /health/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
@@ -266,16 +279,16 @@
         }
     }
 
-    /** An operators' call to the process that was started last; the answer, or why there is none. */
+    /** Sends an admin command to the latest process; returns its reply, or "no answer: " and the reason. */
     public String call(String line) {
         return call(line, adminSlot);
     }
 
-    private String call(String line, int process) {
+    private String call(String line, int slot) {
         String answer;
         long sentUs = observations.us();
         try (Socket s = new Socket()) {
-            s.connect(addresses.admin(number, process), CALL_TIMEOUT_MS);
+            s.connect(addresses.admin(number, slot), CALL_TIMEOUT_MS);
             s.setSoTimeout(CALL_TIMEOUT_MS);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
@@ -286,7 +299,7 @@
         return answer;
     }
 
-    /** Sends a signal to the process that was started last. */
+    /** Sends a signal, by its name without SIG, to the latest process. */
     public void signal(String signal) throws IOException, InterruptedException {
         signal(signal, latestProcess());
     }
@@ -313,7 +326,7 @@
         }
     }
 
-    /** Writes the configuration anew, with discovery where it is now, and asks for a reload. */
+    /** Rewrites the configuration with the current discovery address and sends SIGHUP. */
     public void reload() throws IOException, InterruptedException {
         TimeUnit.NANOSECONDS.sleep(launchedNanos + MIN_RELOAD_DELAY_NANOS - System.nanoTime());
         Files.write(
@@ -323,77 +336,79 @@
         signal("HUP");
     }
 
-    /** Asks the process to leave and sends SIGKILL {@code patienceMs} later; true where it left by itself. */
-    public boolean stop(long patienceMs) throws IOException, InterruptedException {
-        return stop(latestProcess(), patienceMs);
+    /** Sends SIGTERM, and SIGKILL after {@code timeoutMs}; returns whether the process exited by itself. */
+    public boolean stop(long timeoutMs) throws IOException, InterruptedException {
+        return stop(latestProcess(), timeoutMs);
     }
 
-    /** As {@link #stop(long)}, and asks for a reload and once more for the end soon after the first time. */
-    public void stopWithRepeatedSignals(long patienceMs) throws IOException, InterruptedException {
+    /** Like {@link #stop(long)}, but follows the first SIGTERM with SIGHUP and a second SIGTERM. */
+    public void stopWithRepeatedSignals(long timeoutMs) throws IOException, InterruptedException {
         Process p = latestProcess();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         signal("TERM", p);
         signal("HUP", p);
         p.waitFor(REPEATED_SIGNAL_DELAY_MS, TimeUnit.MILLISECONDS);
         signal("TERM", p);
-        if (!p.waitFor(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+        if (!p.waitFor(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS)) {
             signal("KILL", p);
             p.waitFor();
         }
     }
 
-    private boolean stop(Process p, long patienceMs) throws IOException, InterruptedException {
+    private boolean stop(Process p, long timeoutMs) throws IOException, InterruptedException {
         signal("TERM", p);
-        boolean left = p.waitFor(patienceMs, TimeUnit.MILLISECONDS);
-        if (!left) {
+        boolean exited = p.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
+        if (!exited) {
             signal("KILL", p);
             p.waitFor();
         }
-        return left;
+        return exited;
     }
 
-    /** A second process beside the running one takes over: its health says yes, then the old one is asked to leave. */
-    public void replace(long patienceMs) throws IOException, InterruptedException, NodeException {
+    /** Starts a second process on the shared socket, waits until its health check passes, then stops the old one. */
+    public void replace(long timeoutMs) throws IOException, InterruptedException, NodeException {
         if (sharedSocket == null) {
-            throw new NodeException(name + ": can't be replaced: its clients' socket is not the laboratory's");
+            throw new NodeException(name + ": can't be replaced: the laboratory does not hold its listening socket");
         }
         Process old = latestProcess();
-        int process = 1 - adminSlot;
-        launch(process);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
-        while (!call("health", process).startsWith("ACK")) {
+        int slot = 1 - adminSlot;
+        launch(slot);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
+        while (!call("health", slot).startsWith("ACK")) {
             if (isDestroyed()) {
                 throw new InterruptedException("the run is over");
             }
-            if (!latestProcess().isAlive() || System.nanoTime() > until) {
-                throw new NodeException(name + ": the process that was to take over did not: " + log.lastLines());
+            if (!latestProcess().isAlive() || System.nanoTime() > deadline) {
+                throw new NodeException(name + ": the replacement process did not become healthy: " + log.lastLines());
             }
             Thread.sleep(POLL_PERIOD_MS);
         }
-        observations.see(What.NODE, name, null, null, null, "serving", latestProcess().pid(), 0);
-        stop(old, patienceMs);
+        observations.see(
+                What.NODE, name, null, null, null, "serving", latestProcess().pid(), 0);
+        stop(old, timeoutMs);
     }
 
-    /** What the process that was started last has cost so far, "cpu_s" and "rss_mb", and how many "starts" there were. */
+    /** Returns the CPU time ("cpu_s") and memory ("rss_mb") of the latest process, and the number of process starts ("starts"). */
     public synchronized Map<String, Double> resourceUsage() {
-        Map<String, Double> cost = new TreeMap<>();
-        cost.put("starts", (double) processes.size());
+        Map<String, Double> usage = new TreeMap<>();
+        usage.put("starts", (double) processes.size());
         if (isRunning()) {
-            latestProcess().info().totalCpuDuration().ifPresent(d -> cost.put("cpu_s", d.toMillis() / 1e3));
+            latestProcess().info().totalCpuDuration().ifPresent(d -> usage.put("cpu_s", d.toMillis() / 1e3));
             try {
-                for (String line : Files.readAllLines(Path.of("/proc/" + latestProcess().pid() + "/status"))) {
+                for (String line :
+                        Files.readAllLines(Path.of("/proc/" + latestProcess().pid() + "/status"))) {
                     if (line.startsWith("VmRSS:")) {
-                        cost.put("rss_mb", Double.parseDouble(line.replaceAll("\\D", "")) / 1024);
+                        usage.put("rss_mb", Double.parseDouble(line.replaceAll("\\D", "")) / 1024);
                     }
                 }
             } catch (IOException e) {
-                // Not a machine that tells.
+                // The process has ended, or the system has no /proc.
             }
         }
-        return cost;
+        return usage;
     }
 
-    /** Ends all of its processes at once, by id, whatever state they are in. */
+    /** Kills all of its processes and their descendants, and prevents further starts. */
     public void destroy() {
         synchronized (this) {
             destroyed = true;
@@ -414,7 +429,7 @@
                 sharedSocket.close();
             }
         } catch (IOException e) {
-            // The laboratory's end closes it.
+            // Closed when the laboratory exits.
         }
     }
 
--- a/src/main/java/rushproxy/lab/node/NodeConfig.java
+++ b/src/main/java/rushproxy/lab/node/NodeConfig.java
@@ -8,13 +8,13 @@
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Addresses;
 
-/** The configuration file of one sidecar of a scenario. */
+/** Writes the configuration file of one sidecar of a scenario. */
 final class NodeConfig {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private NodeConfig() {}
 
-    /** {@code known} is what the sidecar has of the list at its start; {@code seed} is new with each start. */
+    /** {@code known} is the server list the sidecar starts with; {@code seed} differs for each start. */
     static byte[] write(
             Scenario scenario, Addresses addresses, int node, InetSocketAddress discovery, ObjectNode known, long seed)
             throws java.io.IOException {
@@ -41,7 +41,7 @@
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(c);
     }
 
-    /** As the protocol's first message has them, with its names and units. */
+    /** Returns the settings with the names and units of the protocol's first message. */
     private static ObjectNode settings(Scenario scenario, int node) {
         ObjectNode s = JSON.createObjectNode();
         s.put("me", node).put("balancers", scenario.fleet().nodes()).put("zone", scenario.zoneOfNode(node));
--- a/src/main/java/rushproxy/lab/node/NodeLog.java
+++ b/src/main/java/rushproxy/lab/node/NodeLog.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the processes of one node have written, one after the other or, while one replaces the other, together. */
+/** The log file of a node, appended to by all of its processes; two of them write at once while one replaces the other. */
 final class NodeLog {
     private static final String SERVES = " serves on ";
     private static final Pattern LEAVES = Pattern.compile("leaves after (\\d+) ms");
@@ -33,7 +33,7 @@
         return Files.exists(file) ? Files.size(file) : 0;
     }
 
-    /** Whether a process that has written from this byte on says that it takes clients. */
+    /** Whether the log reports, from this byte offset on, that a process accepts clients. */
     boolean reportsServing(long sinceByte) {
         try {
             byte[] all = Files.readAllBytes(file);
@@ -44,22 +44,23 @@
         }
     }
 
-    /** How long after it was asked to leave the process that left last did so, in microseconds; empty where none says so. */
+    /** Returns how long the last logged shutdown took after SIGTERM, in microseconds; empty if none is logged. */
     OptionalLong lastShutdownDurationUs() {
-        OptionalLong afterUs = OptionalLong.empty();
+        OptionalLong durationUs = OptionalLong.empty();
         try {
             for (String line : lines()) {
                 Matcher leaves = LEAVES.matcher(line);
                 if (leaves.find()) {
-                    afterUs = OptionalLong.of(1_000 * Long.parseLong(leaves.group(1)));
+                    durationUs = OptionalLong.of(1_000 * Long.parseLong(leaves.group(1)));
                 }
             }
         } catch (IOException e) {
-            // Then the end of the process tells.
+            // The caller then uses the time at which the exit was noticed.
         }
-        return afterUs;
+        return durationUs;
     }
 
+    /** Returns the end of the log for an error message. */
     String lastLines() {
         try {
             List<String> lines = lines();
--- a/src/main/java/rushproxy/lab/node/ProcessReaper.java
+++ b/src/main/java/rushproxy/lab/node/ProcessReaper.java
@@ -8,11 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a laboratory's processes, by id, where the laboratory itself was ended by SIGKILL and can't: a shell that is told each
- * of them, and acts when its input ends. Belongs to one run, whose end closes it.
+ * Kills the laboratory's processes when the laboratory itself is killed by SIGKILL and can't: a shell reads their ids from its
+ * standard input and kills them at end of file. One instance per run, closed at its end.
  */
 public final class ProcessReaper implements AutoCloseable {
-    /** An id is told with its process's start: the kernel may have given the id to somebody else. Ctrl-C reaches the shell too. */
+    /**
+     * Compares the start time of each process, since the kernel may have reused its id. Ignores SIGINT, which Ctrl-C sends to the shell
+     * too.
+     */
     private static final String SCRIPT = """
             trap '' INT TERM HUP
             while read -r pid start; do all="$all $pid:$start"; done
@@ -33,7 +36,7 @@
         shellInput = shell.getOutputStream();
     }
 
-    /** From now on it is ended with the laboratory. One that has ended already is nobody's. */
+    /** Has the process killed when the laboratory ends; does nothing if it has ended already. */
     public synchronized void register(Process p) throws IOException {
         String stat;
         try {
@@ -41,13 +44,13 @@
         } catch (IOException e) {
             return;
         }
-        // The second field is the program's name in brackets, and may have any character.
+        // The second field is the program's name in parentheses, and may hold any character.
         String start = stat.substring(stat.lastIndexOf(')') + 2).split(" ")[19];
         shellInput.write((p.pid() + " " + start + "\n").getBytes(StandardCharsets.US_ASCII));
         shellInput.flush();
     }
 
-    /** Whoever is left of those it was told of ends now. */
+    /** Kills all registered processes that still run. */
     @Override
     public void close() throws IOException {
         shellInput.close();
--- a/src/main/java/rushproxy/lab/node/SystemFaults.java
+++ b/src/main/java/rushproxy/lab/node/SystemFaults.java
@@ -112,7 +112,8 @@
 
     /** From now on such a call fails by this chance; 0 ends it. */
     public void setProbability(Call call, double chance) {
-        controlBlock.putInt(PROBABILITIES_OFFSET + Integer.BYTES * call.ordinal(), (int) Math.round(chance * PROBABILITY_SCALE));
+        controlBlock.putInt(
+                PROBABILITIES_OFFSET + Integer.BYTES * call.ordinal(), (int) Math.round(chance * PROBABILITY_SCALE));
     }
 
     /** All calls work again, and the wall clock is right. */
--- a/src/main/java/rushproxy/lab/soak/Soak.java
+++ b/src/main/java/rushproxy/lab/soak/Soak.java
@@ -32,8 +32,7 @@
     }
 
     /** Leaves out one fault after the other for as long as the rest still breaks a rule; at most so many plays. */
-    public SoakPlan shrink(SoakPlan failing, int maxRuns)
-            throws IOException, InterruptedException, ScenarioException {
+    public SoakPlan shrink(SoakPlan failing, int maxRuns) throws IOException, InterruptedException, ScenarioException {
         SoakPlan least = failing;
         int plays = 0;
         for (int i = least.faults().size() - 1; i >= 0 && plays < maxRuns; i--) {
--- a/src/main/java/rushproxy/lab/soak/SoakPlan.java
+++ b/src/main/java/rushproxy/lab/soak/SoakPlan.java
@@ -175,7 +175,9 @@
 
         private String fault(boolean replaced) {
             return String.format(
-                            Locale.ROOT, "[[faults]]%nat_s = %.2f%n", between(FIRST_FAULT_S, lengthS - FAULT_FREE_END_S))
+                            Locale.ROOT,
+                            "[[faults]]%nat_s = %.2f%n",
+                            between(FIRST_FAULT_S, lengthS - FAULT_FREE_END_S))
                     + switch (random.nextInt(27)) {
                         case 0 -> "do = \"kill\"\n" + affectedNodes() + duration(0.3, 1.5);
                         case 1, 2 ->
@@ -194,7 +196,8 @@
                             "do = \"reset\"\nfrom = \"nodes:" + pick("a", "b") + "\"\nto = \"servers:" + pick("a", "b")
                                     + "\"\n";
                         case 9 -> "do = \"hang\"\n" + affectedServer() + duration(1, 5);
-                        case 10, 11 -> "do = \"spoil\"\nhow = \"half\"\n" + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
+                        case 10, 11 ->
+                            "do = \"spoil\"\nhow = \"half\"\n" + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
                         case 12 ->
                             "do = \"spoil\"\nhow = \"" + pick("second", "reset", "bytewise", "close") + "\"\n"
                                     + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
--- a/src/test/java/rushproxy/sidecar/SidecarProcess.java
+++ b/src/test/java/rushproxy/sidecar/SidecarProcess.java
@@ -65,7 +65,8 @@
             throws Exception {
         ProcessBuilder command = command(folder, discovery, upstreams, environment);
         command.environment().put("BALANCER_ACCEPT_FD", "0");
-        return new SidecarProcess(socket.startInheriting(command.redirectInput(ProcessBuilder.Redirect.INHERIT)::start));
+        return new SidecarProcess(
+                socket.startInheriting(command.redirectInput(ProcessBuilder.Redirect.INHERIT)::start));
     }
 
     private static ProcessBuilder command(
