--- a/src/main/java/rushproxy/lab/node/Build.java
+++ b/src/main/java/rushproxy/lab/node/Build.java
@@ -24,7 +24,7 @@
         }
         if (!Files.exists(root.resolve(JAR))) {
             throw new IOException(
-                    root.resolve(JAR) + " is missing: build it first with the 'build' command of " + deploy);
+                    root.resolve(JAR) + " is missing: run 'build' of " + deploy + " first");
         }
         return new Build(root, run.asText());
     }
--- a/src/main/java/rushproxy/lab/node/LoopWaitTracker.java
+++ b/src/main/java/rushproxy/lab/node/LoopWaitTracker.java
@@ -1,40 +1,45 @@
 package rushproxy.lab.node;
 
 /**
- * For how long an event loop waited for a processor between one look and the next. The kernel tells of a wait when it is over; one that goes
- * on is seen by the thread's state. A loop that stands at a safepoint waits for the virtual machine's own thread: while that one waits
- * for a processor, the loop does too.
+ * Computes how long an event loop waited for a processor between two samples. The kernel accounts for a wait when it ends; an ongoing
+ * wait is detected by the thread's state. A loop stopped at a safepoint waits for the VM thread, so a wait of that thread for a
+ * processor counts as the loop's.
  */
 final class LoopWaitTracker {
     private static final double NANOS_PER_MS = 1e6;
 
     private ThreadSample loop;
-    /** Null where it is not known. */
+    /** The last sample of the VM thread; null if it is unknown. */
     private ThreadSample vmThread;
-    /** Of the wait that goes on, what has been told. */
+    /** The part of an ongoing wait that was reported already. */
     private double reportedMs;
 
-    LoopWaitTracker(ThreadSample loop, ThreadSample machine) {
+    LoopWaitTracker(ThreadSample loop, ThreadSample vmThread) {
         this.loop = loop;
-        this.vmThread = machine;
+        this.vmThread = vmThread;
     }
 
-    /** {@code periodMs}: the time since the last look. */
-    double update(ThreadSample loopNow, ThreadSample machineNow, double periodMs) {
-        double overMs = (loopNow.waitedNanos() - loop.waitedNanos()) / NANOS_PER_MS;
-        boolean waits = loopNow.hasWaitedSince(loop);
-        boolean stands = loopNow.ranNanos() == loop.ranNanos();
-        boolean machineWaits = stands && machineNow != null && vmThread != null && machineNow.hasWaitedSince(vmThread);
+    /**
+     * Takes the next samples and returns the wait since the last ones, in milliseconds.
+     *
+     * @param periodMs the time since the last samples
+     */
+    double update(ThreadSample loopNow, ThreadSample vmThreadNow, double periodMs) {
+        double endedWaitMs = (loopNow.waitedNanos() - loop.waitedNanos()) / NANOS_PER_MS;
+        boolean loopWaits = loopNow.hasWaitedSince(loop);
+        boolean loopIdle = loopNow.ranNanos() == loop.ranNanos();
+        boolean vmThreadWaits =
+                loopIdle && vmThreadNow != null && vmThread != null && vmThreadNow.hasWaitedSince(vmThread);
         loop = loopNow;
-        vmThread = machineNow;
-        if (overMs > 0) {
-            double untoldMs = Math.max(0, overMs - reportedMs);
+        vmThread = vmThreadNow;
+        if (endedWaitMs > 0) {
+            double unreportedMs = Math.max(0, endedWaitMs - reportedMs);
             reportedMs = 0;
-            return untoldMs;
+            return unreportedMs;
         }
-        if (waits) {
+        if (loopWaits) {
             reportedMs += periodMs;
         }
-        return waits || machineWaits ? periodMs : 0;
+        return loopWaits || vmThreadWaits ? periodMs : 0;
     }
 }
--- a/src/main/java/rushproxy/lab/node/ProcessorWaitMonitor.java
+++ b/src/main/java/rushproxy/lab/node/ProcessorWaitMonitor.java
@@ -12,17 +12,19 @@
 import rushproxy.lab.world.Observations;
 
 /**
- * Sees by the kernel's figures for how long event loops were ready to run and had to wait for a processor: the laboratory's own, and that
- * of each sidecar. What callers miss meanwhile is the machine's. Belongs to one thread; sees nothing on a kernel that has no such figures.
+ * Records, from the kernel's scheduler statistics, how long event loops were runnable but waited for a processor: the laboratory's own
+ * loop and that of each sidecar. Requests that fail during such a wait are the machine's fault, not the sidecar's. Confined to one
+ * thread; records nothing on a kernel without these statistics.
  */
 public final class ProcessorWaitMonitor {
-    /** How often to look. */
+    /** Time between two samples. */
     public static final long SAMPLE_PERIOD_MS = 100;
-    /** The kernel's names of a sidecar's event loop and of its virtual machine's own thread. */
+    /** Name of a sidecar's event loop thread, as truncated by the kernel. */
     private static final String LOOP_THREAD = "multiThreadIoEv";
 
+    /** Name of the JVM thread that runs safepoint operations. */
     private static final String VM_THREAD = "VM Thread";
-    /** Shorter waits are not worth an observation. */
+    /** Shorter waits are not recorded. */
     private static final double MIN_REPORTED_MS = 5;
 
     private static final double US_PER_MS = 1e3;
@@ -31,30 +33,30 @@
     private final Path laboratory;
     private final Map<String, WatchedLoop> watchedLoops = new HashMap<>();
 
-    /** An event loop that is looked at again and again. */
+    /** An event loop that is sampled periodically. */
     private static final class WatchedLoop {
         private final long pid;
         private final Path loop;
-        /** Null where it is not known. */
-        private final Path machine;
+        /** The folder of the VM thread below {@code /proc}; null if it is unknown. */
+        private final Path vmThread;
 
         private LoopWaitTracker wait;
         private long sinceUs;
 
-        WatchedLoop(long pid, Path loop, Path machine) {
+        WatchedLoop(long pid, Path loop, Path vmThread) {
             this.pid = pid;
             this.loop = loop;
-            this.machine = machine;
+            this.vmThread = vmThread;
         }
     }
 
-    /** {@code laboratory}: the kernel's figures for the laboratory's loop; null where it has none. */
+    /** {@code laboratory}: a file below {@code /proc} with statistics of the laboratory's event loop; null if there is none. */
     public ProcessorWaitMonitor(Observations observations, Path laboratory) {
         this.observations = observations;
         this.laboratory = laboratory == null ? null : laboratory.getParent();
     }
 
-    /** Notes what was waited since the last look. */
+    /** Records the waits since the last sample. */
     public void sample(List<Node> nodes) {
         if (laboratory != null) {
             sample(null, watchedLoops.computeIfAbsent(null, n -> new WatchedLoop(0, laboratory, null)));
@@ -73,7 +75,7 @@
         }
     }
 
-    /** The folder of the process's thread of this name; null where it has none yet. */
+    /** Returns the {@code /proc} folder of the first thread with this name prefix, or null if the process has none yet. */
     private static Path findThread(long pid, String name) {
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/" + pid + "/task"))) {
             for (Path thread : threads) {
@@ -82,30 +84,30 @@
                 }
             }
         } catch (IOException | DirectoryIteratorException e) {
-            // It has ended.
+            // The process has ended.
         }
         return null;
     }
 
-    private void sample(String node, WatchedLoop of) {
-        long now = observations.us();
+    private void sample(String node, WatchedLoop watched) {
+        long nowUs = observations.us();
         ThreadSample loop;
-        ThreadSample machine;
+        ThreadSample vmThread;
         try {
-            loop = ThreadSample.of(of.loop);
-            machine = of.machine == null ? null : ThreadSample.of(of.machine);
+            loop = ThreadSample.of(watched.loop);
+            vmThread = watched.vmThread == null ? null : ThreadSample.of(watched.vmThread);
         } catch (IOException | RuntimeException e) {
             watchedLoops.remove(node);
             return;
         }
-        if (of.wait == null) {
-            of.wait = new LoopWaitTracker(loop, machine);
+        if (watched.wait == null) {
+            watched.wait = new LoopWaitTracker(loop, vmThread);
         } else {
-            double waitedMs = of.wait.update(loop, machine, (now - of.sinceUs) / US_PER_MS);
+            double waitedMs = watched.wait.update(loop, vmThread, (nowUs - watched.sinceUs) / US_PER_MS);
             if (waitedMs >= MIN_REPORTED_MS) {
-                observations.see(What.WAITED, node, null, null, null, null, waitedMs, of.sinceUs);
+                observations.see(What.WAITED, node, null, null, null, null, waitedMs, watched.sinceUs);
             }
         }
-        of.sinceUs = now;
+        watched.sinceUs = nowUs;
     }
 }
--- a/src/main/java/rushproxy/lab/node/SharedSocket.java
+++ b/src/main/java/rushproxy/lab/node/SharedSocket.java
@@ -10,10 +10,10 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listening socket that processes inherit as descriptor 0, as a platform's supervisor holds it through a replacement.
- * The Java runtime can hand on nothing but its own first three descriptors: so for the moment of a start the socket is
- * put in the place of this process's descriptor 0, one start at a time. Needs {@code java.base/sun.nio.ch} and
- * {@code java.base/java.io} opened, which the jar's manifest does.
+ * A listening socket that child processes inherit as descriptor 0, as under a supervisor that keeps the socket open while a process is
+ * replaced. Java passes only descriptors 0 to 2 on to a child, so the socket takes the place of this process's descriptor 0 during a
+ * start, one start at a time. Needs the packages {@code sun.nio.ch} and {@code java.io} of {@code java.base} opened, as the jar's
+ * manifest does.
  */
 public final class SharedSocket implements AutoCloseable {
     private static final Object DESCRIPTOR_LOCK = new Object();
@@ -26,19 +26,19 @@
 
     private final ServerSocketChannel socket;
 
-    /** Listens there. */
+    /** Listens on the address. */
     public SharedSocket(InetSocketAddress address) throws IOException {
         socket = ServerSocketChannel.open(StandardProtocolFamily.INET);
         socket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         socket.bind(address, BACKLOG);
     }
 
-    /** Where it listens. */
+    /** Returns the address it listens on. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) socket.getLocalAddress();
     }
 
-    /** {@code start} starts a process whose standard input is inherited: it gets this socket. */
+    /** Calls {@code start}, which starts a process with inherited standard input, while descriptor 0 is this socket. */
     public <T> T startInheriting(ProcessStarter<T> start) throws IOException {
         synchronized (DESCRIPTOR_LOCK) {
             try {
@@ -46,21 +46,22 @@
                 Method dup = makeAccessible(channel.getDeclaredMethod("dup", int.class));
                 Method dup2 = makeAccessible(channel.getDeclaredMethod("dup2", int.class, int.class));
                 Method close = makeAccessible(channel.getDeclaredMethod("close0", int.class));
-                Field of = Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fd");
-                of.setAccessible(true);
-                Field number = FileDescriptor.class.getDeclaredField("fd");
-                number.setAccessible(true);
-                int kept = (int) dup.invoke(null, 0);
-                dup2.invoke(null, number.getInt(of.get(socket)), 0);
+                Field channelDescriptor =
+                        Class.forName("sun.nio.ch.ServerSocketChannelImpl").getDeclaredField("fd");
+                channelDescriptor.setAccessible(true);
+                Field descriptorNumber = FileDescriptor.class.getDeclaredField("fd");
+                descriptorNumber.setAccessible(true);
+                int savedStdin = (int) dup.invoke(null, 0);
+                dup2.invoke(null, descriptorNumber.getInt(channelDescriptor.get(socket)), 0);
                 try {
                     return start.start();
                 } finally {
-                    dup2.invoke(null, kept, 0);
-                    close.invoke(null, kept);
+                    dup2.invoke(null, savedStdin, 0);
+                    close.invoke(null, savedStdin);
                 }
             } catch (ReflectiveOperationException | RuntimeException e) {
                 throw new IOException(
-                        "this Java runtime hands on no socket as descriptor 0 (start the laboratory by java -jar,"
+                        "can't pass a socket on as descriptor 0 (start the laboratory with java -jar,"
                                 + " or with --add-opens java.base/sun.nio.ch=ALL-UNNAMED --add-opens java.base/java.io=ALL-UNNAMED): "
                                 + e,
                         e);
--- a/src/main/java/rushproxy/lab/node/SystemFaults.java
+++ b/src/main/java/rushproxy/lab/node/SystemFaults.java
@@ -13,18 +13,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults of the system for one process: its wall clock is stepped, and its system calls fail, return early or are interrupted.
- * A small C library does it, which the process is started with; what it does is set here while the process runs.
+ * Injects operating system faults into one process: steps its wall clock, and makes system calls fail, return short counts or be
+ * interrupted. A C library preloaded into the process injects the faults; this class sets them in a memory-mapped control file while
+ * the process runs.
  */
 public final class SystemFaults {
     private static final String SOURCE = "faults.c";
     private static final int CONTROL_SIZE_BYTES = 4096;
+    /** Positions in the control file, in bytes. */
+    private static final int WALL_CLOCK_OFFSET = 0;
+
     private static final int SEED_OFFSET = 8;
     private static final int PROBABILITIES_OFFSET = 16;
+    /** Probabilities are stored in millionths. */
     private static final double PROBABILITY_SCALE = 1e6;
+
     private static final long COMPILE_TIMEOUT_S = 60;
 
-    /** Calls that may fail, in the order of the library's control block. */
+    /** Kinds of faults, in the order of the control block in {@code faults.c}. */
     public enum Call {
         ACCEPT_FAILS,
         SOCKET_FAILS,
@@ -67,7 +73,7 @@
         controlBlock.putLong(SEED_OFFSET, seed);
     }
 
-    /** Compiles the library into the folder; empty, with no library, where the machine has no C compiler. */
+    /** Compiles the library into the folder; empty if the machine has no C compiler. */
     public static Optional<Path> compile(Path folder) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Path source = folder.resolve(SOURCE);
@@ -86,17 +92,17 @@
         }
         if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             compiler.destroyForcibly();
-            throw new IOException("the library of faults does not compile");
+            throw new IOException("compiling the fault injection library failed");
         }
         return Optional.of(library);
     }
 
-    /** Faults for one process, none of which is on yet; {@code controlFile} is a file of their own. */
+    /** Creates the controls for one process with all faults off; {@code controlFile} is used by this process only. */
     public static SystemFaults create(Path library, Path control, long seed) throws IOException {
         return new SystemFaults(library, control, seed);
     }
 
-    /** What the process has to be started with. */
+    /** Returns the environment variables to start the process with. */
     public Map<String, String> environment() {
         return Map.of(
                 "LD_PRELOAD",
@@ -105,18 +111,18 @@
                 controlFile.toAbsolutePath().toString());
     }
 
-    /** The process's wall clock is off by so much from now on; its monotonic clock is not. */
-    public void stepWallClock(long ms) {
-        controlBlock.putLong(0, TimeUnit.MILLISECONDS.toNanos(ms));
+    /** Sets the offset of the process's wall clock; the monotonic clock stays as it is. */
+    public void stepWallClock(long offsetMs) {
+        controlBlock.putLong(WALL_CLOCK_OFFSET, TimeUnit.MILLISECONDS.toNanos(offsetMs));
     }
 
-    /** From now on such a call fails by this chance; 0 ends it. */
-    public void setProbability(Call call, double chance) {
-        controlBlock.putInt(
-                PROBABILITIES_OFFSET + Integer.BYTES * call.ordinal(), (int) Math.round(chance * PROBABILITY_SCALE));
+    /** Sets the probability of a fault; 0 turns it off. */
+    public void setProbability(Call call, double probability) {
+        controlBlock.putInt(PROBABILITIES_OFFSET + Integer.BYTES * call.ordinal(), (int)
+                Math.round(probability * PROBABILITY_SCALE));
     }
 
-    /** All calls work again, and the wall clock is right. */
+    /** Turns all faults off and resets the wall clock. */
     public void clear() {
         for (Call c : Call.values()) {
             setProbability(c, 0);
--- a/src/main/java/rushproxy/lab/report/Figures.java
+++ b/src/main/java/rushproxy/lab/report/Figures.java
@@ -13,9 +13,9 @@
 import rushproxy.lab.world.Observation.What;
 
 /**
- * What became of the first tries of a run, or of a stretch of it, by the time at which they were meant to leave. Parts are
- * of the first tries; latencies are in milliseconds from the intended send to the answer of those that were served, also
- * late; {@code runsPerRequest} counts what upstreams took in work or queue for each.
+ * Outcomes of the first tries of requests in a run or a part of it, assigned by intended send time. Fractions are of the first
+ * tries; latencies are in milliseconds from the intended send to the answer, of those served in time or late; {@code runsPerRequest}
+ * is the number of attempts that upstreams took into work or queue, per request.
  */
 public record Figures(
         @JsonProperty("requests") long requests,
@@ -30,24 +30,24 @@
         @JsonProperty("max_ms") double maxMs,
         @JsonProperty("runs_per_request") double runsPerRequest) {
 
-    /** The first tries from {@code fromUs} on and before {@code toUs}. */
+    /** Computes the figures of the first tries from {@code fromUs} (inclusive) to {@code toUs} (exclusive). */
     public static Figures of(Run run, long fromUs, long toUs) {
         Map<String, Double> worths = new HashMap<>();
         run.scenario().classes().forEach(c -> worths.put(c.name(), c.worth()));
-        Map<String, Integer> by = new HashMap<>();
+        Map<String, Integer> countByOutcome = new HashMap<>();
         Histogram latency = new Histogram(3);
-        double asked = 0;
-        double earned = 0;
-        int all = 0;
+        double offeredWorth = 0;
+        double servedWorth = 0;
+        int count = 0;
         long runs = 0;
         for (Observation o : run.all()) {
             if (o.what() == What.SETTLED && o.sinceUs() >= fromUs && o.sinceUs() < toUs) {
                 String[] words = o.text().split(" ");
-                all++;
-                by.merge(words[0], 1, Integer::sum);
+                count++;
+                countByOutcome.merge(words[0], 1, Integer::sum);
                 double worth = worths.getOrDefault(words[1], 0.0);
-                asked += worth;
-                earned += words[0].equals("served") ? worth : 0;
+                offeredWorth += worth;
+                servedWorth += words[0].equals("served") ? worth : 0;
                 if (words[0].equals("served") || words[0].equals("late")) {
                     latency.recordValue(Math.round(o.number() * 1e3));
                 }
@@ -55,14 +55,14 @@
                 runs += o.what() == What.GOT ? 1 : o.what() == What.TURNED_AWAY ? -1 : 0;
             }
         }
-        double n = Math.max(1, all);
+        double n = Math.max(1, count);
         return new Figures(
-                all,
-                by.getOrDefault("served", 0) / n,
-                by.getOrDefault("late", 0) / n,
-                by.getOrDefault("refused", 0) / n,
-                by.getOrDefault("failed", 0) / n,
-                asked == 0 ? 0 : earned / asked,
+                count,
+                countByOutcome.getOrDefault("served", 0) / n,
+                countByOutcome.getOrDefault("late", 0) / n,
+                countByOutcome.getOrDefault("refused", 0) / n,
+                countByOutcome.getOrDefault("failed", 0) / n,
+                offeredWorth == 0 ? 0 : servedWorth / offeredWorth,
                 percentileMs(latency, 50),
                 percentileMs(latency, 90),
                 percentileMs(latency, 99),
@@ -74,7 +74,7 @@
         return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1e3;
     }
 
-    /** The figure by the name that a scenario has for it. */
+    /** Returns a figure by its name in scenario files; throws for an unknown name. */
     public double valueOf(String figure) {
         return switch (figure) {
             case "served" -> served;
@@ -89,11 +89,11 @@
         };
     }
 
-    /** Names for {@link #valueOf}, as sweeps list them. */
+    /** Figures printed by sweeps, as names for {@link #valueOf}. */
     public static final List<String> NAMES =
             List.of("served", "worth", "refused", "failed", "p50_ms", "p99_ms", "runs_per_request");
 
-    /** A second of a run: how many first tries ended how, and how long those that were served took. */
+    /** Outcomes and latencies of the first tries in one second of a run. */
     public record Second(
             @JsonProperty("s") int s,
             @JsonProperty("asked") int asked,
@@ -107,7 +107,7 @@
             @JsonProperty("held") Map<String, Double> held,
             @JsonProperty("lab_late_ms") double labLateMs) {}
 
-    /** The seconds of the run, in order; latencies are null where nothing was served. */
+    /** Returns the seconds of the run in order; latencies are null for a second in which nothing was served. */
     public static List<Second> seconds(Run run) {
         Scenario scenario = run.scenario();
         int n = (int) ((scenario.lengthUs() + 999_999) / 1_000_000);
--- a/src/main/java/rushproxy/lab/report/Report.java
+++ b/src/main/java/rushproxy/lab/report/Report.java
@@ -24,8 +24,8 @@
 import rushproxy.lab.world.Observation;
 
 /**
- * A run's folder: {@code scenario.json}, {@code events.jsonl} (an {@link Observation} a line), {@code figures.jsonl} (a
- * {@link Figures.Second} a line), {@code summary.json} and {@code report.html}, which opens without a network.
+ * Reads and writes the folder of a run: {@code scenario.json}, {@code events.jsonl} (one {@link Observation} per line),
+ * {@code figures.jsonl} (one {@link Figures.Second} per line), {@code summary.json} and {@code report.html}, which needs no network.
  */
 public final class Report {
     static final ObjectMapper JSON = JsonMapper.builder()
@@ -57,7 +57,7 @@
         }
     }
 
-    /** What {@link #write} has written. Throws, naming file and line, where it can't be read. */
+    /** Reads the run that {@link #write} has written; throws, with file and line, if an event can't be parsed. */
     public static Run readRun(Path folder) throws IOException {
         Scenario scenario = JSON.readValue(folder.resolve("scenario.json").toFile(), Scenario.class);
         List<Observation> all = new ArrayList<>();
@@ -81,7 +81,7 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = Report.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IOException(name + " is not in the program");
+                throw new IOException(name + " is missing from the class path");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
@@ -97,7 +97,7 @@
                 .replace("/*DATA*/null", chartData(run));
     }
 
-    /** Text that stands between tags. */
+    /** Escapes text for use between tags. */
     static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
@@ -173,7 +173,7 @@
         List<FaultInterval> shades = run.scenario().faults().stream()
                 .map(f -> new FaultInterval(f.atUs() / 1e6, (f.atUs() + Math.max(f.forUs(), 100_000)) / 1e6, f.words()))
                 .toList();
-        // A '<' within a script could end it.
+        // A literal "</script>" would end the script element.
         return JSON.copy()
                 .disable(SerializationFeature.INDENT_OUTPUT)
                 .writeValueAsString(Map.of("seconds", Figures.seconds(run), "faults", shades))
--- a/src/main/java/rushproxy/lab/report/Summary.java
+++ b/src/main/java/rushproxy/lab/report/Summary.java
@@ -6,13 +6,14 @@
 import rushproxy.lab.check.Violation;
 
 /**
- * A run in one page: {@code summary.json}.
+ * The summary of a run, written to {@code summary.json}.
  *
- * @param verdict    "held", "broken" (a rule or what the scenario expects), "void" (the laboratory itself was late),
- *                   "stopped" half way, or "failed" to start
- * @param why        what the verdict rests on, a line each
- * @param lateness   of the laboratory, in milliseconds: "send_p99", "send_max", "late_sends" (a part), "beat_p99", "beat_max"
- * @param nodes      for each sidecar "cpu_s", "rss_mb", "datagrams", "datagram_bytes", "starts"
+ * @param verdict    "held", "broken" (a rule or an expectation of the scenario), "void" (the laboratory itself was too late),
+ *                   "stopped" before its end, or "failed" to start
+ * @param why        the reasons for the verdict, one per line
+ * @param lateness   of the laboratory, in milliseconds except "late_sends", a fraction: "send_p99", "send_max", "late_sends",
+ *                   "beat_p99", "beat_max"
+ * @param nodes      "cpu_s", "rss_mb", "datagrams", "datagram_bytes" and "starts" by sidecar
  */
 public record Summary(
         @JsonProperty("scenario") String scenario,
--- a/src/main/java/rushproxy/lab/soak/Soak.java
+++ b/src/main/java/rushproxy/lab/soak/Soak.java
@@ -8,7 +8,7 @@
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.scenario.ScenarioException;
 
-/** Plays plans with real sidecars, and looks for the fewest faults with which a plan that fails still fails. */
+/** Runs soak plans with real sidecars, and shrinks a failing plan to fewer faults that still make it fail. */
 public final class Soak {
     private static final String BROKEN = "broken";
 
@@ -16,35 +16,38 @@
     private final Path folder;
     private final Lab.Progress progress;
 
-    /** Each play gets a folder of its own in {@code folder}, with its plan. */
+    /** Each run gets its own folder below {@code folder}, which also holds its plan. */
     public Soak(Build build, Path folder, Lab.Progress progress) {
         this.build = build;
         this.folder = folder;
         this.progress = progress;
     }
 
-    /** One play of the plan. */
+    /** Runs the plan once. */
     public Summary run(SoakPlan plan, String name) throws IOException, InterruptedException, ScenarioException {
-        Path at = folder.resolve(name);
-        Files.createDirectories(at);
-        Files.writeString(at.resolve("plan.toml"), plan.toml());
-        return new Lab(plan.scenario(), build, at, line -> {}).run();
+        Path runFolder = folder.resolve(name);
+        Files.createDirectories(runFolder);
+        Files.writeString(runFolder.resolve("plan.toml"), plan.toml());
+        return new Lab(plan.scenario(), build, runFolder, line -> {}).run();
     }
 
-    /** Leaves out one fault after the other for as long as the rest still breaks a rule; at most so many plays. */
+    /**
+     * Removes one fault after the other as long as the remaining ones still break a rule or expectation, in at most {@code maxRuns}
+     * runs.
+     */
     public SoakPlan shrink(SoakPlan failing, int maxRuns) throws IOException, InterruptedException, ScenarioException {
-        SoakPlan least = failing;
-        int plays = 0;
-        for (int i = least.faults().size() - 1; i >= 0 && plays < maxRuns; i--) {
-            SoakPlan without = least.without(i);
-            String name = "shrink-" + failing.seed() + "-" + ++plays;
+        SoakPlan smallest = failing;
+        int runs = 0;
+        for (int i = smallest.faults().size() - 1; i >= 0 && runs < maxRuns; i--) {
+            SoakPlan without = smallest.without(i);
+            String name = "shrink-" + failing.seed() + "-" + ++runs;
             boolean fails = run(without, name).verdict().equals(BROKEN);
             progress.says(name + ": " + without.faults().size() + " faults, " + (fails ? "still fails" : "holds"));
             if (fails) {
-                least = without;
+                smallest = without;
             }
         }
-        Files.writeString(folder.resolve("shrunk-" + failing.seed() + ".toml"), least.toml());
-        return least;
+        Files.writeString(folder.resolve("shrunk-" + failing.seed() + ".toml"), smallest.toml());
+        return smallest;
     }
 }
--- a/src/main/java/rushproxy/lab/soak/SoakPlan.java
+++ b/src/main/java/rushproxy/lab/soak/SoakPlan.java
@@ -11,40 +11,39 @@
 import rushproxy.lab.scenario.ScenarioReader;
 
 /**
- * A deployment and faults that overlap in time, all drawn from a seed. As text it is a scenario file, which can be played
- * again by {@code lab run}; with a fault left out it is another plan.
+ * A deployment with overlapping faults, generated from a seed. Its text is a scenario file, which {@code lab run} can run again.
  *
- * @param head   the deployment
- * @param faults one table of the scenario file each
+ * @param head   the deployment, as the first part of the scenario file
+ * @param faults one table of the scenario file per fault
  */
 public record SoakPlan(long seed, String head, List<String> faults) {
     private static final double RATE_PER_NODE_PER_S = 8;
     private static final double FIRST_FAULT_S = 1;
-    /** Faults begin this long before the end, so that their recovery is seen. */
+    /** No fault begins in the last seconds of a run, so that the recovery from the last one is observed. */
     private static final double FAULT_FREE_END_S = 4;
 
     private static final double FAULTS_PER_S = 0.7;
-    /** Sidecars of which a fault takes a part at once. */
+    /** Maximum number of sidecars affected by one fault. */
     private static final int MAX_AFFECTED_NODES = 3;
 
-    /** The plan of this seed, for so many sidecars and so many seconds. */
+    /** Generates the plan of this seed for a number of sidecars and a length in seconds. */
     public static SoakPlan generate(long seed, int nodes, double lengthS) {
         return new Generator(seed, nodes, lengthS).plan();
     }
 
-    /** The same plan without its i-th fault. */
+    /** Returns this plan without the fault at index {@code i}. */
     public SoakPlan without(int i) {
         List<String> rest = new ArrayList<>(faults);
         rest.remove(i);
         return new SoakPlan(seed, head, List.copyOf(rest));
     }
 
-    /** As a scenario file has it. */
+    /** Returns the plan as a scenario file. */
     public String toml() {
         return head + String.join("\n", faults);
     }
 
-    /** As the laboratory plays it. */
+    /** Returns the plan as a scenario. */
     public Scenario scenario() throws ScenarioException {
         return ScenarioReader.parse("soak-" + seed, toml(), Map.of());
     }
@@ -66,17 +65,17 @@
 
         SoakPlan plan() {
             String head = deployment();
-            boolean replaced = random.nextInt(4) == 0;
+            boolean allowReplace = random.nextInt(4) == 0;
             List<String> faults = new ArrayList<>();
             int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - FAULT_FREE_END_S) * FAULTS_PER_S);
             for (int i = 0; i < count; i++) {
-                faults.add(fault(replaced));
+                faults.add(fault(allowReplace));
             }
             return new SoakPlan(seed, head, List.copyOf(faults));
         }
 
-        private double between(double least, double most) {
-            return least + (most - least) * random.nextDouble();
+        private double between(double min, double max) {
+            return min + (max - min) * random.nextDouble();
         }
 
         private String pick(String... words) {
@@ -165,15 +164,15 @@
             return "servers = \"s" + random.nextInt(servers) + "\"\n";
         }
 
-        private String duration(double least, double most) {
-            return String.format(Locale.ROOT, "for_s = %.2f%n", between(least, most));
+        private String duration(double min, double max) {
+            return String.format(Locale.ROOT, "for_s = %.2f%n", between(min, max));
         }
 
-        private String fraction(double least, double most) {
-            return String.format(Locale.ROOT, "part = %.2f%n", between(least, most));
+        private String fraction(double min, double max) {
+            return String.format(Locale.ROOT, "part = %.2f%n", between(min, max));
         }
 
-        private String fault(boolean replaced) {
+        private String fault(boolean allowReplace) {
             return String.format(
                             Locale.ROOT,
                             "[[faults]]%nat_s = %.2f%n",
@@ -185,7 +184,7 @@
                                     + String.format(Locale.ROOT, "stagger_s = %.2f%n", between(0, 1));
                         case 3 -> "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 4 ->
-                            replaced
+                            allowReplace
                                     ? "do = \"replace\"\n" + affectedNodes()
                                     : "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 5, 6 -> "do = \"stall\"\n" + affectedNodes() + duration(0.05, 0.15);
--- a/src/test/java/rushproxy/known/KeptFolders.java
+++ b/src/test/java/rushproxy/known/KeptFolders.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.io.TempDirFactory;
 
 /**
- * Gives each test its folder below {@code target/tests}, named after the test. {@code junit-platform.properties} keeps it where the
- * test fails: logs and observations of a run with processes are the only evidence of what happened in it.
+ * Creates temporary folders below {@code target/tests}, named after the test. {@code junit-platform.properties} keeps the folder of a
+ * failed test: its logs and observations are the only evidence of what happened in a run with several processes.
  */
 public final class KeptFolders implements TempDirFactory {
     private static final Path ROOT = Path.of("target", "tests").toAbsolutePath();
--- a/src/test/java/rushproxy/known/KnownRed.java
+++ b/src/test/java/rushproxy/known/KnownRed.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Leaves out exactly the tests that the file named by the environment variable {@code KNOWN_RED} lists, a
- * {@link KnownRedEntry} a line. Without the variable, as in a run by hand, every test runs.
+ * Disables exactly the tests listed in the file that the environment variable {@code KNOWN_RED} names, one {@link KnownRedEntry} per
+ * line. All tests run if the variable is not set.
  */
 public final class KnownRed implements ExecutionCondition {
     private static final String FILE = System.getenv("KNOWN_RED");
@@ -25,7 +25,7 @@
         }
         Optional<Method> method = context.getTestMethod();
         if (method.isEmpty()) {
-            return ConditionEvaluationResult.enabled("a class");
+            return ConditionEvaluationResult.enabled("applies to test methods only");
         }
         String test = context.getRequiredTestClass().getSimpleName() + "#"
                 + method.get().getName();
@@ -36,7 +36,7 @@
                 .orElse(ConditionEvaluationResult.enabled("not listed"));
     }
 
-    /** All entries of a list; throws for a line that lacks a part. */
+    /** Reads the entries of a list; throws for a malformed line. */
     static List<KnownRedEntry> read(Path list) {
         try {
             return Files.readAllLines(list).stream().map(KnownRedEntry::parse).toList();
--- a/src/test/java/rushproxy/known/KnownRedEntry.java
+++ b/src/test/java/rushproxy/known/KnownRedEntry.java
@@ -4,12 +4,12 @@
 import java.util.regex.Pattern;
 
 /**
- * One known failure, a line of {@code KNOWN-RED.txt}. {@code .ci/known-red} checks the same form before a build begins.
+ * A known test failure, one line of {@code KNOWN-RED.txt}. {@code .ci/known-red} checks the same format before a build.
  *
  * @param test    the test, as {@code Class#method}
- * @param command what shows the failure
- * @param seed    what the run draws from
- * @param seen    the symptom
+ * @param command the command that reproduces the failure
+ * @param seed    the random seed of the run
+ * @param symptom what was observed
  * @param issue   the number of the open issue
  */
 record KnownRedEntry(String test, String command, String seed, String symptom, int issue) {
@@ -21,7 +21,7 @@
         Matcher match = LINE.matcher(line);
         if (!match.matches()) {
             throw new IllegalArgumentException(
-                    "not of the form 'Class#method | command: … | seed: … | seen: … | issue: N': " + line);
+                    "not in the format 'Class#method | command: … | seed: … | seen: … | issue: N': " + line);
         }
         return new KnownRedEntry(
                 match.group(1), match.group(2), match.group(3), match.group(4), Integer.parseInt(match.group(5)));
--- a/src/test/java/rushproxy/known/KnownRedTest.java
+++ b/src/test/java/rushproxy/known/KnownRedTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A list of known failures is taken by CI and by the tests only where each entry has all of its parts. */
+/** Checks that lists of known failures with incomplete entries are rejected by CI's script and by the JUnit extension. */
 class KnownRedTest {
     private static final String COMPLETE_ENTRY =
             "LabIT#some | command: mvn -B verify -Dit.test='LabIT#some' | seed: 7 | seen: one of 50 failed | issue: 34";
--- a/src/test/java/rushproxy/lab/node/AddressProbeTest.java
+++ b/src/test/java/rushproxy/lab/node/AddressProbeTest.java
@@ -11,7 +11,7 @@
 import rushproxy.lab.world.Addresses;
 
 class AddressProbeTest {
-    /** Guards against a look that lets a client's connection come up and resets it at its end, which counts as a sidecar's loss. */
+    /** Guards against a probe that accepts a client's connection and resets it when closed, which would count as a loss by the sidecar. */
     @Test
     void connectionsAreRefusedWhileAddressIsProbed() throws Exception {
         try (Addresses own = Addresses.take()) {
@@ -21,7 +21,7 @@
                 assertThrows(ConnectException.class, () -> client.connect(address));
             }
             try (ServerSocket other = new ServerSocket(address.getPort(), 1, address.getAddress())) {
-                assertThrows(IOException.class, () -> new AddressProbe(address), other + " listens there");
+                assertThrows(IOException.class, () -> new AddressProbe(address), other + " listens on the address");
             }
         }
     }
