--- a/src/main/java/rushproxy/lab/node/Build.java
+++ b/src/main/java/rushproxy/lab/node/Build.java
@@ -23,8 +23,7 @@
             throw new IOException(deploy + ": 'run' is missing");
         }
         if (!Files.exists(root.resolve(JAR))) {
-            throw new IOException(
-                    root.resolve(JAR) + " is missing: run 'build' of " + deploy + " first");
+            throw new IOException(root.resolve(JAR) + " is missing: run 'build' of " + deploy + " first");
         }
         return new Build(root, run.asText());
     }
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -54,7 +54,7 @@
     private final Path folder;
     private final NodeLog log;
     private final UniformRandomProvider random;
-    private final ProcessReaper keeper;
+    private final ProcessReaper reaper;
     private final List<Process> processes = new ArrayList<>();
     private Build build;
     private SharedSocket sharedSocket;
@@ -82,8 +82,8 @@
             Path folder,
             Build build,
             UniformRandomProvider random,
-            ProcessReaper keeper) {
-        this.keeper = keeper;
+            ProcessReaper reaper) {
+        this.reaper = reaper;
         this.number = number;
         this.name = "n" + number;
         this.scenario = scenario;
@@ -190,7 +190,7 @@
                         builder.redirectInput(ProcessBuilder.Redirect.INHERIT).start());
             }
             processes.add(p);
-            keeper.register(p);
+            reaper.register(p);
             adminSlot = slot;
             observations.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
             p.onExit().thenAccept(this::recordExit);
--- a/src/main/java/rushproxy/lab/node/NodeLog.java
+++ b/src/main/java/rushproxy/lab/node/NodeLog.java
@@ -34,11 +34,11 @@
     }
 
     /** Whether the log reports, from this byte offset on, that a process accepts clients. */
-    boolean reportsServing(long sinceByte) {
+    boolean reportsServing(long fromByte) {
         try {
             byte[] all = Files.readAllBytes(file);
-            int since = (int) Math.min(sinceByte, all.length);
-            return new String(all, since, all.length - since, StandardCharsets.UTF_8).contains(SERVES);
+            int from = (int) Math.min(fromByte, all.length);
+            return new String(all, from, all.length - from, StandardCharsets.UTF_8).contains(SERVES);
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/rushproxy/lab/node/SystemFaults.java
+++ b/src/main/java/rushproxy/lab/node/SystemFaults.java
@@ -62,11 +62,11 @@
     private final Path controlFile;
     private final MappedByteBuffer controlBlock;
 
-    private SystemFaults(Path library, Path control, long seed) throws IOException {
+    private SystemFaults(Path library, Path controlFile, long seed) throws IOException {
         this.library = library;
-        this.controlFile = control;
-        Files.write(control, new byte[CONTROL_SIZE_BYTES]);
-        try (FileChannel channel = FileChannel.open(control, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        this.controlFile = controlFile;
+        Files.write(controlFile, new byte[CONTROL_SIZE_BYTES]);
+        try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             controlBlock = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_SIZE_BYTES);
         }
         controlBlock.order(ByteOrder.nativeOrder());
@@ -98,8 +98,8 @@
     }
 
     /** Creates the controls for one process with all faults off; {@code controlFile} is used by this process only. */
-    public static SystemFaults create(Path library, Path control, long seed) throws IOException {
-        return new SystemFaults(library, control, seed);
+    public static SystemFaults create(Path library, Path controlFile, long seed) throws IOException {
+        return new SystemFaults(library, controlFile, seed);
     }
 
     /** Returns the environment variables to start the process with. */
--- a/src/main/java/rushproxy/lab/report/Figures.java
+++ b/src/main/java/rushproxy/lab/report/Figures.java
@@ -111,12 +111,12 @@
     public static List<Second> seconds(Run run) {
         Scenario scenario = run.scenario();
         int n = (int) ((scenario.lengthUs() + 999_999) / 1_000_000);
-        List<Map<String, Integer>> by = new ArrayList<>();
+        List<Map<String, Integer>> countByOutcome = new ArrayList<>();
         List<Histogram> latency = new ArrayList<>();
         List<Map<String, Double>> held = new ArrayList<>();
-        double[] late = new double[n];
+        double[] labLateMs = new double[n];
         for (int i = 0; i < n; i++) {
-            by.add(new HashMap<>());
+            countByOutcome.add(new HashMap<>());
             latency.add(new Histogram(3));
             held.add(new TreeMap<>());
         }
@@ -127,34 +127,34 @@
                 continue;
             }
             if (o.what() == What.SETTLED) {
-                String how = o.text().split(" ")[0];
-                by.get(s).merge(how, 1, Integer::sum);
-                if (how.equals("served") || how.equals("late")) {
+                String outcome = o.text().split(" ")[0];
+                countByOutcome.get(s).merge(outcome, 1, Integer::sum);
+                if (outcome.equals("served") || outcome.equals("late")) {
                     latency.get(s).recordValue(Math.round(o.number() * 1e3));
                 }
             } else if (o.what() == What.HELD) {
                 held.get(s).put(o.text(), o.number());
             } else if (o.what() == What.LATE) {
-                late[s] = Math.max(late[s], o.number());
+                labLateMs[s] = Math.max(labLateMs[s], o.number());
             }
         }
         List<Second> seconds = new ArrayList<>();
         for (int s = 0; s < n; s++) {
-            Map<String, Integer> b = by.get(s);
+            Map<String, Integer> counts = countByOutcome.get(s);
             Histogram h = latency.get(s);
             boolean none = h.getTotalCount() == 0;
             seconds.add(new Second(
                     s,
-                    b.values().stream().mapToInt(Integer::intValue).sum(),
-                    b.getOrDefault("served", 0),
-                    b.getOrDefault("late", 0),
-                    b.getOrDefault("refused", 0),
-                    b.getOrDefault("failed", 0),
+                    counts.values().stream().mapToInt(Integer::intValue).sum(),
+                    counts.getOrDefault("served", 0),
+                    counts.getOrDefault("late", 0),
+                    counts.getOrDefault("refused", 0),
+                    counts.getOrDefault("failed", 0),
                     none ? null : percentileMs(h, 50),
                     none ? null : percentileMs(h, 90),
                     none ? null : percentileMs(h, 99),
                     held.get(s),
-                    late[s]));
+                    labLateMs[s]));
         }
         return seconds;
     }
