--- a/src/main/java/rushproxy/cli/LabCommand.java
+++ b/src/main/java/rushproxy/cli/LabCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Parameters;
 import rushproxy.lab.Lab;
 import rushproxy.lab.check.Checker;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.check.Violation;
 import rushproxy.lab.node.Build;
 import rushproxy.lab.report.Figures;
@@ -29,92 +29,100 @@
 import rushproxy.lab.scenario.ScenarioException;
 import rushproxy.lab.scenario.ScenarioReader;
 
-/** {@code lab}: fleets of real sidecar processes with faults between them. */
+/** {@code lab}: runs fleets of real sidecar processes under injected faults, and checks their behavior. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
-        description = "Plays fleets of real sidecars in a world with faults, and checks what they do.",
+        description = "Runs fleets of real sidecars under injected faults and checks their behavior.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all held",
-            "1:a rule was broken, or something expected was missed",
-            "2:bad words, or a scenario that can't be played; nothing was started",
-            "3:void: the laboratory itself was too late",
-            "4:a sidecar or an address could not be had",
-            "5:stopped half way"
+            "0:all rules and expectations held",
+            "1:a rule was broken, or an expectation was not met",
+            "2:invalid arguments, or a scenario that cannot be run; nothing was started",
+            "3:void: the laboratory itself exceeded its lateness limits",
+            "4:a sidecar could not be started, or an address was not available",
+            "5:stopped before the end"
         },
         subcommands = {
-            LabCommand.RunOne.class,
-            LabCommand.ListAll.class,
+            LabCommand.RunScenario.class,
+            LabCommand.ListScenarios.class,
             LabCommand.Check.class,
-            LabCommand.ReportAgain.class,
+            LabCommand.RewriteReport.class,
             LabSweep.class,
             LabSoak.class,
             LabScale.class,
             LabCapacity.class
         })
 final class LabCommand implements Runnable {
-    static final int BROKEN = 1;
-    static final int BAD = 2;
-    private static final int MOST_SHOWN = 10;
+    static final int EXIT_RULE_BROKEN = 1;
+    static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_VOID = 3;
+    static final int EXIT_FAILED = 4;
+    private static final int EXIT_STOPPED = 5;
+    private static final int MAX_VIOLATIONS_SHOWN = 10;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done in the laboratory?");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
+                "a subcommand is required: run, list, check, report, sweep, soak, scale or capacity");
     }
 
-    static int code(String verdict) {
+    /** Returns the exit code for the verdict of a run. */
+    static int exitCode(String verdict) {
         return switch (verdict) {
             case "held" -> 0;
-            case "broken" -> BROKEN;
-            case "void" -> 3;
-            case "stopped" -> 5;
-            default -> 4;
+            case "broken" -> EXIT_RULE_BROKEN;
+            case "void" -> EXIT_VOID;
+            case "stopped" -> EXIT_STOPPED;
+            default -> EXIT_FAILED;
         };
     }
 
-    /** What a scenario is changed by before it is played. */
-    static final class Changes {
-        @Option(names = "--seed", description = "Another seed for all draws.")
+    /** Options that override values of a scenario before it is run. */
+    static final class ScenarioOverrides {
+        @Option(names = "--seed", description = "Seed of all random draws, in place of the scenario's.")
         Long seed;
 
         @Option(
                 names = "--set",
                 paramLabel = "PATH=VALUE",
-                description = "Another value, as TOML: --set traffic.rate_per_s=200")
+                description = "Overrides a value, as TOML: --set traffic.rate_per_s=200")
         List<String> set = new ArrayList<>();
 
-        Map<String, String> all() throws ScenarioException {
-            Map<String, String> changes = pairs(set);
+        Map<String, String> toOverrides() throws ScenarioException {
+            Map<String, String> overrides = parseOverrides(set);
             if (seed != null) {
-                changes.put("seed", Long.toString(seed));
+                overrides.put("seed", Long.toString(seed));
             }
-            return changes;
+            return overrides;
         }
 
-        static Map<String, String> pairs(List<String> set) throws ScenarioException {
-            Map<String, String> changes = new LinkedHashMap<>();
+        static Map<String, String> parseOverrides(List<String> set) throws ScenarioException {
+            Map<String, String> overrides = new LinkedHashMap<>();
             for (String pair : set) {
                 int equals = pair.indexOf('=');
                 if (equals <= 0) {
                     throw new ScenarioException("'" + pair + "' is not of the form path=value");
                 }
-                changes.put(pair.substring(0, equals), pair.substring(equals + 1));
+                overrides.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
-            return changes;
+            return overrides;
         }
     }
 
-    static Path newFolder(String name) {
-        String at = LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss", Locale.ROOT));
+    static Path newReportFolder(String name) {
+        String timestamp = LocalDateTime.now().format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss", Locale.ROOT));
         return Path.of(
-                "target", "lab", at + "-" + name + "-" + ProcessHandle.current().pid());
+                "target",
+                "lab",
+                timestamp + "-" + name + "-" + ProcessHandle.current().pid());
     }
 
-    static void print(PrintWriter out, Summary s) {
+    static void printSummary(PrintWriter out, Summary s) {
         Figures f = s.figures();
         out.printf(
                 Locale.ROOT,
@@ -122,7 +130,7 @@
                 s.scenario(),
                 s.seed(),
                 s.verdict().toUpperCase(Locale.ROOT));
-        s.why().forEach(w -> out.println("  " + w));
+        s.why().forEach(reason -> out.println("  " + reason));
         out.printf(
                 Locale.ROOT,
                 "  %d requests: served %.4f, late %.4f, refused %.4f, failed %.4f; worth %.4f; %.2f runs a request%n",
@@ -149,8 +157,8 @@
                 s.lateness().get("beat_max"));
     }
 
-    static void print(PrintWriter out, Run run, List<Violation> violations) {
-        for (Violation v : violations.subList(0, Math.min(MOST_SHOWN, violations.size()))) {
+    static void printViolations(PrintWriter out, RecordedRun run, List<Violation> violations) {
+        for (Violation v : violations.subList(0, Math.min(MAX_VIOLATIONS_SHOWN, violations.size()))) {
             out.printf(
                     Locale.ROOT,
                     "  %s at %.3f s%s: %s%n",
@@ -162,98 +170,95 @@
                 out.print(run.history(v.id()));
             }
         }
-        if (violations.size() > MOST_SHOWN) {
-            out.println("  and " + (violations.size() - MOST_SHOWN) + " more");
+        if (violations.size() > MAX_VIOLATIONS_SHOWN) {
+            out.println("  and " + (violations.size() - MAX_VIOLATIONS_SHOWN) + " more");
         }
     }
 
-    /** Says what is wrong in one line. */
-    static int bad(CommandLine.Model.CommandSpec spec, Exception e) {
+    /** Prints the exception's message and returns {@link #EXIT_BAD_INPUT}. */
+    static int printError(CommandLine.Model.CommandSpec spec, Exception e) {
         spec.commandLine().getErr().println(e.getMessage());
         spec.commandLine().getErr().flush();
-        return BAD;
+        return EXIT_BAD_INPUT;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one scenario.")
-    static final class RunOne implements Callable<Integer> {
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs one scenario.")
+    static final class RunScenario implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "SCENARIO", description = "A TOML file, or a name that 'lab list' shows.")
+        @Parameters(index = "0", paramLabel = "SCENARIO", description = "A TOML file, or a name shown by 'lab list'.")
         private String scenario;
 
         @Mixin
-        private Changes changes;
+        private ScenarioOverrides overrides;
 
-        @Option(names = "--out", description = "The folder for the report; by default a new one in target/lab.")
+        @Option(names = "--out", description = "Folder for the report; by default a new one in target/lab.")
         private Path out;
 
-        @Option(names = "--jar", description = "Another build of the program for all sidecars.")
+        @Option(names = "--jar", description = "JAR of another build, used for all sidecars.")
         private String jar;
 
         @Option(
                 names = {"-q", "--quiet"},
-                description = "Only the summary.")
+                description = "Prints only the summary.")
         private boolean quiet;
 
         @Override
         public Integer call() throws InterruptedException {
-            PrintWriter print = spec.commandLine().getOut();
+            PrintWriter console = spec.commandLine().getOut();
             Scenario s;
             Build build;
             try {
-                s = ScenarioReader.read(scenario, changes.all());
+                s = ScenarioReader.read(scenario, overrides.toOverrides());
                 build = Build.of(Build.findRoot());
-                build = jar == null ? build : build.with(jar);
+                build = jar == null ? build : build.withJar(jar);
                 check(build, s);
             } catch (ScenarioException | IOException e) {
-                return bad(spec, e);
+                return printError(spec, e);
             }
-            Path folder = out == null ? newFolder(s.name()) : out;
+            Path folder = out == null ? newReportFolder(s.name()) : out;
             try {
                 Summary summary = new Lab(s, build, folder, line -> {
                             if (!quiet) {
-                                print.println(line);
-                                print.flush();
+                                console.println(line);
+                                console.flush();
                             }
                         })
                         .run();
-                print(print, summary);
+                printSummary(console, summary);
                 if (!summary.violations().isEmpty()) {
-                    print(print, Report.readRun(folder), summary.violations());
+                    printViolations(console, Report.readRun(folder), summary.violations());
                 }
-                print.println("  report: " + folder.resolve("report.html"));
-                print.flush();
-                return code(summary.verdict());
+                console.println("  report: " + folder.resolve("report.html"));
+                console.flush();
+                return exitCode(summary.verdict());
             } catch (IOException e) {
-                spec.commandLine().getErr().println("the run could not be reported: " + e);
-                return 4;
+                spec.commandLine().getErr().println("the run failed, or its report could not be written: " + e);
+                return EXIT_FAILED;
             }
         }
 
         private static void check(Build build, Scenario s) throws IOException {
             if (s.fleet().jar() != null) {
-                build.with(s.fleet().jar());
+                build.withJar(s.fleet().jar());
             }
             for (Scenario.Fault f : s.faults()) {
                 if (f.jar() != null) {
-                    build.with(f.jar());
+                    build.withJar(f.jar());
                 }
             }
         }
     }
 
-    @Command(
-            name = "list",
-            mixinStandardHelpOptions = true,
-            description = "Lists the scenarios that come with the program.")
-    static final class ListAll implements Callable<Integer> {
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the built-in scenarios.")
+    static final class ListScenarios implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() throws ScenarioException {
-            for (String name : ScenarioReader.NAMES) {
+            for (String name : ScenarioReader.BUNDLED_NAMES) {
                 Scenario s = ScenarioReader.read(name, Map.of());
                 spec.commandLine()
                         .getOut()
@@ -275,31 +280,31 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description =
-                    "Reads a scenario and says what it would play, or looks through a run's folder again for broken rules.")
+                    "Reads a scenario and prints its plan, or checks the records in a run's folder against all rules again.")
     static final class Check implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
         @Parameters(index = "0", paramLabel = "SCENARIO|FOLDER")
-        private String what;
+        private String scenarioOrFolder;
 
         @Mixin
-        private Changes changes;
+        private ScenarioOverrides overrides;
 
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             try {
-                if (Files.isDirectory(Path.of(what))) {
-                    Run run = Report.readRun(Path.of(what));
+                if (Files.isDirectory(Path.of(scenarioOrFolder))) {
+                    RecordedRun run = Report.readRun(Path.of(scenarioOrFolder));
                     List<Violation> violations = new ArrayList<>();
                     Checker.all().forEach(c -> violations.addAll(c.check(run)));
                     out.println(violations.isEmpty() ? "all rules kept" : violations.size() + " violations");
-                    print(out, run, violations);
+                    printViolations(out, run, violations);
                     out.flush();
-                    return violations.isEmpty() ? 0 : BROKEN;
+                    return violations.isEmpty() ? 0 : EXIT_RULE_BROKEN;
                 }
-                Scenario s = ScenarioReader.read(what, changes.all());
+                Scenario s = ScenarioReader.read(scenarioOrFolder, overrides.toOverrides());
                 out.printf(
                         Locale.ROOT,
                         "%s: %d sidecars, %d upstreams, %.0f requests a second for %.0f s%n",
@@ -313,12 +318,12 @@
                                 Locale.ROOT,
                                 "  %8.1f s  %s%s%n",
                                 f.atUs() / 1e6,
-                                f.words(),
+                                f.describe(),
                                 f.forUs() > 0 ? String.format(Locale.ROOT, ", for %.1f s", f.forUs() / 1e6) : ""));
                 out.flush();
                 return 0;
             } catch (ScenarioException | IOException e) {
-                return bad(spec, e);
+                return printError(spec, e);
             }
         }
     }
@@ -326,8 +331,8 @@
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
-            description = "Prints a run's summary, and writes its page anew.")
-    static final class ReportAgain implements Callable<Integer> {
+            description = "Prints a run's summary and writes its report page again.")
+    static final class RewriteReport implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -337,16 +342,16 @@
         @Override
         public Integer call() {
             try {
-                Run run = Report.readRun(folder);
+                RecordedRun run = Report.readRun(folder);
                 Summary summary = Report.readSummary(folder);
                 Report.write(folder, run, summary);
-                print(spec.commandLine().getOut(), summary);
-                print(spec.commandLine().getOut(), run, summary.violations());
+                printSummary(spec.commandLine().getOut(), summary);
+                printViolations(spec.commandLine().getOut(), run, summary.violations());
                 spec.commandLine().getOut().println("  report: " + folder.resolve("report.html"));
                 spec.commandLine().getOut().flush();
                 return 0;
             } catch (IOException e) {
-                return bad(spec, new IOException(folder + ": no run's folder: " + e.getMessage()));
+                return printError(spec, new IOException(folder + ": is not the folder of a run: " + e.getMessage()));
             }
         }
     }
--- a/src/main/java/rushproxy/cli/ReleaseCommand.java
+++ b/src/main/java/rushproxy/cli/ReleaseCommand.java
@@ -28,47 +28,50 @@
 import rushproxy.lab.scenario.ScenarioException;
 
 /**
- * {@code release}: the controller of a staged release of servers. {@code start} runs until the release is over; any other
- * command is a controller of a later epoch, which the running one hears of and ends.
+ * {@code release}: controllers of a staged release of servers. {@code start} and {@code resume} run until the release ends or halts.
+ * {@code halt}, {@code back} and {@code abort} take the release over with a later epoch, on which the running controller ends.
  */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
-        description = "Brings new servers in by stages, halts, and takes them back.",
+        description = "Brings new servers into use in stages; halts a release or rolls it back.",
         subcommands = {
-            ReleaseCommand.PlanOf.class,
+            ReleaseCommand.PrintPlan.class,
             ReleaseCommand.Start.class,
             ReleaseCommand.Resume.class,
             ReleaseCommand.Status.class,
             ReleaseCommand.Halt.class,
-            ReleaseCommand.Back.class,
+            ReleaseCommand.RollBack.class,
             ReleaseCommand.Abort.class
         })
 final class ReleaseCommand implements Runnable {
-    static final int SUPERSEDED = 3;
-    private static final int UNREACHED = 1;
-    private static final long LOOK_MS = 1_000;
-    /** Nobody is waited for longer: neither the last to hear of the end, nor the first to answer at all. */
-    private static final long PATIENCE_S = 60;
+    static final int EXIT_SUPERSEDED = 3;
+    private static final int EXIT_BAD_INPUT = 2;
+    private static final int EXIT_HALTED = 4;
+    private static final int EXIT_UNREACHED = 1;
+    private static final long POLL_INTERVAL_MS = 1_000;
+    /** Limit on the time without any sidecar accepting an order, and on the time until all have accepted the last one. */
+    private static final long UNREACHED_TIMEOUT_S = 60;
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "what is to be done with which release?");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "a subcommand is required: plan, start, resume, status, halt, back or abort");
     }
 
-    /** The sidecars of a fleet, by their second addresses. Belongs to one command; {@link #close} ends its threads. */
-    static final class Sidecars implements AutoCloseable {
+    /** Calls all sidecars of a fleet at their admin addresses in parallel. Used by one command; {@link #close} ends its threads. */
+    static final class SidecarClients implements AutoCloseable {
         private final List<String> addresses;
-        private final ExecutorService callers = Executors.newCachedThreadPool(work -> {
-            Thread t = new Thread(work, "caller");
-            t.setDaemon(true);
-            return t;
+        private final ExecutorService executor = Executors.newCachedThreadPool(work -> {
+            Thread thread = new Thread(work, "caller");
+            thread.setDaemon(true);
+            return thread;
         });
 
-        Sidecars(List<String> addresses) {
+        SidecarClients(List<String> addresses) {
             this.addresses = addresses;
         }
 
@@ -76,18 +79,18 @@
             return addresses.size();
         }
 
-        /** The answers by address, of those that gave one; all are asked at once. */
-        Map<String, String> call(String line) throws InterruptedException {
+        /** Sends a line to all sidecars in parallel and returns the answers by address; sidecars that do not answer are left out. */
+        Map<String, String> callAll(String line) throws InterruptedException {
             Map<String, String> answers = new ConcurrentHashMap<>();
-            callers.invokeAll(addresses.stream()
+            executor.invokeAll(addresses.stream()
                     .map(a -> (Callable<Void>) () -> {
                         try {
-                            String answer = FleetCommand.call(a, line);
+                            String answer = FleetCommand.sendAdminCall(a, line);
                             if (!answer.isEmpty()) {
                                 answers.put(a, answer);
                             }
                         } catch (IOException e) {
-                            // It is not reached: the next look may find it.
+                            // Unreachable now; the next poll tries again.
                         }
                         return null;
                     })
@@ -95,29 +98,30 @@
             return new TreeMap<>(answers);
         }
 
-        private Map<String, JsonNode> views(String line) throws InterruptedException {
+        /** As {@link #callAll}, for answers in JSON; other answers are left out. */
+        private Map<String, JsonNode> queryJson(String line) throws InterruptedException {
             Map<String, JsonNode> views = new TreeMap<>();
-            call(line).forEach((a, answer) -> {
+            callAll(line).forEach((a, answer) -> {
                 try {
                     if (answer.startsWith("ACK {")) {
                         views.put(a, new ObjectMapper().readTree(answer.substring(4)));
                     }
                 } catch (IOException e) {
-                    // A line that was cut off tells nothing.
+                    // A truncated answer counts as none.
                 }
             });
             return views;
         }
 
-        /** The order of the latest epoch and step that any of them knows, null for none. */
-        ReleaseOrder latest(String release) throws InterruptedException {
+        /** Returns the release's order with the highest epoch, then step, that any sidecar knows; null if none knows the release. */
+        ReleaseOrder latestOrder(String release) throws InterruptedException {
             ReleaseOrder latest = null;
-            for (JsonNode view : views("orders").values()) {
+            for (JsonNode view : queryJson("orders").values()) {
                 for (JsonNode o : view.path("orders")) {
                     if (!o.path("release").asText().equals(release)) {
                         continue;
                     }
-                    ReleaseOrder one = new ReleaseOrder(
+                    ReleaseOrder order = new ReleaseOrder(
                             release,
                             o.path("epoch").asInt(),
                             o.path("step").asInt(),
@@ -126,17 +130,17 @@
                             o.path("safe").asDouble(),
                             ReleaseOrder.Selector.parse(o.path("whom").asText()));
                     boolean later = latest == null
-                            || one.epoch() > latest.epoch()
-                            || one.epoch() == latest.epoch() && one.step() > latest.step();
-                    latest = later ? one : latest;
+                            || order.epoch() > latest.epoch()
+                            || order.epoch() == latest.epoch() && order.step() > latest.step();
+                    latest = later ? order : latest;
                 }
             }
             return latest;
         }
 
-        /** Tells the order; how many have taken it, -1 where one knows a later controller's. */
-        int tell(ReleaseOrder o) throws InterruptedException {
-            Map<String, String> answers = call(String.format(
+        /** Sends an order to all sidecars; returns how many accepted it, or -1 if any rejected its epoch for a later controller's. */
+        int sendOrder(ReleaseOrder o) throws InterruptedException {
+            Map<String, String> answers = callAll(String.format(
                     Locale.ROOT,
                     "order %s %d %d %s %s %s %s",
                     o.release(),
@@ -153,25 +157,26 @@
                             .count();
         }
 
-        Map<String, Map<String, ReleaseMonitor.TallyPair>> reports(String release) throws InterruptedException {
+        /** Returns each sidecar's tallies of the release by stratum. */
+        Map<String, Map<String, ReleaseMonitor.TallyPair>> queryTallies(String release) throws InterruptedException {
             Map<String, Map<String, ReleaseMonitor.TallyPair>> reports = new HashMap<>();
-            views("tallies " + release).forEach((a, view) -> {
+            queryJson("tallies " + release).forEach((a, view) -> {
                 try {
                     Map<String, ReleaseMonitor.TallyPair> strata = new TreeMap<>();
                     for (JsonNode t : view.path("tallies")) {
                         strata.put(
                                 t.path("stratum").asText(),
-                                new ReleaseMonitor.TallyPair(tally(t.path("new")), tally(t.path("control"))));
+                                new ReleaseMonitor.TallyPair(parseTally(t.path("new")), parseTally(t.path("control"))));
                     }
                     reports.put(a, strata);
                 } catch (IllegalArgumentException e) {
-                    // What can't be read is as if it had not answered.
+                    // Unreadable tallies count as no answer.
                 }
             });
             return reports;
         }
 
-        private static rushproxy.fleet.release.Tally tally(JsonNode t) {
+        private static rushproxy.fleet.release.Tally parseTally(JsonNode t) {
             return ReleaseMonitor.parseTally(
                     t.path(0).asLong(),
                     t.path(1).asLong(),
@@ -181,59 +186,61 @@
 
         @Override
         public void close() {
-            callers.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
-    /** Runs a controller until its release is over, or another has come: the exit code. */
-    static int conduct(ReleaseController c, Sidecars sidecars, PrintWriter out, boolean untilHalt)
+    /** Runs a controller until its release ends, halts (with {@code untilHalt}) or is taken over, and returns the exit code. */
+    static int runController(ReleaseController conductor, SidecarClients sidecars, PrintWriter out, boolean untilHalt)
             throws InterruptedException {
-        ReleaseController.Step said = null;
-        String waited = "";
-        long reachedNs = System.nanoTime();
+        ReleaseController.Step printedStep = null;
+        String printedWait = "";
+        long lastProgressNanos = System.nanoTime();
         while (true) {
-            int took = sidecars.tell(c.lastStep().order());
-            boolean enough = c.isFinished() ? took == sidecars.count() : took > 0;
-            reachedNs = enough || c.lastStep() != said ? System.nanoTime() : reachedNs;
-            if (System.nanoTime() - reachedNs > TimeUnit.SECONDS.toNanos(PATIENCE_S)) {
-                out.println("ends after " + PATIENCE_S + " s in which " + took + " of " + sidecars.count()
-                        + " were reached; the others hear of it by these");
+            int accepted = sidecars.sendOrder(conductor.lastStep().order());
+            boolean progressed = conductor.isFinished() ? accepted == sidecars.count() : accepted > 0;
+            lastProgressNanos =
+                    progressed || conductor.lastStep() != printedStep ? System.nanoTime() : lastProgressNanos;
+            if (System.nanoTime() - lastProgressNanos > TimeUnit.SECONDS.toNanos(UNREACHED_TIMEOUT_S)) {
+                out.println("gives up after " + UNREACHED_TIMEOUT_S + " s in which " + accepted + " of "
+                        + sidecars.count() + " accepted the order; they pass it on to the others");
                 out.flush();
-                return UNREACHED;
+                return EXIT_UNREACHED;
             }
-            if (took < 0) {
-                out.println("a later controller has taken over: this one ends");
+            if (accepted < 0) {
+                out.println("a later controller has taken over; this one ends");
                 out.flush();
-                return SUPERSEDED;
+                return EXIT_SUPERSEDED;
             }
-            if (c.lastStep() != said) {
-                said = c.lastStep();
-                ReleaseOrder o = said.order();
+            if (conductor.lastStep() != printedStep) {
+                printedStep = conductor.lastStep();
+                ReleaseOrder o = printedStep.order();
                 out.printf(
                         Locale.ROOT,
-                        "step %d, %s: weight %.3f, taken by %d of %d: %s%n",
+                        "step %d, %s: weight %.3f, accepted by %d of %d: %s%n",
                         o.step(),
                         o.state().name().toLowerCase(Locale.ROOT),
                         o.weight(),
-                        took,
+                        accepted,
                         sidecars.count(),
-                        said.reason());
+                        printedStep.reason());
             }
-            if (!c.waitReason().equals(waited) && !c.waitReason().isEmpty()) {
-                waited = c.waitReason();
-                out.println("  waits: " + waited);
+            if (!conductor.waitReason().equals(printedWait)
+                    && !conductor.waitReason().isEmpty()) {
+                printedWait = conductor.waitReason();
+                out.println("  waits: " + printedWait);
             }
             out.flush();
-            if (c.isFinished() && took == sidecars.count()) {
+            if (conductor.isFinished() && accepted == sidecars.count()) {
                 return 0;
             }
-            if (untilHalt && c.lastStep().order().state() == ReleaseOrder.State.HALTED) {
-                return 4;
+            if (untilHalt && conductor.lastStep().order().state() == ReleaseOrder.State.HALTED) {
+                return EXIT_HALTED;
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
-            c.onReports(
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
+            conductor.onReports(
                     System.currentTimeMillis() * 1_000,
-                    sidecars.reports(c.lastStep().order().release()),
+                    sidecars.queryTallies(conductor.lastStep().order().release()),
                     sidecars.count());
         }
     }
@@ -241,68 +248,69 @@
     @Command(
             name = "plan",
             mixinStandardHelpOptions = true,
-            description = "Reads a plan and prints what it says; starts nothing.")
-    static final class PlanOf implements Callable<Integer> {
+            description = "Reads a plan and prints it; starts nothing.")
+    static final class PrintPlan implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(paramLabel = "PLAN", description = "A plan, TOML.")
+        @Parameters(paramLabel = "PLAN", description = "A release plan, TOML.")
         private Path file;
 
         @Override
         public Integer call() {
             try {
-                Plan p = ReleasePlan.read(file);
+                Plan plan = ReleasePlan.read(file);
                 PrintWriter out = spec.commandLine().getOut();
-                out.println(p.name() + ": " + p.selector().expression());
-                for (Plan.Stage s : p.stages()) {
-                    Gate.Criteria r = s.criteria();
+                out.println(plan.name() + ": " + plan.selector().expression());
+                for (Plan.Stage stage : plan.stages()) {
+                    Gate.Criteria rule = stage.criteria();
                     out.printf(
                             Locale.ROOT,
-                            "  weight %.3f for %.0f to %.0f s and %d answers of each; halted falsely in at most %.4f of cases%n",
-                            s.weight(),
-                            r.minDurationUs() / 1e6,
-                            r.maxDurationUs() / 1e6,
-                            r.minAnswers(),
-                            r.falseHaltProbability());
+                            "  weight %.3f for %.0f to %.0f s and at least %d answers per group; false halts in at most %.4f of cases%n",
+                            stage.weight(),
+                            rule.minDurationUs() / 1e6,
+                            rule.maxDurationUs() / 1e6,
+                            rule.minAnswers(),
+                            rule.falseHaltProbability());
                 }
                 out.printf(
                         Locale.ROOT,
-                        "  back by halves every %.0f s; %.3f at a sidecar that is cut off%n",
-                        p.rollbackIntervalUs() / 1e6,
-                        p.safeWeight());
+                        "  rollback halves the weight every %.0f s; weight %.3f at an isolated sidecar%n",
+                        plan.rollbackIntervalUs() / 1e6,
+                        plan.safeWeight());
                 out.flush();
                 return 0;
             } catch (ScenarioException e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                return 2;
+                return EXIT_BAD_INPUT;
             }
         }
     }
 
-    /** What {@code start} and {@code resume} share. */
-    abstract static class Running implements Callable<Integer> {
+    /** A command that runs a controller with a plan and a journal. */
+    abstract static class ControllerCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "PLAN", description = "A plan, TOML.")
+        @Parameters(index = "0", paramLabel = "PLAN", description = "A release plan, TOML.")
         private Path file;
 
         @Parameters(
                 index = "1..*",
                 arity = "1..*",
                 paramLabel = "ADDR",
-                description = "Second addresses of all sidecars, HOST:PORT.")
+                description = "Admin addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
         @Option(
                 names = "--journal",
                 paramLabel = "FILE",
                 required = true,
-                description = "Keeps each step, on disk before it is taken.")
-        private Path journal;
+                description = "Journal of the steps, each forced to disk before it is taken.")
+        private Path journalFile;
 
-        abstract boolean anew();
+        /** Whether a release that was halted stays so. */
+        abstract boolean staysHalted();
 
         @Override
         public Integer call() throws InterruptedException {
@@ -313,62 +321,66 @@
                 plan = ReleasePlan.read(file);
             } catch (ScenarioException e) {
                 err.println(e.getMessage());
-                return 2;
+                return EXIT_BAD_INPUT;
             }
-            try (ReleaseJournal kept = new ReleaseJournal(journal);
-                    Sidecars sidecars = new Sidecars(addresses)) {
-                if (kept.cut() != null) {
-                    out.println(journal + ": " + kept.cut());
+            try (ReleaseJournal journal = new ReleaseJournal(journalFile);
+                    SidecarClients sidecars = new SidecarClients(addresses)) {
+                if (journal.truncation() != null) {
+                    out.println(journalFile + ": " + journal.truncation());
                 }
-                ReleaseOrder known = sidecars.latest(plan.name());
-                ReleaseController.Step last = kept.steps().isEmpty()
+                ReleaseOrder known = sidecars.latestOrder(plan.name());
+                ReleaseController.Step last = journal.steps().isEmpty()
                         ? null
-                        : kept.steps().get(kept.steps().size() - 1);
+                        : journal.steps().get(journal.steps().size() - 1);
                 if (last != null && !last.order().release().equals(plan.name())) {
-                    err.println(journal + ": is of release " + last.order().release());
-                    return 2;
+                    err.println(
+                            journalFile + ": belongs to release " + last.order().release());
+                    return EXIT_BAD_INPUT;
                 }
                 int epoch = 1
                         + Math.max(
                                 known == null ? 0 : known.epoch(),
                                 last == null ? 0 : last.order().epoch());
-                boolean gone = last != null && known == null
+                // A later epoch known to the sidecars supersedes the journal; if they know no order, the journal's last
+                // step
+                // is used all the same.
+                boolean outdated = last != null && known == null
                         || known != null
                                 && last != null
                                 && known.epoch() > last.order().epoch();
-                ReleaseController.Step after = last != null && !gone
+                ReleaseController.Step resumeFrom = last != null && !outdated
                         ? last
-                        : known == null ? last : new ReleaseController.Step(known, stage(plan, known), "");
-                if (after != null && !anew() && after.order().state() == ReleaseOrder.State.HALTED) {
-                    after = new ReleaseController.Step(
+                        : known == null ? last : new ReleaseController.Step(known, findStage(plan, known), "");
+                if (resumeFrom != null && !staysHalted() && resumeFrom.order().state() == ReleaseOrder.State.HALTED) {
+                    resumeFrom = new ReleaseController.Step(
                             new ReleaseOrder(
                                     plan.name(),
-                                    after.order().epoch(),
-                                    after.order().step(),
+                                    resumeFrom.order().epoch(),
+                                    resumeFrom.order().step(),
                                     ReleaseOrder.State.ON,
-                                    after.order().weight(),
+                                    resumeFrom.order().weight(),
                                     plan.safeWeight(),
                                     plan.selector()),
-                            after.stage(),
+                            resumeFrom.stage(),
                             "");
                 }
                 ReleaseController c =
-                        new ReleaseController(plan, epoch, after, System.currentTimeMillis() * 1_000, s -> {
+                        new ReleaseController(plan, epoch, resumeFrom, System.currentTimeMillis() * 1_000, s -> {
                             try {
-                                kept.append(s);
+                                journal.append(s);
                             } catch (IOException e) {
                                 throw new UncheckedIOException(e);
                             }
                         });
-                return conduct(c, sidecars, out, true);
+                return runController(c, sidecars, out, true);
             } catch (IOException | UncheckedIOException e) {
                 err.println(e.getMessage());
-                return UNREACHED;
+                return EXIT_UNREACHED;
             }
         }
 
-        /** The first stage that gives as much as is ordered. */
-        private static int stage(Plan plan, ReleaseOrder known) {
+        /** Returns the first stage whose weight is at least the order's, or the last stage. */
+        private static int findStage(Plan plan, ReleaseOrder known) {
             for (int i = 0; i < plan.stages().size(); i++) {
                 if (plan.stages().get(i).weight() >= known.weight() - 1e-9) {
                     return i;
@@ -381,18 +393,18 @@
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
-            description = "Begins a release, or goes on where its journal stands.",
+            description = "Starts a release, or continues it from the last step in its journal.",
             exitCodeListHeading = "%nExit codes:%n",
             exitCodeList = {
-                "0:done, or all taken back",
-                "1:the journal can't be kept",
-                "2:bad words or a bad plan",
+                "0:done, or rolled back",
+                "1:the journal cannot be written, or sidecars were not reached",
+                "2:invalid arguments or plan, or the journal of another release",
                 "3:a later controller has taken over",
                 "4:halted"
             })
-    static final class Start extends Running {
+    static final class Start extends ControllerCommand {
         @Override
-        boolean anew() {
+        boolean staysHalted() {
             return true;
         }
     }
@@ -400,16 +412,16 @@
     @Command(
             name = "resume",
             mixinStandardHelpOptions = true,
-            description = "Goes on with a release that was halted; its stage begins anew.")
-    static final class Resume extends Running {
+            description = "Resumes a halted release; its stage starts again.")
+    static final class Resume extends ControllerCommand {
         @Override
-        boolean anew() {
+        boolean staysHalted() {
             return false;
         }
     }
 
-    /** What needs no plan: the order that the sidecars know says it all. */
-    abstract static class ByName implements Callable<Integer> {
+    /** A command that needs no plan, only the latest order that the sidecars know. */
+    abstract static class KnownReleaseCommand implements Callable<Integer> {
         @CommandLine.Spec
         protected CommandLine.Model.CommandSpec spec;
 
@@ -420,31 +432,33 @@
                 index = "1..*",
                 arity = "1..*",
                 paramLabel = "ADDR",
-                description = "Second addresses of all sidecars, HOST:PORT.")
+                description = "Admin addresses of all sidecars, HOST:PORT.")
         private List<String> addresses;
 
-        abstract int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException;
+        abstract int apply(ReleaseOrder known, SidecarClients sidecars, PrintWriter out) throws InterruptedException;
 
         @Override
         public Integer call() throws InterruptedException {
-            try (Sidecars sidecars = new Sidecars(addresses)) {
-                ReleaseOrder known = sidecars.latest(name);
+            try (SidecarClients sidecars = new SidecarClients(addresses)) {
+                ReleaseOrder known = sidecars.latestOrder(name);
                 if (known == null) {
-                    spec.commandLine().getErr().println("none of them knows a release " + name);
-                    return UNREACHED;
+                    spec.commandLine().getErr().println("no sidecar knows the release " + name);
+                    return EXIT_UNREACHED;
                 }
-                return act(known, sidecars, spec.commandLine().getOut());
+                return apply(known, sidecars, spec.commandLine().getOut());
             }
         }
 
-        /** A controller of a later epoch that takes the release from where it stands. */
-        static ReleaseController over(ReleaseOrder known) {
+        private static final long ROLLBACK_STEP_US = 5_000_000;
+
+        /** Returns a controller of the next epoch that continues from the order. Its plan is used for halting and rolling back only. */
+        static ReleaseController takeOver(ReleaseOrder known) {
             Plan plan = new Plan(
                     known.release(),
                     known.selector(),
                     List.of(new Plan.Stage(Math.max(1e-3, known.weight()), Gate.Criteria.DEFAULT)),
                     known.safeWeight(),
-                    5_000_000);
+                    ROLLBACK_STEP_US);
             return new ReleaseController(
                     plan,
                     known.epoch() + 1,
@@ -457,7 +471,7 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Prints the release as each sidecar follows it.")
+            description = "Prints the order that each sidecar follows.")
     static final class Status implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -465,17 +479,17 @@
         @Parameters(index = "0", paramLabel = "RELEASE", description = "The release's name.")
         private String name;
 
-        @Parameters(index = "1..*", arity = "1..*", paramLabel = "ADDR", description = "Second addresses, HOST:PORT.")
+        @Parameters(index = "1..*", arity = "1..*", paramLabel = "ADDR", description = "Admin addresses, HOST:PORT.")
         private List<String> addresses;
 
         @Override
         public Integer call() throws InterruptedException {
-            try (Sidecars sidecars = new Sidecars(addresses)) {
+            try (SidecarClients sidecars = new SidecarClients(addresses)) {
                 PrintWriter out = spec.commandLine().getOut();
-                Map<String, JsonNode> views = sidecars.views("orders");
-                java.util.Set<String> said = new java.util.HashSet<>();
+                Map<String, JsonNode> views = sidecars.queryJson("orders");
+                java.util.Set<String> distinctLines = new java.util.HashSet<>();
                 for (String a : addresses) {
-                    String line = views.containsKey(a) ? "knows nothing of it" : "no answer";
+                    String line = views.containsKey(a) ? "does not know the release" : "no answer";
                     for (JsonNode o : views.containsKey(a) ? views.get(a).path("orders") : List.<JsonNode>of()) {
                         if (o.path("release").asText().equals(name)) {
                             line = String.format(
@@ -488,46 +502,49 @@
                                     o.path("whom").asText());
                         }
                     }
-                    said.add(line);
+                    distinctLines.add(line);
                     out.println(a + ": " + line);
                 }
                 out.flush();
-                return said.size() == 1 && views.size() == addresses.size() ? 0 : UNREACHED;
+                return distinctLines.size() == 1 && views.size() == addresses.size() ? 0 : EXIT_UNREACHED;
             }
         }
     }
 
-    @Command(name = "halt", mixinStandardHelpOptions = true, description = "Freezes the weights where they are.")
-    static final class Halt extends ByName {
+    @Command(name = "halt", mixinStandardHelpOptions = true, description = "Halts a release at its present weight.")
+    static final class Halt extends KnownReleaseCommand {
         @Override
-        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            ReleaseController c = over(known);
+        int apply(ReleaseOrder known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = takeOver(known);
             c.halt(System.currentTimeMillis() * 1_000, "by an operator");
-            int took = sidecars.tell(c.lastStep().order());
-            out.println("halted at weight " + c.lastStep().order().weight() + ", taken by " + took + " of "
+            int accepted = sidecars.sendOrder(c.lastStep().order());
+            out.println("halted at weight " + c.lastStep().order().weight() + ", accepted by " + accepted + " of "
                     + sidecars.count());
             out.flush();
-            return took == sidecars.count() ? 0 : UNREACHED;
+            return accepted == sidecars.count() ? 0 : EXIT_UNREACHED;
         }
     }
 
-    @Command(name = "back", mixinStandardHelpOptions = true, description = "Takes the new servers out, by halves.")
-    static final class Back extends ByName {
+    @Command(
+            name = "back",
+            mixinStandardHelpOptions = true,
+            description = "Rolls a release back by halving the new servers' weight repeatedly.")
+    static final class RollBack extends KnownReleaseCommand {
         @Override
-        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            ReleaseController c = over(known);
+        int apply(ReleaseOrder known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = takeOver(known);
             c.rollBack(System.currentTimeMillis() * 1_000, "by an operator");
-            return conduct(c, sidecars, out, false);
+            return runController(c, sidecars, out, false);
         }
     }
 
-    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Takes the new servers out at once.")
-    static final class Abort extends ByName {
+    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Rolls a release back at once.")
+    static final class Abort extends KnownReleaseCommand {
         @Override
-        int act(ReleaseOrder known, Sidecars sidecars, PrintWriter out) throws InterruptedException {
-            ReleaseController c = over(known);
+        int apply(ReleaseOrder known, SidecarClients sidecars, PrintWriter out) throws InterruptedException {
+            ReleaseController c = takeOver(known);
             c.abort(System.currentTimeMillis() * 1_000, "by an operator");
-            return conduct(c, sidecars, out, false);
+            return runController(c, sidecars, out, false);
         }
     }
 }
--- a/src/main/java/rushproxy/cli/ReleaseJournal.java
+++ b/src/main/java/rushproxy/cli/ReleaseJournal.java
@@ -15,89 +15,94 @@
 import rushproxy.fleet.release.ReleaseOrder;
 
 /**
- * A controller's steps on disk: records of a length, a check and a text, each forced out before it is acted on. What a crash has left
- * half written is cut off, and said. One process has it at a time; {@link #close} gives it back.
+ * Write-ahead journal of a release controller's steps. A record is its length, the CRC-32 of its text and the text, tab-separated; it is
+ * forced to disk before the step is acted on. On opening, an incomplete or corrupt record and all that follows it are truncated and
+ * reported by {@link #truncation}. A file lock, which {@link #close} releases, admits one process at a time.
  */
 final class ReleaseJournal implements AutoCloseable {
-    private static final int HEAD = 8;
-    private static final int MOST = 4_096;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 4_096;
 
-    private final Disk disk;
+    private final RecordWriter writer;
     private final FileChannel file;
     private final FileLock lock;
     private final List<ReleaseController.Step> steps = new ArrayList<>();
-    private String cut;
-    /** The end of the last record that is whole and on disk. */
-    private long end;
+    private String truncation;
+    /** File position after the last complete record on disk. */
+    private long endOfRecords;
 
-    /** Throws where another process has it, or where it holds records that are whole but no steps: it is not ours to change then. */
+    /**
+     * Opens or creates the journal and reads its records. Throws where another process holds the lock, and where a record with a valid
+     * checksum is not a step: such a file may belong to another program and is left unchanged.
+     */
     ReleaseJournal(Path path) throws IOException {
-        this(path, Disk.REAL);
+        this(path, RecordWriter.WRITE_AND_FORCE);
     }
 
-    ReleaseJournal(Path path, Disk disk) throws IOException {
-        this.disk = disk;
+    ReleaseJournal(Path path, RecordWriter disk) throws IOException {
+        this.writer = disk;
         file = FileChannel.open(path, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.CREATE);
         try {
-            lock = lock(path);
-            read(path);
+            lock = acquireLock(path);
+            readRecords(path);
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
         }
     }
 
-    private FileLock lock(Path path) throws IOException {
+    private FileLock acquireLock(Path path) throws IOException {
         try {
             FileLock l = file.tryLock();
             if (l != null) {
                 return l;
             }
         } catch (OverlappingFileLockException e) {
-            // Held in this very process.
+            // Another journal in this process holds the lock.
         }
-        throw new IOException(path + ": another controller has it");
+        throw new IOException(path + ": is locked by another controller");
     }
 
-    private void read(Path path) throws IOException {
+    private void readRecords(Path path) throws IOException {
         ByteBuffer all = ByteBuffer.allocate((int) Math.min(Integer.MAX_VALUE - 8, file.size()));
         while (all.hasRemaining() && file.read(all) >= 0) {
-            // Until all of it is here.
+            // A single read may return less than the file holds.
         }
         all.flip();
-        int good = 0;
-        while (all.remaining() >= HEAD) {
+        int validEnd = 0;
+        while (all.remaining() >= HEADER_BYTES) {
             int length = all.getInt();
-            int check = all.getInt();
-            if (length <= 0 || length > MOST || length > all.remaining()) {
+            int checksum = all.getInt();
+            if (length <= 0 || length > MAX_RECORD_BYTES || length > all.remaining()) {
                 break;
             }
             byte[] text = new byte[length];
             all.get(text);
-            if (check(text) != check) {
+            if (crc32(text) != checksum) {
                 break;
             }
-            steps.add(step(path, new String(text, StandardCharsets.UTF_8)));
-            good = all.position();
+            steps.add(parseStep(path, new String(text, StandardCharsets.UTF_8)));
+            validEnd = all.position();
         }
-        if (good < all.limit()) {
-            cut = (all.limit() - good) + " bytes after record " + steps.size() + " were half written, and are cut off";
-            file.truncate(good);
+        if (validEnd < all.limit()) {
+            truncation = (all.limit() - validEnd) + " bytes after record " + steps.size()
+                    + " are incomplete or corrupt, and were truncated";
+            file.truncate(validEnd);
             file.force(true);
         }
-        end = good;
+        endOfRecords = validEnd;
     }
 
-    /** Null, or what was cut off at the opening. */
-    String cut() {
-        return cut;
+    /** Returns a message on what was truncated on opening; null if nothing was. */
+    String truncation() {
+        return truncation;
     }
 
     List<ReleaseController.Step> steps() {
         return List.copyOf(steps);
     }
 
-    /** On disk when it returns. */
+    /** Appends a step; it is on disk when this method returns. */
     void append(ReleaseController.Step step) throws IOException {
         ReleaseOrder o = step.order();
         String why = step.reason().replaceAll("[\\t\\n]", " ");
@@ -113,23 +118,22 @@
                         "" + step.stage(),
                         why.substring(0, Math.min(1_000, why.length())))
                 .getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(HEAD + text.length)
+        ByteBuffer record = ByteBuffer.allocate(HEADER_BYTES + text.length)
                 .putInt(text.length)
-                .putInt(check(text))
+                .putInt(crc32(text))
                 .put(text);
-        b.flip();
-        // A try that failed may have left a part, or a whole record that was never taken on: the next one begins before
-        // it.
-        file.truncate(end);
-        file.position(end);
-        disk.write(file, b);
-        end = file.position();
+        record.flip();
+        // A failed append may have left part of a record, or a whole one whose step was never taken: overwrite it.
+        file.truncate(endOfRecords);
+        file.position(endOfRecords);
+        writer.write(file, record);
+        endOfRecords = file.position();
         steps.add(step);
     }
 
-    /** How a record is written so that it is on disk afterwards; either part may fail. */
-    interface Disk {
-        Disk REAL = (file, record) -> {
+    /** Writes a record at the channel's position and forces it to disk; tests replace it to inject failures. */
+    interface RecordWriter {
+        RecordWriter WRITE_AND_FORCE = (file, record) -> {
             while (record.hasRemaining()) {
                 file.write(record);
             }
@@ -139,26 +143,26 @@
         void write(FileChannel file, ByteBuffer record) throws IOException;
     }
 
-    private ReleaseController.Step step(Path path, String text) throws IOException {
-        String[] w = text.split("\t", -1);
+    private ReleaseController.Step parseStep(Path path, String text) throws IOException {
+        String[] fields = text.split("\t", -1);
         try {
             return new ReleaseController.Step(
                     new ReleaseOrder(
-                            w[0],
-                            Integer.parseInt(w[1]),
-                            Integer.parseInt(w[2]),
-                            ReleaseOrder.State.valueOf(w[3]),
-                            Double.parseDouble(w[4]),
-                            Double.parseDouble(w[5]),
-                            ReleaseOrder.Selector.parse(w[6])),
-                    Integer.parseInt(w[7]),
-                    w[8]);
+                            fields[0],
+                            Integer.parseInt(fields[1]),
+                            Integer.parseInt(fields[2]),
+                            ReleaseOrder.State.valueOf(fields[3]),
+                            Double.parseDouble(fields[4]),
+                            Double.parseDouble(fields[5]),
+                            ReleaseOrder.Selector.parse(fields[6])),
+                    Integer.parseInt(fields[7]),
+                    fields[8]);
         } catch (RuntimeException e) {
-            throw new IOException(path + ": record " + (steps.size() + 1) + " is no step: " + e.getMessage());
+            throw new IOException(path + ": record " + (steps.size() + 1) + " is not a valid step: " + e.getMessage());
         }
     }
 
-    private static int check(byte[] text) {
+    private static int crc32(byte[] text) {
         CRC32 crc = new CRC32();
         crc.update(text);
         return (int) crc.getValue();
--- a/src/main/java/rushproxy/cli/ReleasePlan.java
+++ b/src/main/java/rushproxy/cli/ReleasePlan.java
@@ -9,11 +9,11 @@
 import rushproxy.fleet.release.Plan;
 import rushproxy.fleet.release.ReleaseOrder;
 import rushproxy.lab.scenario.ScenarioException;
-import rushproxy.lab.scenario.Section;
+import rushproxy.lab.scenario.TomlTable;
 
-/** Reads a release's plan from TOML, strictly: a mistake is one line that names the place. */
+/** Reads a release plan from TOML. Unknown keys are errors; an error is one line that names the file and the key. */
 final class ReleasePlan {
-    private static final double S = 1e6;
+    private static final double MICROS_PER_S = 1e6;
 
     private ReleasePlan() {}
 
@@ -22,50 +22,51 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new ScenarioException(file + ": can't be read: " + e);
+            throw new ScenarioException(file + ": cannot be read: " + e);
         }
         return parse(file.toString(), text);
     }
 
     static Plan parse(String file, String text) throws ScenarioException {
-        Section s = Section.toml(file, text);
-        String name = s.text("name");
-        ReleaseOrder.Selector whom;
+        TomlTable plan = TomlTable.parse(file, text);
+        String name = plan.string("name");
+        ReleaseOrder.Selector servers;
         try {
-            whom = ReleaseOrder.Selector.parse(s.text("servers"));
+            servers = ReleaseOrder.Selector.parse(plan.string("servers"));
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": servers: " + e.getMessage());
         }
-        Gate.Criteria usual = Gate.Criteria.DEFAULT;
-        double falseHalts = s.number("false_halts", 1e-6, 0.5, usual.falseHaltProbability());
-        double worse = s.number("worse", 0, 1, usual.maxBadFractionExcess());
-        double slower = s.number("slower", 1, 100, usual.maxMedianRatio());
-        double sick = s.number("sick_at", 0.01, 1, usual.sickControlFraction());
+        Gate.Criteria defaults = Gate.Criteria.DEFAULT;
+        double falseHalts = plan.number("false_halts", 1e-6, 0.5, defaults.falseHaltProbability());
+        double maxExcessFailures = plan.number("worse", 0, 1, defaults.maxBadFractionExcess());
+        double maxSlowdown = plan.number("slower", 1, 100, defaults.maxMedianRatio());
+        double sickAt = plan.number("sick_at", 0.01, 1, defaults.sickControlFraction());
         List<Plan.Stage> stages = new ArrayList<>();
-        for (Section one : s.tables("stages")) {
-            double least = one.number("least_s", 1, 86_400, usual.minDurationUs() / S);
-            double most = one.number("most_s", least, 7 * 86_400, Math.max(least, usual.maxDurationUs() / S));
+        for (TomlTable stage : plan.tables("stages")) {
+            double minSeconds = stage.number("least_s", 1, 86_400, defaults.minDurationUs() / MICROS_PER_S);
+            double maxSeconds = stage.number(
+                    "most_s", minSeconds, 7 * 86_400, Math.max(minSeconds, defaults.maxDurationUs() / MICROS_PER_S));
             stages.add(new Plan.Stage(
-                    one.number("weight", 0.001, 1),
+                    stage.number("weight", 0.001, 1),
                     new Gate.Criteria(
-                            (long) (least * S),
-                            (long) (most * S),
-                            one.count("answers", 1, 1_000_000, (int) usual.minAnswers()),
+                            (long) (minSeconds * MICROS_PER_S),
+                            (long) (maxSeconds * MICROS_PER_S),
+                            stage.integer("answers", 1, 1_000_000, (int) defaults.minAnswers()),
                             falseHalts,
-                            worse,
-                            slower,
-                            sick)));
-            one.end();
+                            maxExcessFailures,
+                            maxSlowdown,
+                            sickAt)));
+            stage.rejectUnknownKeys();
         }
-        double first = stages.isEmpty() ? 0 : stages.get(0).weight();
-        double safe = s.number("safe_weight", 0, 1, first);
-        long back = (long) (s.number("back_s", 1, 3_600, 5) * S);
-        s.end();
+        double firstWeight = stages.isEmpty() ? 0 : stages.get(0).weight();
+        double safeWeight = plan.number("safe_weight", 0, 1, firstWeight);
+        long backUs = (long) (plan.number("back_s", 1, 3_600, 5) * MICROS_PER_S);
+        plan.rejectUnknownKeys();
         try {
-            Plan plan = new Plan(name, whom, stages, safe, back);
-            // Its names have to fit into an order.
-            new ReleaseOrder(name, 1, 0, ReleaseOrder.State.ON, first, safe, whom);
-            return plan;
+            Plan result = new Plan(name, servers, stages, safeWeight, backUs);
+            // The order's constructor rejects names and selectors that do not fit into an order.
+            new ReleaseOrder(name, 1, 0, ReleaseOrder.State.ON, firstWeight, safeWeight, servers);
+            return result;
         } catch (IllegalArgumentException e) {
             throw new ScenarioException(file + ": " + e.getMessage());
         }
--- a/src/main/java/rushproxy/lab/node/Node.java
+++ b/src/main/java/rushproxy/lab/node/Node.java
@@ -19,28 +19,28 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rushproxy.lab.scenario.Scenario;
 import rushproxy.lab.world.Addresses;
-import rushproxy.lab.world.Observation.What;
-import rushproxy.lab.world.Observations;
+import rushproxy.lab.world.Observation.EventType;
+import rushproxy.lab.world.ObservationLog;
 import rushproxy.lab.world.World;
 
 /**
- * One sidecar of a run: its folder (configuration, log, what outlives its process) and its processes, of which there are
- * two while one replaces the other. Its calls block and belong to one thread; {@link #end} may come from any, and leaves
- * no process of it.
+ * One sidecar of a run: its folder (configuration, log, state that outlives its process) and its processes, of which there
+ * are two while one replaces the other. Methods block and are confined to one thread, except {@link #destroy}, which may be
+ * called from any thread and leaves no process behind.
  */
 public final class Node {
-    private static final long READY_MS = 30_000;
-    private static final long POLL_MS = 20;
-    private static final int CALL_MS = 3_000;
-    private static final int FIRST_CALL_MS = 200;
-    /** No reload comes in a program's first second. */
-    private static final long FIRST_RELOAD_NANOS = TimeUnit.SECONDS.toNanos(1);
-
-    /** A node that can't be had; the message is for the one who reads the terminal. */
-    public static final class Trouble extends Exception {
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long POLL_PERIOD_MS = 20;
+    private static final int CALL_TIMEOUT_MS = 3_000;
+    private static final int NOT_SERVING_CALL_TIMEOUT_MS = 200;
+    /** A process is not asked to reload in its first second. */
+    private static final long MIN_RELOAD_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
+
+    /** Thrown when a node can't be started or replaced; the message is shown to the user. */
+    public static final class NodeException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Trouble(String message) {
+        NodeException(String message) {
             super(message);
         }
     }
@@ -50,109 +50,108 @@
     private final Scenario scenario;
     private final World world;
     private final Addresses addresses;
-    private final Observations seen;
+    private final ObservationLog observations;
     private final Path folder;
     private final NodeLog log;
     private final UniformRandomProvider random;
-    private final Keeper keeper;
+    private final ProcessReaper reaper;
     private final List<Process> processes = new ArrayList<>();
     private Build build;
-    private SharedSocket shared;
-    /** Which of the two addresses for operators the process that was started last has. */
-    private int current;
+    private SharedSocket sharedSocket;
+    /** Which of the two admin addresses the latest process uses, 0 or 1. */
+    private int adminSlot;
 
-    /** When the process that was started last was. */
     private long launchedNanos;
-    /** How much its processes had written when the last one was started. */
-    private long logBefore;
-    /** When processes were first asked to leave, by their ids. */
-    private final Map<Long, Long> termsUs = new ConcurrentHashMap<>();
+    /** Length of the log in bytes when the latest process was started. */
+    private long logLengthAtLaunch;
+    /** Time of the first SIGTERM to each process, by process id. */
+    private final Map<Long, Long> termSentAtUs = new ConcurrentHashMap<>();
 
-    private boolean ended;
-    /** Null where its processes meet the machine as it is. */
+    private boolean destroyed;
+    /** Null unless fault injection is enabled. */
     private SystemFaults systemFaults;
 
-    private final Lock lifecycle = new ReentrantLock();
+    private final Lock lifecycleLock = new ReentrantLock();
 
     public Node(
             int number,
             Scenario scenario,
             World world,
             Addresses addresses,
-            Observations seen,
+            ObservationLog observations,
             Path folder,
             Build build,
             UniformRandomProvider random,
-            Keeper keeper) {
-        this.keeper = keeper;
+            ProcessReaper reaper) {
+        this.reaper = reaper;
         this.number = number;
         this.name = "n" + number;
         this.scenario = scenario;
         this.world = world;
         this.addresses = addresses;
-        this.seen = seen;
+        this.observations = observations;
         this.folder = folder;
         log = new NodeLog(folder.resolve("log"));
         this.build = build;
         this.random = random;
     }
 
-    /** From the next start on it runs this program. */
-    public void build(Build next) {
+    /** Sets the build to run from the next start on. */
+    public void useBuild(Build next) {
         build = next;
     }
 
-    /** Its processes are started with this library of faults, none of which is on yet. */
-    public void withSystemFaults(Path library, long seed) throws IOException {
+    /** Starts processes with this fault injection library from now on; all faults are off at first. */
+    public void enableSystemFaults(Path library, long seed) throws IOException {
         Files.createDirectories(folder);
-        systemFaults = SystemFaults.with(library, folder.resolve("faults"), seed);
+        systemFaults = SystemFaults.create(library, folder.resolve("faults"), seed);
     }
 
-    /** Held by whoever ends this node's process and starts the next. */
-    public Lock lifecycle() {
-        return lifecycle;
+    /** Held while this node's process is stopped and the next one started. */
+    public Lock lifecycleLock() {
+        return lifecycleLock;
     }
 
-    /** Null where it has none. */
+    /** Returns the fault injection controls, or null unless they are enabled. */
     public SystemFaults systemFaults() {
         return systemFaults;
     }
 
-    /** What its processes have written. */
+    /** Returns the log lines of all its processes. */
     public List<String> log() throws IOException {
         return log.lines();
     }
 
-    /** Its clients' socket is the laboratory's from now on, inherited by each process as descriptor 0. */
-    public void share() throws IOException {
-        shared = new SharedSocket(addresses.listen(number));
+    /** Lets the laboratory own the listening socket for clients; each process inherits it as descriptor 0. */
+    public void useSharedSocket() throws IOException {
+        sharedSocket = new SharedSocket(addresses.listen(number));
     }
 
-    /** Between two signals of a series. */
-    private static final long SERIES_MS = 100;
+    /** Time between the first SIGTERM and the repeated one. */
+    private static final long REPEATED_SIGNAL_DELAY_MS = 100;
 
-    /** Starts its process; {@link #awaitReady} tells when it serves. A {@code $TMPDIR} of before is emptied. */
-    public void start() throws IOException, InterruptedException, Trouble {
-        if (shared == null) {
-            free(addresses.listen(number), "clients");
+    /** Starts a process with an empty {@code $TMPDIR}; {@link #awaitReady} waits until it serves. */
+    public void start() throws IOException, InterruptedException, NodeException {
+        if (sharedSocket == null) {
+            requireFree(addresses.listen(number), "clients");
         }
-        free(addresses.admin(number, 0), "operators");
-        Path kept = folder.resolve("tmp");
-        empty(kept);
-        Files.createDirectories(kept);
+        requireFree(addresses.admin(number, 0), "operators");
+        Path tempFolder = folder.resolve("tmp");
+        deleteRecursively(tempFolder);
+        Files.createDirectories(tempFolder);
         launch(0);
     }
 
-    private void free(InetSocketAddress address, String whose) throws Trouble {
+    private void requireFree(InetSocketAddress address, String users) throws NodeException {
         try {
             new AddressProbe(address).close();
         } catch (IOException e) {
-            throw new Trouble(name + ": the address for its " + whose + ", " + Addresses.text(address)
+            throw new NodeException(name + ": the address for its " + users + ", " + Addresses.format(address)
                     + ", is taken by somebody else");
         }
     }
 
-    private void launch(int process) throws IOException, InterruptedException {
+    private void launch(int slot) throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Path config = folder.resolve("config.json");
         ObjectNode known = world.known(number);
@@ -164,10 +163,10 @@
         builder.environment().keySet().removeIf(k -> k.startsWith("BALANCER_"));
         builder.environment().put("BALANCER_CONFIG", config.toAbsolutePath().toString());
         builder.environment().put("BALANCER_NAME", name);
-        builder.environment().put("BALANCER_LISTEN", Addresses.text(addresses.listen(number)));
-        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.text(addresses.admin(number, process)));
-        // For commands to a run that is on its way.
-        Files.writeString(folder.resolve("admin"), Addresses.text(addresses.admin(number, process)) + "\n");
+        builder.environment().put("BALANCER_LISTEN", Addresses.format(addresses.listen(number)));
+        builder.environment().put("BALANCER_ADMIN_ADDR", Addresses.format(addresses.admin(number, slot)));
+        // Read by commands that act on a running scenario.
+        Files.writeString(folder.resolve("admin"), Addresses.format(addresses.admin(number, slot)) + "\n");
         builder.environment()
                 .put("TMPDIR", folder.resolve("tmp").toAbsolutePath().toString());
         if (systemFaults != null) {
@@ -175,87 +174,101 @@
         }
         builder.redirectErrorStream(true);
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log.file().toFile()));
-        logBefore = log.length();
+        logLengthAtLaunch = log.length();
         launchedNanos = System.nanoTime();
         synchronized (this) {
-            if (ended) {
+            if (destroyed) {
                 throw new InterruptedException("the run is over");
             }
             Process p;
-            if (shared == null) {
+            if (sharedSocket == null) {
                 p = builder.redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
                         .start();
             } else {
                 builder.environment().put("BALANCER_ACCEPT_FD", "0");
-                p = shared.inherited(() ->
+                p = sharedSocket.startInheriting(() ->
                         builder.redirectInput(ProcessBuilder.Redirect.INHERIT).start());
             }
             processes.add(p);
-            keeper.keep(p);
-            current = process;
-            seen.see(What.NODE, name, null, null, null, "started", p.pid(), 0);
-            p.onExit().thenAccept(this::ended);
+            reaper.register(p);
+            adminSlot = slot;
+            observations.add(EventType.NODE, name, null, null, null, "started", p.pid(), 0);
+            p.onExit().thenAccept(this::recordExit);
         }
     }
 
-    /** By its own words a process that left took nobody any more a while before its end was heard of. */
-    private void ended(Process gone) {
-        Long termUs = termsUs.remove(gone.pid());
-        boolean left = termUs != null && gone.exitValue() == 0;
-        OptionalLong leftAfterUs = left ? log.lastLeftAfterUs() : OptionalLong.empty();
-        long leftUs = leftAfterUs.isPresent() ? termUs + leftAfterUs.getAsLong() : 0;
-        seen.see(What.NODE, name, null, null, null, "exit " + gone.exitValue(), gone.pid(), leftUs);
+    /**
+     * Records the end of a process. For a clean exit after SIGTERM the shutdown time is the one the process logged: it stops accepting
+     * clients some time before its exit is noticed.
+     */
+    private void recordExit(Process process) {
+        Long termUs = termSentAtUs.remove(process.pid());
+        boolean exitedCleanly = termUs != null && process.exitValue() == 0;
+        OptionalLong shutdownUs = exitedCleanly ? log.lastShutdownDurationUs() : OptionalLong.empty();
+        long leftUs = shutdownUs.isPresent() ? termUs + shutdownUs.getAsLong() : 0;
+        observations.add(EventType.NODE, name, null, null, null, "exit " + process.exitValue(), process.pid(), leftUs);
     }
 
-    private Process last() {
+    private Process latestProcess() {
         return processes.get(processes.size() - 1);
     }
 
-    public synchronized boolean running() {
-        return !processes.isEmpty() && last().isAlive();
+    public synchronized boolean isRunning() {
+        return !processes.isEmpty() && latestProcess().isAlive();
     }
 
-    /** Of the process that was started last, while it runs. */
+    /** Returns the id of the latest process, or empty if it has ended. */
     synchronized OptionalLong pid() {
-        return running() ? OptionalLong.of(last().pid()) : OptionalLong.empty();
+        return isRunning() ? OptionalLong.of(latestProcess().pid()) : OptionalLong.empty();
     }
 
-    /** Throws, with the end of its log, where it ends before it is ready, or is not within 30 s. */
-    public void awaitReady() throws InterruptedException, Trouble {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+    /** Waits until the latest process serves; throws, with the last lines of its log, if it ends first or takes longer than 30 s. */
+    public void awaitReady() throws InterruptedException, NodeException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         boolean serving = false;
         while (true) {
-            if (shared != null && !serving && log.saysItServes(logBefore)) {
+            if (sharedSocket != null && !serving && log.reportsServing(logLengthAtLaunch)) {
                 serving = true;
-                seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
+                observations.add(
+                        EventType.NODE,
+                        name,
+                        null,
+                        null,
+                        null,
+                        "serving",
+                        latestProcess().pid(),
+                        0);
             }
-            // Before somebody takes from a socket that is held nobody answers.
-            if (ready(shared == null || serving ? CALL_MS : FIRST_CALL_MS)) {
+            // The shared socket completes connections before a process accepts them, so a call until then only times
+            // out.
+            if (isReady(sharedSocket == null || serving ? CALL_TIMEOUT_MS : NOT_SERVING_CALL_TIMEOUT_MS)) {
                 break;
             }
-            if (!running()) {
-                if (isEnded()) {
+            if (!isRunning()) {
+                if (isDestroyed()) {
                     throw new InterruptedException("the run is over");
                 }
-                throw new Trouble(
-                        name + " ended before it was ready, with " + last().exitValue() + ": " + log.lastWords());
+                throw new NodeException(name + " ended before it was ready, with "
+                        + latestProcess().exitValue() + ": " + log.lastLines());
             }
-            if (System.nanoTime() > until) {
-                throw new Trouble(name + " was not ready after " + READY_MS / 1_000 + " s: " + log.lastWords());
+            if (System.nanoTime() > deadline) {
+                throw new NodeException(
+                        name + " was not ready after " + READY_TIMEOUT_MS / 1_000 + " s: " + log.lastLines());
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_PERIOD_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "ready", last().pid(), 0);
+        observations.add(
+                EventType.NODE, name, null, null, null, "ready", latestProcess().pid(), 0);
     }
 
-    private synchronized boolean isEnded() {
-        return ended;
+    private synchronized boolean isDestroyed() {
+        return destroyed;
     }
 
-    private boolean ready(int patienceMs) {
+    private boolean isReady(int timeoutMs) {
         try (Socket s = new Socket()) {
-            s.connect(addresses.listen(number), patienceMs);
-            s.setSoTimeout(patienceMs);
+            s.connect(addresses.listen(number), timeoutMs);
+            s.setSoTimeout(timeoutMs);
             s.getOutputStream()
                     .write("GET /health/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
@@ -266,43 +279,44 @@
         }
     }
 
-    /** An operators' call to the process that was started last; the answer, or why there is none. */
+    /** Sends an admin command to the latest process; returns its reply, or "no answer: " and the reason. */
     public String call(String line) {
-        return call(line, current);
+        return call(line, adminSlot);
     }
 
-    private String call(String line, int process) {
+    private String call(String line, int slot) {
         String answer;
-        long sentUs = seen.us();
+        long sentUs = observations.nowUs();
         try (Socket s = new Socket()) {
-            s.connect(addresses.admin(number, process), CALL_MS);
-            s.setSoTimeout(CALL_MS);
+            s.connect(addresses.admin(number, slot), CALL_TIMEOUT_MS);
+            s.setSoTimeout(CALL_TIMEOUT_MS);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
             answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
         } catch (IOException e) {
             answer = "no answer: " + e.getMessage();
         }
-        seen.see(What.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
+        observations.add(EventType.CALLED, name, null, null, null, line + " -> " + answer, 0, sentUs);
         return answer;
     }
 
-    /** Sends a signal to the process that was started last. */
+    /** Sends a signal, by its name without SIG, to the latest process. */
     public void signal(String signal) throws IOException, InterruptedException {
-        signal(signal, last());
+        signal(signal, latestProcess());
     }
 
     private void signal(String signal, Process to) throws IOException, InterruptedException {
         if (to.isAlive()) {
             if (signal.equals("TERM")) {
-                termsUs.putIfAbsent(to.pid(), seen.us());
+                termSentAtUs.putIfAbsent(to.pid(), observations.nowUs());
             }
-            seen.see(What.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
+            observations.add(
+                    EventType.NODE, name, null, null, null, signal.toLowerCase(java.util.Locale.ROOT), to.pid(), 0);
             new ProcessBuilder("kill", "-" + signal, Long.toString(to.pid()))
                     .redirectError(ProcessBuilder.Redirect.DISCARD)
                     .start()
                     .waitFor();
-            seen.see(
-                    What.NODE,
+            observations.add(
+                    EventType.NODE,
                     name,
                     null,
                     null,
@@ -313,9 +327,9 @@
         }
     }
 
-    /** Writes the configuration anew, with discovery where it is now, and asks for a reload. */
+    /** Rewrites the configuration with the current discovery address and sends SIGHUP. */
     public void reload() throws IOException, InterruptedException {
-        TimeUnit.NANOSECONDS.sleep(launchedNanos + FIRST_RELOAD_NANOS - System.nanoTime());
+        TimeUnit.NANOSECONDS.sleep(launchedNanos + MIN_RELOAD_DELAY_NANOS - System.nanoTime());
         Files.write(
                 folder.resolve("config.json"),
                 NodeConfig.write(
@@ -323,80 +337,89 @@
         signal("HUP");
     }
 
-    /** Asks the process to leave and sends SIGKILL {@code patienceMs} later; true where it left by itself. */
-    public boolean stop(long patienceMs) throws IOException, InterruptedException {
-        return stop(last(), patienceMs);
+    /** Sends SIGTERM, and SIGKILL after {@code timeoutMs}; returns whether the process exited by itself. */
+    public boolean stop(long timeoutMs) throws IOException, InterruptedException {
+        return stop(latestProcess(), timeoutMs);
     }
 
-    /** As {@link #stop(long)}, and asks for a reload and once more for the end soon after the first time. */
-    public void stopBySeries(long patienceMs) throws IOException, InterruptedException {
-        Process p = last();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
+    /** Like {@link #stop(long)}, but follows the first SIGTERM with SIGHUP and a second SIGTERM. */
+    public void stopWithRepeatedSignals(long timeoutMs) throws IOException, InterruptedException {
+        Process p = latestProcess();
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         signal("TERM", p);
         signal("HUP", p);
-        p.waitFor(SERIES_MS, TimeUnit.MILLISECONDS);
+        p.waitFor(REPEATED_SIGNAL_DELAY_MS, TimeUnit.MILLISECONDS);
         signal("TERM", p);
-        if (!p.waitFor(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS)) {
+        if (!p.waitFor(Math.max(0, deadline - System.nanoTime()), TimeUnit.NANOSECONDS)) {
             signal("KILL", p);
             p.waitFor();
         }
     }
 
-    private boolean stop(Process p, long patienceMs) throws IOException, InterruptedException {
+    private boolean stop(Process p, long timeoutMs) throws IOException, InterruptedException {
         signal("TERM", p);
-        boolean left = p.waitFor(patienceMs, TimeUnit.MILLISECONDS);
-        if (!left) {
+        boolean exited = p.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
+        if (!exited) {
             signal("KILL", p);
             p.waitFor();
         }
-        return left;
+        return exited;
     }
 
-    /** A second process beside the running one takes over: its health says yes, then the old one is asked to leave. */
-    public void replace(long patienceMs) throws IOException, InterruptedException, Trouble {
-        if (shared == null) {
-            throw new Trouble(name + ": can't be replaced: its clients' socket is not the laboratory's");
+    /** Starts a second process on the shared socket, waits until its health check passes, then stops the old one. */
+    public void replace(long timeoutMs) throws IOException, InterruptedException, NodeException {
+        if (sharedSocket == null) {
+            throw new NodeException(name + ": can't be replaced: the laboratory does not hold its listening socket");
         }
-        Process old = last();
-        int process = 1 - current;
-        launch(process);
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
-        while (!call("health", process).startsWith("ACK")) {
-            if (isEnded()) {
+        Process old = latestProcess();
+        int slot = 1 - adminSlot;
+        launch(slot);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
+        while (!call("health", slot).startsWith("ACK")) {
+            if (isDestroyed()) {
                 throw new InterruptedException("the run is over");
             }
-            if (!last().isAlive() || System.nanoTime() > until) {
-                throw new Trouble(name + ": the process that was to take over did not: " + log.lastWords());
+            if (!latestProcess().isAlive() || System.nanoTime() > deadline) {
+                throw new NodeException(name + ": the replacement process did not become healthy: " + log.lastLines());
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_PERIOD_MS);
         }
-        seen.see(What.NODE, name, null, null, null, "serving", last().pid(), 0);
-        stop(old, patienceMs);
+        observations.add(
+                EventType.NODE,
+                name,
+                null,
+                null,
+                null,
+                "serving",
+                latestProcess().pid(),
+                0);
+        stop(old, timeoutMs);
     }
 
-    /** What the process that was started last has cost so far, "cpu_s" and "rss_mb", and how many "starts" there were. */
-    public synchronized Map<String, Double> cost() {
-        Map<String, Double> cost = new TreeMap<>();
-        cost.put("starts", (double) processes.size());
-        if (running()) {
-            last().info().totalCpuDuration().ifPresent(d -> cost.put("cpu_s", d.toMillis() / 1e3));
+    /** Returns the CPU time ("cpu_s") and memory ("rss_mb") of the latest process, and the number of process starts ("starts"). */
+    public synchronized Map<String, Double> resourceUsage() {
+        Map<String, Double> usage = new TreeMap<>();
+        usage.put("starts", (double) processes.size());
+        if (isRunning()) {
+            latestProcess().info().totalCpuDuration().ifPresent(d -> usage.put("cpu_s", d.toMillis() / 1e3));
             try {
-                for (String line : Files.readAllLines(Path.of("/proc/" + last().pid() + "/status"))) {
+                for (String line :
+                        Files.readAllLines(Path.of("/proc/" + latestProcess().pid() + "/status"))) {
                     if (line.startsWith("VmRSS:")) {
-                        cost.put("rss_mb", Double.parseDouble(line.replaceAll("\\D", "")) / 1024);
+                        usage.put("rss_mb", Double.parseDouble(line.replaceAll("\\D", "")) / 1024);
                     }
                 }
             } catch (IOException e) {
-                // Not a machine that tells.
+                // The process has ended, or the system has no /proc.
             }
         }
-        return cost;
+        return usage;
     }
 
-    /** Ends all of its processes at once, by id, whatever state they are in. */
-    public void end() {
+    /** Kills all of its processes and their descendants, and prevents further starts. */
+    public void destroy() {
         synchronized (this) {
-            ended = true;
+            destroyed = true;
             for (Process p : processes) {
                 p.descendants().forEach(ProcessHandle::destroyForcibly);
                 p.destroyForcibly();
@@ -410,15 +433,15 @@
             }
         }
         try {
-            if (shared != null) {
-                shared.close();
+            if (sharedSocket != null) {
+                sharedSocket.close();
             }
         } catch (IOException e) {
-            // The laboratory's end closes it.
+            // Closed when the laboratory exits.
         }
     }
 
-    private static void empty(Path folder) throws IOException {
+    private static void deleteRecursively(Path folder) throws IOException {
         if (Files.exists(folder)) {
             try (java.util.stream.Stream<Path> all = Files.walk(folder)) {
                 for (Path p : all.sorted(java.util.Comparator.reverseOrder()).toList()) {
--- a/src/main/java/rushproxy/lab/node/NodeLog.java
+++ b/src/main/java/rushproxy/lab/node/NodeLog.java
@@ -9,11 +9,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the processes of one node have written, one after the other or, while one replaces the other, together. */
+/** The log file of a node, appended to by all of its processes; two of them write at once while one replaces the other. */
 final class NodeLog {
     private static final String SERVES = " serves on ";
     private static final Pattern LEAVES = Pattern.compile("leaves after (\\d+) ms");
-    private static final int LAST_WORDS = 3;
+    private static final int LAST_LINES = 3;
 
     private final Path file;
 
@@ -33,39 +33,40 @@
         return Files.exists(file) ? Files.size(file) : 0;
     }
 
-    /** Whether a process that has written from this byte on says that it takes clients. */
-    boolean saysItServes(long sinceByte) {
+    /** Whether the log reports, from this byte offset on, that a process accepts clients. */
+    boolean reportsServing(long fromByte) {
         try {
             byte[] all = Files.readAllBytes(file);
-            int since = (int) Math.min(sinceByte, all.length);
-            return new String(all, since, all.length - since, StandardCharsets.UTF_8).contains(SERVES);
+            int from = (int) Math.min(fromByte, all.length);
+            return new String(all, from, all.length - from, StandardCharsets.UTF_8).contains(SERVES);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** How long after it was asked to leave the process that left last did so, in microseconds; empty where none says so. */
-    OptionalLong lastLeftAfterUs() {
-        OptionalLong afterUs = OptionalLong.empty();
+    /** Returns how long the last logged shutdown took after SIGTERM, in microseconds; empty if none is logged. */
+    OptionalLong lastShutdownDurationUs() {
+        OptionalLong durationUs = OptionalLong.empty();
         try {
             for (String line : lines()) {
                 Matcher leaves = LEAVES.matcher(line);
                 if (leaves.find()) {
-                    afterUs = OptionalLong.of(1_000 * Long.parseLong(leaves.group(1)));
+                    durationUs = OptionalLong.of(1_000 * Long.parseLong(leaves.group(1)));
                 }
             }
         } catch (IOException e) {
-            // Then the end of the process tells.
+            // The caller then uses the time at which the exit was noticed.
         }
-        return afterUs;
+        return durationUs;
     }
 
-    String lastWords() {
+    /** Returns the end of the log for an error message. */
+    String lastLines() {
         try {
             List<String> lines = lines();
             return lines.isEmpty()
                     ? "its log is empty"
-                    : String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_WORDS), lines.size()));
+                    : String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
         } catch (IOException e) {
             return "its log can't be read: " + e.getMessage();
         }
--- a/src/main/java/rushproxy/lab/scale/RealSidecars.java
+++ b/src/main/java/rushproxy/lab/scale/RealSidecars.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import rushproxy.lab.node.Build;
-import rushproxy.lab.node.Keeper;
+import rushproxy.lab.node.ProcessReaper;
 import rushproxy.lab.world.Addresses;
 
 /** Processes of the sidecar that are members of a scale run's fleet, without requests and without discovery. */
@@ -33,7 +33,7 @@
     private final List<InetSocketAddress> peers;
     private final Build build;
     private final Path folder;
-    private final Keeper keeper;
+    private final ProcessReaper keeper;
     private final List<Running> running = new ArrayList<>();
 
     RealSidecars(ScalePlan plan, Addresses addresses, List<InetSocketAddress> peers, Build build, Path folder)
@@ -43,7 +43,7 @@
         this.peers = peers;
         this.build = build;
         this.folder = folder;
-        keeper = new Keeper();
+        keeper = new ProcessReaper();
     }
 
     void start() throws IOException {
@@ -67,21 +67,21 @@
                 .redirectOutput(own.resolve("log").toFile())
                 .redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")));
         Process process = builder.start();
-        keeper.keep(process);
+        keeper.register(process);
         running.add(new Running(name, addresses.admin(member, 0), process, System.nanoTime()));
     }
 
     private ObjectNode config(int member) throws IOException {
         ObjectNode c = JSON.createObjectNode();
         c.put("name", LoopbackFleet.name(member))
-                .put("listen", Addresses.text(addresses.listen(member)))
+                .put("listen", Addresses.format(addresses.listen(member)))
                 .put("discovery", addresses.listen(member).getAddress().getHostAddress() + ":" + NO_DISCOVERY_PORT)
-                .put("admin_addr", Addresses.text(addresses.admin(member, 0)))
+                .put("admin_addr", Addresses.format(addresses.admin(member, 0)))
                 .put("seed", Long.toHexString(plan.seed() + member))
-                .put("peer_listen", Addresses.text(peers.get(member)));
+                .put("peer_listen", Addresses.format(peers.get(member)));
         c.putObject("limits").put("cores", 1).put("memory_mb", MEMORY_MB).put("sockets", 256);
         ArrayNode all = c.putArray("peers");
-        peers.forEach(p -> all.add(Addresses.text(p)));
+        peers.forEach(p -> all.add(Addresses.format(p)));
         c.putObject("fleet").put("members", true);
         c.putObject("known").put("generation", 1).put("reset", true).putArray("instances");
         c.set("settings", settings(member));
--- a/src/main/java/rushproxy/lab/soak/SoakPlan.java
+++ b/src/main/java/rushproxy/lab/soak/SoakPlan.java
@@ -11,52 +11,51 @@
 import rushproxy.lab.scenario.ScenarioReader;
 
 /**
- * A deployment and faults that overlap in time, all drawn from a seed. As text it is a scenario file, which can be played
- * again by {@code lab run}; with a fault left out it is another plan.
+ * A deployment with overlapping faults, generated from a seed. Its text is a scenario file, which {@code lab run} can run again.
  *
- * @param head   the deployment
- * @param faults one table of the scenario file each
+ * @param head   the deployment, as the first part of the scenario file
+ * @param faults one table of the scenario file per fault
  */
 public record SoakPlan(long seed, String head, List<String> faults) {
-    private static final double RATE_PER_NODE = 8;
+    private static final double RATE_PER_NODE_PER_S = 8;
     private static final double FIRST_FAULT_S = 1;
-    /** Faults begin this long before the end, so that their recovery is seen. */
-    private static final double LAST_FAULT_S = 4;
+    /** No fault begins in the last seconds of a run, so that the recovery from the last one is observed. */
+    private static final double FAULT_FREE_END_S = 4;
 
     private static final double FAULTS_PER_S = 0.7;
-    /** Sidecars of which a fault takes a part at once. */
-    private static final int MOST_AT_ONCE = 3;
+    /** Maximum number of sidecars affected by one fault. */
+    private static final int MAX_AFFECTED_NODES = 3;
 
-    /** The plan of this seed, for so many sidecars and so many seconds. */
-    public static SoakPlan draw(long seed, int nodes, double lengthS) {
-        return new Draw(seed, nodes, lengthS).plan();
+    /** Generates the plan of this seed for a number of sidecars and a length in seconds. */
+    public static SoakPlan generate(long seed, int nodes, double lengthS) {
+        return new Generator(seed, nodes, lengthS).plan();
     }
 
-    /** The same plan without its i-th fault. */
+    /** Returns this plan without the fault at index {@code i}. */
     public SoakPlan without(int i) {
         List<String> rest = new ArrayList<>(faults);
         rest.remove(i);
         return new SoakPlan(seed, head, List.copyOf(rest));
     }
 
-    /** As a scenario file has it. */
+    /** Returns the plan as a scenario file. */
     public String toml() {
         return head + String.join("\n", faults);
     }
 
-    /** As the laboratory plays it. */
+    /** Returns the plan as a scenario. */
     public Scenario scenario() throws ScenarioException {
         return ScenarioReader.parse("soak-" + seed, toml(), Map.of());
     }
 
-    private static final class Draw {
+    private static final class Generator {
         private final UniformRandomProvider random;
         private final long seed;
         private final int nodes;
         private final double lengthS;
         private final int servers;
 
-        Draw(long seed, int nodes, double lengthS) {
+        Generator(long seed, int nodes, double lengthS) {
             this.seed = seed;
             this.nodes = nodes;
             this.lengthS = lengthS;
@@ -65,25 +64,25 @@
         }
 
         SoakPlan plan() {
-            String head = head();
-            boolean replaced = random.nextInt(4) == 0;
+            String head = deployment();
+            boolean allowReplace = random.nextInt(4) == 0;
             List<String> faults = new ArrayList<>();
-            int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - LAST_FAULT_S) * FAULTS_PER_S);
+            int count = (int) Math.max(6, (lengthS - FIRST_FAULT_S - FAULT_FREE_END_S) * FAULTS_PER_S);
             for (int i = 0; i < count; i++) {
-                faults.add(fault(replaced));
+                faults.add(fault(allowReplace));
             }
             return new SoakPlan(seed, head, List.copyOf(faults));
         }
 
-        private double between(double least, double most) {
-            return least + (most - least) * random.nextDouble();
+        private double between(double min, double max) {
+            return min + (max - min) * random.nextDouble();
         }
 
-        private String of(String... words) {
+        private String pick(String... words) {
             return words[random.nextInt(words.length)];
         }
 
-        private String head() {
+        private String deployment() {
             return String.format(
                     Locale.ROOT,
                     """
@@ -116,13 +115,13 @@
                     lengthS,
                     seed,
                     nodes,
-                    of("pushed", "on_request"),
+                    pick("pushed", "on_request"),
                     2 + random.nextInt(3),
                     servers,
                     requestClass("read", "safe"),
                     requestClass("book", "unsafe"),
                     requestClass("log", "keyed"),
-                    RATE_PER_NODE * nodes,
+                    RATE_PER_NODE_PER_S * nodes,
                     random.nextInt(3));
         }
 
@@ -144,13 +143,13 @@
                     semantics,
                     deadlineMs,
                     deadlineMs * between(0.3, 0.8),
-                    of("all", "zone", "cell"),
+                    pick("all", "zone", "cell"),
                     between(200, 3_000));
         }
 
-        private String nodesHit() {
+        private String affectedNodes() {
             StringBuilder names = new StringBuilder();
-            int count = 1 + random.nextInt(Math.min(MOST_AT_ONCE, Math.max(1, nodes / 3)));
+            int count = 1 + random.nextInt(Math.min(MAX_AFFECTED_NODES, Math.max(1, nodes / 3)));
             int first = random.nextInt(nodes);
             for (int i = 0; i < count; i++) {
                 names.append(i == 0 ? "" : ", ")
@@ -161,71 +160,74 @@
             return "nodes = [" + names + "]\n";
         }
 
-        private String serverHit() {
+        private String affectedServer() {
             return "servers = \"s" + random.nextInt(servers) + "\"\n";
         }
 
-        private String lasts(double least, double most) {
-            return String.format(Locale.ROOT, "for_s = %.2f%n", between(least, most));
+        private String duration(double min, double max) {
+            return String.format(Locale.ROOT, "for_s = %.2f%n", between(min, max));
         }
 
-        private String part(double least, double most) {
-            return String.format(Locale.ROOT, "part = %.2f%n", between(least, most));
+        private String fraction(double min, double max) {
+            return String.format(Locale.ROOT, "part = %.2f%n", between(min, max));
         }
 
-        private String fault(boolean replaced) {
+        private String fault(boolean allowReplace) {
             return String.format(
-                            Locale.ROOT, "[[faults]]%nat_s = %.2f%n", between(FIRST_FAULT_S, lengthS - LAST_FAULT_S))
+                            Locale.ROOT,
+                            "[[faults]]%nat_s = %.2f%n",
+                            between(FIRST_FAULT_S, lengthS - FAULT_FREE_END_S))
                     + switch (random.nextInt(27)) {
-                        case 0 -> "do = \"kill\"\n" + nodesHit() + lasts(0.3, 1.5);
+                        case 0 -> "do = \"kill\"\n" + affectedNodes() + duration(0.3, 1.5);
                         case 1, 2 ->
-                            "do = \"restart\"\n" + nodesHit()
+                            "do = \"restart\"\n" + affectedNodes()
                                     + String.format(Locale.ROOT, "stagger_s = %.2f%n", between(0, 1));
-                        case 3 -> "do = \"discovery-moves\"\n" + nodesHit() + "stagger_s = 0.05\n";
+                        case 3 -> "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 4 ->
-                            replaced
-                                    ? "do = \"replace\"\n" + nodesHit()
-                                    : "do = \"discovery-moves\"\n" + nodesHit() + "stagger_s = 0.05\n";
-                        case 5, 6 -> "do = \"stall\"\n" + nodesHit() + lasts(0.05, 0.15);
+                            allowReplace
+                                    ? "do = \"replace\"\n" + affectedNodes()
+                                    : "do = \"discovery-moves\"\n" + affectedNodes() + "stagger_s = 0.05\n";
+                        case 5, 6 -> "do = \"stall\"\n" + affectedNodes() + duration(0.05, 0.15);
                         case 7 ->
                             "do = \"cut\"\nfrom = \"nodes:a\"\nto = \"servers:b\"\none_way = " + random.nextBoolean()
-                                    + "\n" + lasts(0.5, 2);
+                                    + "\n" + duration(0.5, 2);
                         case 8 ->
-                            "do = \"reset\"\nfrom = \"nodes:" + of("a", "b") + "\"\nto = \"servers:" + of("a", "b")
+                            "do = \"reset\"\nfrom = \"nodes:" + pick("a", "b") + "\"\nto = \"servers:" + pick("a", "b")
                                     + "\"\n";
-                        case 9 -> "do = \"hang\"\n" + serverHit() + lasts(1, 5);
-                        case 10, 11 -> "do = \"spoil\"\nhow = \"half\"\n" + serverHit() + part(0.1, 0.6) + lasts(2, 6);
+                        case 9 -> "do = \"hang\"\n" + affectedServer() + duration(1, 5);
+                        case 10, 11 ->
+                            "do = \"spoil\"\nhow = \"half\"\n" + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
                         case 12 ->
-                            "do = \"spoil\"\nhow = \"" + of("second", "reset", "bytewise", "close") + "\"\n"
-                                    + serverHit() + part(0.1, 0.6) + lasts(2, 6);
+                            "do = \"spoil\"\nhow = \"" + pick("second", "reset", "bytewise", "close") + "\"\n"
+                                    + affectedServer() + fraction(0.1, 0.6) + duration(2, 6);
                         case 13, 14 ->
-                            "do = \"clients\"\nhow = \"" + of("leave", "stop", "slow") + "\"\n" + part(0.05, 0.3)
-                                    + lasts(2, 6);
+                            "do = \"clients\"\nhow = \"" + pick("leave", "stop", "slow") + "\"\n" + fraction(0.05, 0.3)
+                                    + duration(2, 6);
                         case 15 ->
                             random.nextBoolean()
-                                    ? "do = \"list-silent\"\n" + nodesHit() + lasts(1, 4)
-                                    : "do = \"list-late\"\n" + nodesHit() + lasts(1, 4) + "by_ms = 300\n";
-                        case 16 -> "do = \"drain\"\n" + serverHit() + lasts(2, 4);
+                                    ? "do = \"list-silent\"\n" + affectedNodes() + duration(1, 4)
+                                    : "do = \"list-late\"\n" + affectedNodes() + duration(1, 4) + "by_ms = 300\n";
+                        case 16 -> "do = \"drain\"\n" + affectedServer() + duration(2, 4);
                         case 17 ->
-                            "do = \"system\"\nhow = \"wall-clock\"\n" + nodesHit() + "by = "
-                                    + of("3600000", "-3600000", "4000", "-4000") + "\n" + lasts(2, 8);
+                            "do = \"system\"\nhow = \"wall-clock\"\n" + affectedNodes() + "by = "
+                                    + pick("3600000", "-3600000", "4000", "-4000") + "\n" + duration(2, 8);
                         case 18 ->
-                            "do = \"system\"\nhow = \"calls\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + lasts(1, 5);
+                            "do = \"system\"\nhow = \"calls\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + duration(1, 5);
                         case 19, 20, 21 ->
-                            "do = \"system\"\nhow = \"sockets\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.01, 0.08)) + lasts(2, 8);
+                            "do = \"system\"\nhow = \"sockets\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.01, 0.08)) + duration(2, 8);
                         case 22 ->
-                            "do = \"system\"\nhow = \"" + of("established", "files") + "\"\n" + nodesHit()
-                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + lasts(2, 6);
+                            "do = \"system\"\nhow = \"" + pick("established", "files") + "\"\n" + affectedNodes()
+                                    + String.format(Locale.ROOT, "by = %.2f%n", between(0.02, 0.1)) + duration(2, 6);
                         case 23 ->
-                            "do = \"restart-series\"\n" + nodesHit()
+                            "do = \"restart-series\"\n" + affectedNodes()
                                     + String.format(Locale.ROOT, "stagger_s = %.2f%n", between(0, 1));
-                        case 24 -> "do = \"reload-series\"\n" + nodesHit() + "stagger_s = 0.05\n";
+                        case 24 -> "do = \"reload-series\"\n" + affectedNodes() + "stagger_s = 0.05\n";
                         case 25 ->
-                            "do = \"clients\"\nhow = \"" + of("crowd", "slow-read") + "\"\n" + part(0.2, 0.6)
-                                    + lasts(2, 5);
-                        default -> "do = \"crash\"\n" + serverHit() + lasts(0.5, 2);
+                            "do = \"clients\"\nhow = \"" + pick("crowd", "slow-read") + "\"\n" + fraction(0.2, 0.6)
+                                    + duration(2, 5);
+                        default -> "do = \"crash\"\n" + affectedServer() + duration(0.5, 2);
                     };
         }
     }
--- a/src/main/java/rushproxy/lab/world/Clients.java
+++ b/src/main/java/rushproxy/lab/world/Clients.java
@@ -36,248 +36,252 @@
 import java.util.function.DoubleSupplier;
 import org.HdrHistogram.Histogram;
 import rushproxy.lab.scenario.Scenario;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
- * The applications beside the sidecars: an open loop of first tries, their retries, and a pool of connections for each
- * node. A request that a close between requests has crossed is sent once more on a new connection, as the protocol has
- * it. Lives on the world's event loop from {@link #start} until all first tries are settled.
+ * Simulated client applications: an open-loop load generator with retries and a connection pool for each sidecar. A request that
+ * crosses a close of its idle keep-alive connection is sent once more on a new connection, as HTTP/1.1 allows. Confined to the
+ * world's event loop, from {@link #start} until every logical request is settled.
  */
 final class Clients {
-    private static final int CONNECT_MS = 1_000;
-    private static final int SLOW_PIECE = 16;
-    /** What was written within this of its note has its time from that. */
-    private static final long AT_ONCE_US = 1_000;
-
-    private static final int MAX_ANSWER = 1 << 20;
-    private static final double IDLE_US = 4e6;
-    /** After SIGTERM new connections come for this long to twice as long, as the protocol has it. */
-    private static final long CONNECTS_ON_US = 200_000;
-    /** An answer may come as late as the rules and the sockets allow before its client takes it for lost. */
-    private static final long SLACK_US = 70_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final int SLOW_WRITE_CHUNK_BYTES = 16;
+    /** A write that completes within this time of its ASKED event gets no WRITTEN event of its own. */
+    private static final long IMMEDIATE_WRITE_US = 1_000;
+
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final double MAX_POOL_IDLE_US = 4e6;
+    /** Clients open new connections for one to two times this long after SIGTERM, as the protocol specifies. */
+    private static final long CONNECT_AFTER_SIGTERM_US = 200_000;
+    /** How long past its deadline a response is still accepted: the sidecar's slack and the delay of the sockets. */
+    private static final long RESPONSE_SLACK_US = 70_000;
+    /** With less time left no further attempt is made. */
+    private static final long MIN_ATTEMPT_US = 5_000;
 
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog observations;
     private final Scenario scenario;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final List<Traffic.Arrival> arrivals;
     private final List<InetSocketAddress> sidecars;
-    private final List<ArrayDeque<Line>> idle;
-    private final Map<String, UpstreamServer.Needs> asked = new HashMap<>();
-    /** By how much first tries left later than they were meant to, in microseconds. */
-    final Histogram lateness = new Histogram(3);
-    /** By node: from then on nobody connects anew, as its platform has told it to leave. */
-    private final long[] connectsUntilUs;
-    /** Those that send no whole request. */
-    private final Strangers strangers;
-
-    private int next;
-    private int open;
-    /** How a part of the clients misbehaves; null where none does. */
-    private String misbehaves;
-
-    private double misbehaving;
-    private Runnable settled = () -> {};
+    private final List<ArrayDeque<Connection>> idleConnections;
+    private final Map<String, UpstreamServer.RequestProfile> profiles = new HashMap<>();
+    /** How late first attempts were sent, compared with their scheduled times, in microseconds. */
+    final Histogram sendLateness = new Histogram(3);
+    /** By node: the time from which clients open no new connections because the platform is stopping the sidecar. */
+    private final long[] connectUntilUs;
+
+    private final AbusiveConnections abusiveConnections;
+
+    private int nextArrival;
+    private int unsettledCount;
+    /** The active client misbehavior, as named in {@link #setMisbehavior}; null if there is none. */
+    private String misbehaviorMode;
+
+    private double misbehaviorShare;
+    private Runnable onAllSettled = () -> {};
 
     Clients(
             EventLoop loop,
-            Observations seen,
+            ObservationLog observations,
             Scenario scenario,
-            DoubleSupplier chance,
+            DoubleSupplier random,
             List<Traffic.Arrival> arrivals,
             List<InetSocketAddress> sidecars) {
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.scenario = scenario;
-        this.chance = chance;
+        this.random = random;
         this.arrivals = arrivals;
         this.sidecars = sidecars;
-        strangers = new Strangers(loop, seen, sidecars);
-        connectsUntilUs = new long[sidecars.size()];
-        Arrays.fill(connectsUntilUs, Long.MAX_VALUE);
-        idle = sidecars.stream().map(s -> new ArrayDeque<Line>()).toList();
+        abusiveConnections = new AbusiveConnections(loop, observations, sidecars);
+        connectUntilUs = new long[sidecars.size()];
+        Arrays.fill(connectUntilUs, Long.MAX_VALUE);
+        idleConnections =
+                sidecars.stream().map(s -> new ArrayDeque<Connection>()).toList();
     }
 
-    /** {@code settled} runs when all first tries are over. */
-    void start(Runnable settled) {
-        this.settled = settled;
-        look();
+    /** Starts the load; {@code onAllSettled} runs once when every logical request is settled. */
+    void start(Runnable onAllSettled) {
+        this.onAllSettled = onAllSettled;
+        sendDue();
     }
 
-    /** What a request that a client has sent needs; null for any other id. */
-    UpstreamServer.Needs needs(String id) {
-        return asked.get(id);
+    /** Returns the profile of the attempt with this id, or null if no client sent it. */
+    UpstreamServer.RequestProfile requestProfile(String id) {
+        return profiles.get(id);
     }
 
-    /** The node was told to leave: new connections come for some tenths of a second more. */
-    void leaving(int node) {
-        connectsUntilUs[node] = seen.us() + Math.round(CONNECTS_ON_US * (1 + chance.getAsDouble()));
+    /** The sidecar got SIGTERM: clients open new connections for a few tenths of a second more. */
+    void onNodeLeaving(int node) {
+        connectUntilUs[node] = observations.nowUs() + Math.round(CONNECT_AFTER_SIGTERM_US * (1 + random.getAsDouble()));
     }
 
-    /** The node is ready again. */
-    void back(int node) {
-        connectsUntilUs[node] = Long.MAX_VALUE;
+    /** The sidecar is ready again: clients may open new connections. */
+    void onNodeReady(int node) {
+        connectUntilUs[node] = Long.MAX_VALUE;
     }
 
-    /** This part of the clients misbehaves: {@code how} is "leave", "stop", "slow", "slow-read" or "crowd"; null ends it. */
-    void misbehave(String how, double part) {
-        misbehaves = how;
-        misbehaving = part;
+    /** Makes a share of the requests misbehave; {@code mode} is "leave", "stop", "slow", "slow-read" or "crowd", null ends it. */
+    void setMisbehavior(String mode, double share) {
+        misbehaviorMode = mode;
+        misbehaviorShare = share;
     }
 
-    private boolean misbehavesNow(String how) {
-        return how.equals(misbehaves) && chance.getAsDouble() < misbehaving;
+    private boolean drawMisbehavior(String mode) {
+        return mode.equals(misbehaviorMode) && random.getAsDouble() < misbehaviorShare;
     }
 
-    /** No further first tries. */
+    /** Stops sending first attempts; requests already started run to their end. */
     void stop() {
-        next = arrivals.size();
-        look();
+        nextArrival = arrivals.size();
+        sendDue();
     }
 
-    private void look() {
-        long now = seen.us();
-        while (next < arrivals.size() && arrivals.get(next).atUs() <= now) {
-            open++;
-            lateness.recordValue(now - arrivals.get(next).atUs());
-            new Asked(arrivals.get(next++)).attempt(0);
+    private void sendDue() {
+        long now = observations.nowUs();
+        while (nextArrival < arrivals.size() && arrivals.get(nextArrival).atUs() <= now) {
+            unsettledCount++;
+            sendLateness.recordValue(now - arrivals.get(nextArrival).atUs());
+            new LogicalRequest(arrivals.get(nextArrival++)).startAttempt(0);
         }
-        if (next < arrivals.size()) {
-            loop.schedule(this::look, arrivals.get(next).atUs() - now, TimeUnit.MICROSECONDS);
-        } else if (open == 0) {
-            Runnable once = settled;
-            settled = () -> {};
-            once.run();
+        if (nextArrival < arrivals.size()) {
+            loop.schedule(this::sendDue, arrivals.get(nextArrival).atUs() - now, TimeUnit.MICROSECONDS);
+        } else if (unsettledCount == 0) {
+            Runnable callback = onAllSettled;
+            onAllSettled = () -> {};
+            callback.run();
         }
     }
 
-    /** What a client wants, from its first try to the end of the last. */
-    private final class Asked {
+    /** One request as the application sees it, including all of its attempts. */
+    private final class LogicalRequest {
         private final Traffic.Arrival arrival;
-        private final long untilUs;
+        private final long deadlineUs;
         private final String idempotencyKey;
-        private int tries;
-        private String worst = "failed";
+        private int attempts;
+        private String lastOutcome = "failed";
 
-        Asked(Traffic.Arrival arrival) {
+        LogicalRequest(Traffic.Arrival arrival) {
             this.arrival = arrival;
-            untilUs = arrival.atUs() + arrival.spec().deadlineUs();
+            deadlineUs = arrival.atUs() + arrival.spec().deadlineUs();
             idempotencyKey = arrival.spec().semantics().equals("keyed") ? arrival.id() + "k" : null;
         }
 
-        void attempt(long meantUs) {
-            long now = seen.us();
-            long left = untilUs - now;
-            long wait = Math.min(
-                    left,
+        void startAttempt(long scheduledUs) {
+            long now = observations.nowUs();
+            long remainingUs = deadlineUs - now;
+            long waitUs = Math.min(
+                    remainingUs,
                     Math.round(scenario.traffic().tryShare() * arrival.spec().deadlineUs()));
-            if (wait < 5_000) {
-                settle(worst);
+            if (waitUs < MIN_ATTEMPT_US) {
+                settle(lastOutcome);
                 return;
             }
-            String id = arrival.id() + Integer.toHexString(tries++);
-            asked.put(
+            String id = arrival.id() + Integer.toHexString(attempts++);
+            profiles.put(
                     id,
-                    new UpstreamServer.Needs(
+                    new UpstreamServer.RequestProfile(
                             arrival.workMs(),
                             arrival.key(),
                             idempotencyKey,
                             arrival.spec().group(),
                             arrival.spec().windowUs()));
-            new Try(this, id, tries == 1 ? arrival.atUs() : meantUs, wait).begin(true);
+            new Attempt(this, id, attempts == 1 ? arrival.atUs() : scheduledUs, waitUs).start(true);
         }
 
-        void ended(Try t, String how, double retryAfterMs) {
-            worst = how;
-            boolean refused = how.equals("refused");
+        void onAttemptEnded(Attempt attempt, String outcome, double retryAfterMs) {
+            lastOutcome = outcome;
+            boolean refused = outcome.equals("refused");
             String semantics = arrival.spec().semantics();
-            boolean again = semantics.equals("safe")
+            boolean canRetry = semantics.equals("safe")
                     || refused
-                    || how.equals("unreached")
+                    || outcome.equals("unreached")
                     || semantics.equals("keyed")
                             && arrival.spec().group().equals("all")
-                            && seen.us() - arrival.atUs() < arrival.spec().windowUs();
-            if (!again || tries > scenario.traffic().retries()) {
-                settle(how);
+                            && observations.nowUs() - arrival.atUs()
+                                    < arrival.spec().windowUs();
+            if (!canRetry || attempts > scenario.traffic().retries()) {
+                settle(outcome);
                 return;
             }
-            double waitUs = scenario.traffic().backoffUs();
-            if (retryAfterMs > 0 && chance.getAsDouble() < scenario.traffic().honour()) {
-                waitUs = retryAfterMs * 1_000;
+            double backoffUs = scenario.traffic().backoffUs();
+            if (retryAfterMs > 0 && random.getAsDouble() < scenario.traffic().honour()) {
+                backoffUs = retryAfterMs * 1_000;
             }
-            long meant = seen.us() + (long) waitUs;
-            loop.schedule(() -> attempt(meant), (long) waitUs, TimeUnit.MICROSECONDS);
+            long retryAtUs = observations.nowUs() + (long) backoffUs;
+            loop.schedule(() -> startAttempt(retryAtUs), (long) backoffUs, TimeUnit.MICROSECONDS);
         }
 
-        void settle(String how) {
-            long us = seen.us() - arrival.atUs();
-            String word = how.equals("served") && us > arrival.spec().aimUs()
-                    ? "late"
-                    : how.equals("unreached") ? "failed" : how;
-            seen.see(
-                    What.SETTLED,
+        void settle(String outcome) {
+            long latencyUs = observations.nowUs() - arrival.atUs();
+            String reported =
+                    outcome.equals("served") && latencyUs > arrival.spec().aimUs()
+                            ? "late"
+                            : outcome.equals("unreached") ? "failed" : outcome;
+            observations.add(
+                    EventType.SETTLED,
                     "n" + arrival.node(),
                     null,
                     null,
                     arrival.id(),
-                    word + " " + arrival.spec().name(),
-                    us / 1e3,
+                    reported + " " + arrival.spec().name(),
+                    latencyUs / 1e3,
                     arrival.atUs());
-            open--;
-            if (open == 0 && next >= arrivals.size()) {
-                look();
+            unsettledCount--;
+            if (unsettledCount == 0 && nextArrival >= arrivals.size()) {
+                sendDue();
             }
         }
     }
 
-    /** One try, until its answer or its end without one. */
-    private final class Try {
-        private final Asked of;
+    /** One attempt at a logical request; it ends with a response, a broken connection or a timeout. */
+    private final class Attempt {
+        private final LogicalRequest request;
         private final String id;
-        private final long meantUs;
+        private final long scheduledUs;
         private final long waitUs;
-        private Line line;
-        private Future<?> patience;
-        /** Its client waits until then. */
+        private Connection connection;
+        private Future<?> giveUpTimer;
         private long waitsUntilUs;
 
         private long sentUs;
-        private boolean again;
-        private boolean over;
+        private boolean resent;
+        private boolean ended;
 
-        Try(Asked of, String id, long meantUs, long waitUs) {
-            this.of = of;
+        Attempt(LogicalRequest request, String id, long scheduledUs, long waitUs) {
+            this.request = request;
             this.id = id;
-            this.meantUs = meantUs;
+            this.scheduledUs = scheduledUs;
             this.waitUs = waitUs;
         }
 
         private String node() {
-            return "n" + of.arrival.node();
+            return "n" + request.arrival.node();
         }
 
-        void begin(boolean pooled) {
-            if (patience == null) {
-                waitsUntilUs = seen.us() + waitUs;
-                patience = loop.schedule(this::giveUp, waitUs + SLACK_US, TimeUnit.MICROSECONDS);
+        void start(boolean pooled) {
+            if (giveUpTimer == null) {
+                waitsUntilUs = observations.nowUs() + waitUs;
+                giveUpTimer = loop.schedule(this::giveUp, waitUs + RESPONSE_SLACK_US, TimeUnit.MICROSECONDS);
             }
-            ArrayDeque<Line> pool = idle.get(of.arrival.node());
-            for (Line l; pooled && (l = pool.pollFirst()) != null; ) {
-                if (l.channel.isActive() && seen.us() - l.idleSinceUs < IDLE_US) {
-                    send(l);
+            ArrayDeque<Connection> pool = idleConnections.get(request.arrival.node());
+            for (Connection idle; pooled && (idle = pool.pollFirst()) != null; ) {
+                if (idle.channel.isActive() && observations.nowUs() - idle.idleSinceUs < MAX_POOL_IDLE_US) {
+                    send(idle);
                     return;
                 }
-                l.channel.close();
+                idle.channel.close();
             }
-            if (seen.us() > connectsUntilUs[of.arrival.node()]) {
-                unreached("the sidecar is leaving");
+            if (observations.nowUs() > connectUntilUs[request.arrival.node()]) {
+                onUnreached("the sidecar is leaving");
                 return;
             }
-            Line fresh = new Line(of.arrival.node());
+            Connection fresh = new Connection(request.arrival.node());
             ChannelFuture connecting = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -286,120 +290,134 @@
                             channel.pipeline()
                                     .addLast(
                                             new HttpClientCodec(),
-                                            fresh.heads(),
-                                            new HttpObjectAggregator(MAX_ANSWER),
+                                            fresh.responseStartRecorder(),
+                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                             fresh);
                         }
                     })
-                    .connect(sidecars.get(of.arrival.node()));
+                    .connect(sidecars.get(request.arrival.node()));
             connecting.addListener(f -> {
-                if (over) {
+                if (ended) {
                     connecting.channel().close();
                 } else if (f.isSuccess()) {
                     send(fresh);
                 } else {
-                    unreached("" + f.cause().getMessage());
+                    onUnreached("" + f.cause().getMessage());
                 }
             });
         }
 
-        private void unreached(String why) {
-            seen.see(What.UNREACHED, node(), null, id, of.arrival.id(), why, 0, meantUs);
+        private void onUnreached(String reason) {
+            observations.add(EventType.UNREACHED, node(), null, id, request.arrival.id(), reason, 0, scheduledUs);
             end("unreached", 0);
         }
 
-        private void send(Line to) {
-            line = to;
-            to.busy = this;
-            // What it has waited for its connection it does not wait again.
-            long left = Math.max(1, (waitsUntilUs - seen.us()) / 1_000);
-            boolean get = of.arrival.spec().semantics().equals("safe");
+        private void send(Connection to) {
+            connection = to;
+            to.attempt = this;
+            // The time spent connecting counts against the deadline of the attempt.
+            long remainingMs = Math.max(1, (waitsUntilUs - observations.nowUs()) / 1_000);
+            boolean get = request.arrival.spec().semantics().equals("safe");
             DefaultFullHttpRequest m = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     get ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/" + of.arrival.spec().name(),
+                    "/api/" + request.arrival.spec().name(),
                     get ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer(id, StandardCharsets.US_ASCII));
             m.headers()
                     .set("Host", "api.internal")
                     .set("X-Txn", id)
-                    .set("X-Lane", of.arrival.spec().name())
-                    .set("X-Remaining-Ms", left)
-                    .set("Cookie", "k=" + Long.toHexString(of.arrival.key()));
+                    .set("X-Lane", request.arrival.spec().name())
+                    .set("X-Remaining-Ms", remainingMs)
+                    .set("Cookie", "k=" + Long.toHexString(request.arrival.key()));
             if (!get) {
                 m.headers().set("Content-Length", m.content().readableBytes());
             }
-            if (of.idempotencyKey != null) {
-                m.headers().set("Idempotency-Key", of.idempotencyKey);
+            if (request.idempotencyKey != null) {
+                m.headers().set("Idempotency-Key", request.idempotencyKey);
             }
-            if (of.tries > 1) {
+            if (request.attempts > 1) {
                 m.headers().set("X-Resent", "1");
             }
-            sentUs = seen.us();
-            if (!again) {
-                seen.see(
-                        What.ASKED,
+            sentUs = observations.nowUs();
+            if (!resent) {
+                observations.add(
+                        EventType.ASKED,
                         node(),
                         null,
                         id,
-                        of.arrival.id(),
-                        of.arrival.spec().name(),
-                        left,
-                        meantUs);
+                        request.arrival.id(),
+                        request.arrival.spec().name(),
+                        remainingMs,
+                        scheduledUs);
             }
-            if (misbehavesNow("leave")) {
-                loop.schedule(this::leave, Math.round(waitUs * chance.getAsDouble()), TimeUnit.MICROSECONDS);
+            if (drawMisbehavior("leave")) {
+                loop.schedule(this::abandon, Math.round(waitUs * random.getAsDouble()), TimeUnit.MICROSECONDS);
             }
-            if (misbehavesNow("crowd") && seen.us() < connectsUntilUs[of.arrival.node()]) {
-                strangers.crowd(of.arrival.node());
+            if (drawMisbehavior("crowd") && observations.nowUs() < connectUntilUs[request.arrival.node()]) {
+                abusiveConnections.occupyConnections(request.arrival.node());
             }
-            if (misbehavesNow("slow-read")) {
+            if (drawMisbehavior("slow-read")) {
                 readSlowly(to);
             }
-            if (misbehavesNow("stop")) {
-                strangers.stopHalfWay(of.arrival.node());
+            if (drawMisbehavior("stop")) {
+                abusiveConnections.openStalledRequest(request.arrival.node());
             }
-            if (!again && misbehavesNow("slow")) {
-                writeSlowly(to, m, left);
+            if (!resent && drawMisbehavior("slow")) {
+                writeSlowly(to, m, remainingMs);
             } else {
-                to.channel.writeAndFlush(m).addListener(f -> written(left));
+                to.channel.writeAndFlush(m).addListener(f -> onWritten(remainingMs));
             }
         }
 
-        /** The last byte has left: the client's time begins. */
-        private void written(long leftMs) {
-            if (again || seen.us() - sentUs > AT_ONCE_US) {
-                seen.see(What.WRITTEN, node(), null, id, of.arrival.id(), null, leftMs, sentUs);
+        /** The last byte was written: the client's wait is counted from here on. */
+        private void onWritten(long remainingMs) {
+            if (resent || observations.nowUs() - sentUs > IMMEDIATE_WRITE_US) {
+                observations.add(EventType.WRITTEN, node(), null, id, request.arrival.id(), null, remainingMs, sentUs);
             }
         }
 
-        void answered(int status, String body, double retryAfterMs) {
-            seen.see(What.ANSWERED, node(), null, id, of.arrival.id(), status + " " + body, retryAfterMs, sentUs);
+        void onAnswered(int status, String body, double retryAfterMs) {
+            observations.add(
+                    EventType.ANSWERED,
+                    node(),
+                    null,
+                    id,
+                    request.arrival.id(),
+                    status + " " + body,
+                    retryAfterMs,
+                    sentUs);
             end(status == 200 ? "served" : status == 429 || status == 503 ? "refused" : "failed", retryAfterMs);
         }
 
-        /** The connection has ended without an answer. */
-        void broke(boolean used, boolean part, String how) {
-            if (used && !part && !again) {
-                // The close has crossed the request: it goes once more.
-                again = true;
-                begin(false);
+        /** The connection ended before a complete response. */
+        void onBroken(boolean used, boolean responseStarted, String how) {
+            if (used && !responseStarted && !resent) {
+                // The close of an idle connection crossed the request: send it once more on a new connection.
+                resent = true;
+                start(false);
                 return;
             }
-            seen.broke(node(), id, of.arrival.id(), part ? "part" : how, used ? 0 : line.connectsUs, sentUs);
+            observations.addBroken(
+                    node(),
+                    id,
+                    request.arrival.id(),
+                    responseStarted ? "part" : how,
+                    used ? 0 : connection.connectStartUs,
+                    sentUs);
             end("failed", 0);
         }
 
-        /** Takes its answer only a while after it may have come. */
-        private void readSlowly(Line to) {
+        /** Stops reading the response for a random time of up to half the attempt's timeout. */
+        private void readSlowly(Connection to) {
             to.channel.config().setAutoRead(false);
             loop.schedule(
                     () -> to.channel.config().setAutoRead(true),
-                    Math.round(waitUs * chance.getAsDouble() / 2),
+                    Math.round(waitUs * random.getAsDouble() / 2),
                     TimeUnit.MICROSECONDS);
         }
 
-        /** In pieces of a few bytes; its time runs from the last of them. */
-        private void writeSlowly(Line to, DefaultFullHttpRequest m, long leftMs) {
+        /** Writes the request in chunks of a few bytes, one each millisecond; the client's wait is counted from the last one. */
+        private void writeSlowly(Connection to, DefaultFullHttpRequest m, long remainingMs) {
             EmbeddedChannel encoder = new EmbeddedChannel(new HttpRequestEncoder());
             encoder.writeOutbound(m);
             ByteBuf all = Unpooled.buffer();
@@ -407,103 +425,102 @@
                 all.writeBytes(part);
             }
             encoder.finishAndReleaseAll();
-            int pieces = 0;
+            int chunks = 0;
             while (all.isReadable()) {
-                ByteBuf piece = all.readRetainedSlice(Math.min(SLOW_PIECE, all.readableBytes()));
+                ByteBuf chunk = all.readRetainedSlice(Math.min(SLOW_WRITE_CHUNK_BYTES, all.readableBytes()));
                 boolean last = !all.isReadable();
                 loop.schedule(
                         () -> {
                             ChannelHandlerContext codec = to.channel.pipeline().context(HttpClientCodec.class);
-                            if (codec == null || over) {
-                                piece.release();
+                            if (codec == null || ended) {
+                                chunk.release();
                             } else {
-                                ChannelFuture sent = codec.writeAndFlush(piece);
+                                ChannelFuture sent = codec.writeAndFlush(chunk);
                                 if (last) {
-                                    sent.addListener(f -> written(leftMs));
+                                    sent.addListener(f -> onWritten(remainingMs));
                                 }
                             }
                         },
-                        pieces++,
+                        chunks++,
                         TimeUnit.MILLISECONDS);
             }
             all.release();
         }
 
-        /** As clients may: before its answer has come. */
-        private void leave() {
-            if (over || line == null) {
+        /** Closes the connection before the response has arrived, as clients may. */
+        private void abandon() {
+            if (ended || connection == null) {
                 return;
             }
-            over = true;
-            patience.cancel(false);
-            line.busy = null;
-            line.channel.close();
-            // Noted after it: a laboratory that is held up here must not count its client as gone before it was.
-            seen.see(What.LEFT, node(), null, id, of.arrival.id(), null, 0, sentUs);
-            of.settle("failed");
+            ended = true;
+            giveUpTimer.cancel(false);
+            connection.attempt = null;
+            connection.channel.close();
+            // Recorded after the close: if this thread stalls here, the client must not count as gone before it was.
+            observations.add(EventType.LEFT, node(), null, id, request.arrival.id(), null, 0, sentUs);
+            request.settle("failed");
         }
 
         private void giveUp() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            if (line != null) {
-                line.busy = null;
-                line.channel.close();
+            if (connection != null) {
+                connection.attempt = null;
+                connection.channel.close();
             }
-            // Noted after the close, as in leave().
-            seen.see(
-                    What.GAVE_UP,
+            // Recorded after the close, as in abandon().
+            observations.add(
+                    EventType.GAVE_UP,
                     node(),
                     null,
                     id,
-                    of.arrival.id(),
-                    line == null ? "unconnected" : null,
+                    request.arrival.id(),
+                    connection == null ? "unconnected" : null,
                     waitUs / 1e3,
-                    meantUs);
+                    scheduledUs);
             end("failed", 0);
         }
 
-        private void end(String how, double retryAfterMs) {
-            if (over) {
+        private void end(String outcome, double retryAfterMs) {
+            if (ended) {
                 return;
             }
-            over = true;
-            patience.cancel(false);
-            if (line != null) {
-                line.busy = null;
+            ended = true;
+            giveUpTimer.cancel(false);
+            if (connection != null) {
+                connection.attempt = null;
             }
-            if (how.equals("served")) {
-                of.settle(how);
+            if (outcome.equals("served")) {
+                request.settle(outcome);
             } else {
-                of.ended(this, how, retryAfterMs);
+                request.onAttemptEnded(this, outcome, retryAfterMs);
             }
         }
     }
 
     /** One connection to a sidecar. */
-    private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int node;
-        /** When it was begun. */
-        private final long connectsUs = seen.us();
+        private final long connectStartUs = observations.nowUs();
 
         private Channel channel;
-        private Try busy;
+        private Attempt attempt;
         private boolean used;
         private boolean reset;
-        private boolean part;
+        private boolean responseStarted;
         private long idleSinceUs;
 
-        Line(int node) {
+        Connection(int node) {
             this.node = node;
         }
 
-        /** Stands before what makes answers whole: an answer that has begun is no silence. */
-        ChannelInboundHandlerAdapter heads() {
+        /** Runs before the aggregator and records that a response has begun, even if it never completes. */
+        ChannelInboundHandlerAdapter responseStartRecorder() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object message) {
-                    part |= message instanceof HttpResponse;
+                    responseStarted |= message instanceof HttpResponse;
                     ctx.fireChannelRead(message);
                 }
             };
@@ -511,11 +528,19 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse m) {
-            part = false;
-            Try of = busy;
-            if (of == null) {
-                // A second answer, or one to nobody.
-                seen.see(What.ANSWERED, "n" + node, null, null, null, m.status().code() + " unasked", 0, 0);
+            responseStarted = false;
+            Attempt current = attempt;
+            if (current == null) {
+                // A duplicate response, or one that no request is waiting for.
+                observations.add(
+                        EventType.ANSWERED,
+                        "n" + node,
+                        null,
+                        null,
+                        null,
+                        m.status().code() + " unasked",
+                        0,
+                        0);
                 ctx.close();
                 return;
             }
@@ -523,20 +548,23 @@
                 ctx.close();
                 return;
             }
-            boolean keep = HttpUtil.isKeepAlive(m);
-            String after = m.headers().get("Retry-After");
+            boolean keepAlive = HttpUtil.isKeepAlive(m);
+            String retryAfter = m.headers().get("Retry-After");
             used = true;
-            idleSinceUs = seen.us();
-            busy = null;
-            of.answered(m.status().code(), m.content().toString(StandardCharsets.US_ASCII), seconds(after) * 1_000);
-            if (!keep) {
+            idleSinceUs = observations.nowUs();
+            attempt = null;
+            current.onAnswered(
+                    m.status().code(),
+                    m.content().toString(StandardCharsets.US_ASCII),
+                    parseSeconds(retryAfter) * 1_000);
+            if (!keepAlive) {
                 ctx.close();
-            } else if (busy == null) {
-                idle.get(node).addFirst(this);
+            } else if (attempt == null) {
+                idleConnections.get(node).addFirst(this);
             }
         }
 
-        private double seconds(String text) {
+        private double parseSeconds(String text) {
             try {
                 return text == null ? 0 : Double.parseDouble(text);
             } catch (NumberFormatException e) {
@@ -546,20 +574,28 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.get(node).remove(this);
-            Try of = busy;
-            busy = null;
-            if (of != null && !of.over) {
-                of.broke(used, part, reset ? "reset" : "closed");
+            idleConnections.get(node).remove(this);
+            Attempt current = attempt;
+            attempt = null;
+            if (current != null && !current.ended) {
+                current.onBroken(used, responseStarted, reset ? "reset" : "closed");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             reset = true;
-            // An answer that was broken off is told by the end of its connection.
+            // A truncated response is already reported when its connection becomes inactive.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
-                seen.see(What.TROUBLE, "n" + node, null, null, null, "a client failed: " + cause, 0, 0);
+                observations.add(
+                        EventType.TROUBLE,
+                        "n" + node,
+                        null,
+                        null,
+                        null,
+                        "unexpected exception on a client connection: " + cause,
+                        0,
+                        0);
             }
             ctx.close();
         }
--- a/src/main/java/rushproxy/lab/world/Link.java
+++ b/src/main/java/rushproxy/lab/world/Link.java
@@ -6,81 +6,81 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The network under one TCP connection of a node to a far end that the laboratory plays: it delays what comes and goes,
- * keeps the order of each way, and holds what a cut keeps from passing until that is over, as a kernel that sends again
- * does. It outlives its connection: what was on its way inward when the node closed arrives all the same, so that a
- * request may come long after its sender has given it up. Ends by itself when nothing is on its way.
+ * The simulated network path of one TCP connection between a node and an upstream. It delays data, preserves the order in each
+ * direction, and holds data during a network cut until the cut ends, as TCP retransmission would. It outlives the connection: data
+ * already in transit to the upstream when the node closes is still delivered, so a request may arrive long after its sender gave up. It
+ * needs no close: once nothing is in transit it schedules nothing.
  */
 final class Link {
-    private static final long LOOK_AGAIN_US = 20_000;
+    private static final long CUT_RETRY_US = 20_000;
 
     private final EventLoop loop;
     private final Network network;
-    private final Network.End node;
-    private final Network.End far;
-    private final Way inward = new Way(true);
-    private final Way outward = new Way(false);
+    private final Network.Endpoint node;
+    private final Network.Endpoint upstream;
+    private final Direction inward = new Direction(true);
+    private final Direction outward = new Direction(false);
 
-    /** Inward is from the node. */
-    Link(EventLoop loop, Network network, Network.End node, Network.End far) {
+    /** Inward is the direction from the node to the upstream. */
+    Link(EventLoop loop, Network network, Network.Endpoint node, Network.Endpoint upstream) {
         this.loop = loop;
         this.network = network;
         this.node = node;
-        this.far = far;
-        // Two passes of a handshake come before the first byte.
-        inward.notBeforeNanos = System.nanoTime() + 2_000 * network.delayUs(node, far);
+        this.upstream = upstream;
+        // The first byte follows one round trip of the TCP handshake.
+        inward.earliestArrivalNanos = System.nanoTime() + 2_000 * network.delayUs(node, upstream);
     }
 
-    void inward(Runnable arrive) {
-        inward.add(arrive);
+    void sendInward(Runnable deliver) {
+        inward.add(deliver);
     }
 
-    void outward(Runnable arrive) {
-        outward.add(arrive);
+    void sendOutward(Runnable deliver) {
+        outward.add(deliver);
     }
 
-    /** Nobody is there any more to hear of what is on its way outward. */
-    void closed() {
-        outward.passing.clear();
+    /** The node has closed the connection: data in transit to it has no receiver. */
+    void dropOutward() {
+        outward.inTransit.clear();
     }
 
-    private final class Way {
-        private record Passing(long atNanos, Runnable arrive) {}
+    private final class Direction {
+        private record InTransit(long dueNanos, Runnable deliver) {}
 
         private final boolean inward;
-        private final ArrayDeque<Passing> passing = new ArrayDeque<>();
-        private long notBeforeNanos;
+        private final ArrayDeque<InTransit> inTransit = new ArrayDeque<>();
+        private long earliestArrivalNanos;
         private Future<?> timer;
 
-        Way(boolean inward) {
+        Direction(boolean inward) {
             this.inward = inward;
         }
 
-        void add(Runnable arrive) {
-            long us = inward ? network.delayUs(node, far) : network.delayUs(far, node);
-            notBeforeNanos = Math.max(notBeforeNanos, System.nanoTime() + 1_000 * us);
-            passing.add(new Passing(notBeforeNanos, arrive));
-            look();
+        void add(Runnable deliver) {
+            long delayUs = inward ? network.delayUs(node, upstream) : network.delayUs(upstream, node);
+            earliestArrivalNanos = Math.max(earliestArrivalNanos, System.nanoTime() + 1_000 * delayUs);
+            inTransit.add(new InTransit(earliestArrivalNanos, deliver));
+            deliverDue();
         }
 
-        private void look() {
+        private void deliverDue() {
             if (timer != null) {
                 return;
             }
-            while (!passing.isEmpty()) {
-                boolean cut = inward ? network.cut(node, far) : network.cut(far, node);
-                long waitNanos = cut ? LOOK_AGAIN_US * 1_000 : passing.peek().atNanos - System.nanoTime();
-                if (cut || waitNanos > 0) {
+            while (!inTransit.isEmpty()) {
+                boolean isCut = inward ? network.isCut(node, upstream) : network.isCut(upstream, node);
+                long waitNanos = isCut ? CUT_RETRY_US * 1_000 : inTransit.peek().dueNanos - System.nanoTime();
+                if (isCut || waitNanos > 0) {
                     timer = loop.schedule(
                             () -> {
                                 timer = null;
-                                look();
+                                deliverDue();
                             },
                             waitNanos,
                             TimeUnit.NANOSECONDS);
                     return;
                 }
-                passing.poll().arrive.run();
+                inTransit.poll().deliver.run();
             }
         }
     }
--- a/src/main/java/rushproxy/lab/world/PeerRelay.java
+++ b/src/main/java/rushproxy/lab/world/PeerRelay.java
@@ -14,27 +14,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The UDP network between sidecars: for every ordered pair a socket where the one sends what is meant for the other, and
- * from which the other's words come to it. Each datagram is delayed, lost, doubled or overtaken as {@link Network} says.
- * Counts datagrams and bytes by sender. Lives on the world's event loop until {@link #end}.
+ * Relay for the UDP traffic between sidecars. Each ordered pair of nodes has its own socket: the first node sends datagrams for the
+ * second one to it and receives the second one's datagrams from it. {@link Network} decides about delay, loss, duplication and reordering.
+ * Counts datagrams and bytes by sender. Confined to the world's event loop until {@link #close}.
  */
 final class PeerRelay {
     private final EventLoop loop;
     private final Network network;
-    private final List<Network.End> nodes;
+    private final List<Network.Endpoint> nodes;
     private final Addresses addresses;
     private final Channel[][] sockets;
-    private final long[] sent;
-    private final long[] bytes;
+    private final long[] datagramsSent;
+    private final long[] bytesSent;
 
-    PeerRelay(EventLoop loop, Network network, List<Network.End> nodes, Addresses addresses) {
+    PeerRelay(EventLoop loop, Network network, List<Network.Endpoint> nodes, Addresses addresses) {
         this.loop = loop;
         this.network = network;
         this.nodes = nodes;
         this.addresses = addresses;
         sockets = new Channel[nodes.size()][nodes.size()];
-        sent = new long[nodes.size()];
-        bytes = new long[nodes.size()];
+        datagramsSent = new long[nodes.size()];
+        bytesSent = new long[nodes.size()];
     }
 
     List<ChannelFuture> start() {
@@ -50,13 +50,13 @@
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                                 if (packet.sender().equals(addresses.peerListen(from))) {
-                                    pass(from, to, packet);
+                                    forward(from, to, packet);
                                 }
                             }
 
                             @Override
                             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                // The kernel says that nobody listened there: the datagram is lost, as any may be.
+                                // ICMP port unreachable: the datagram is lost, which UDP permits.
                             }
                         })
                         .bind(addresses.peer(i, j));
@@ -67,16 +67,16 @@
         return binds;
     }
 
-    private void pass(int from, int to, DatagramPacket packet) {
-        sent[from]++;
-        bytes[from] += packet.content().readableBytes();
+    private void forward(int from, int to, DatagramPacket packet) {
+        datagramsSent[from]++;
+        bytesSent[from] += packet.content().readableBytes();
         InetSocketAddress target = addresses.peerListen(to);
         int copies = network.copies(nodes.get(from), nodes.get(to));
         for (int i = 0; i < copies; i++) {
             DatagramPacket copy = new DatagramPacket(packet.content().retainedDuplicate(), target);
             loop.schedule(
                     () -> {
-                        // From where the other knows the sender.
+                        // Sent from the address by which the receiver knows the sender.
                         sockets[to][from].writeAndFlush(copy);
                     },
                     network.peerDelayUs(nodes.get(from), nodes.get(to)),
@@ -84,16 +84,16 @@
         }
     }
 
-    /** Datagrams that a node has sent so far. */
-    long sent(int node) {
-        return sent[node];
+    /** The number of datagrams that a node has sent so far. */
+    long datagramsSent(int node) {
+        return datagramsSent[node];
     }
 
-    long bytes(int node) {
-        return bytes[node];
+    long bytesSent(int node) {
+        return bytesSent[node];
     }
 
-    void end() {
+    void close() {
         for (Channel[] row : sockets) {
             for (Channel c : row) {
                 if (c != null) {
--- a/src/main/java/rushproxy/lab/world/Registry.java
+++ b/src/main/java/rushproxy/lab/world/Registry.java
@@ -31,46 +31,50 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import rushproxy.lab.scenario.Scenario;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
- * Discovery: the true state of the upstreams, and an agent on each node's machine that has the news late and tells it to
- * watches. Lives on the world's event loop; agents listen until {@link #end}.
+ * Simulated service discovery. It knows the true state of the upstreams; an agent on each node's machine learns of changes with a
+ * delay and serves them to long polls. Confined to the world's event loop; agents listen until {@link #close}.
  */
 final class Registry {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long OLD_ADDRESS_MS = 1_500;
+    private static final long OLD_CONNECTION_GRACE_MS = 1_500;
+    private static final long MAX_LONG_POLL_MS = 60_000;
 
-    /** One server as discovery knows it, {@code number} its place among all changes. {@code state}: Ready, Terminating or Gone. */
-    private record Line(long number, UpstreamServer server, String state, long startedAtMs) {}
+    /** A server's state after change {@code changeNumber}. {@code state} is Ready, Terminating or Gone. */
+    private record Instance(long changeNumber, UpstreamServer server, String state, long startedAtMs) {}
 
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog observations;
     private final Scenario.Discovery spec;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final List<Agent> agents = new ArrayList<>();
-    private long changes;
+    private long changeCount;
 
-    Registry(EventLoop loop, Observations seen, Scenario.Discovery spec, DoubleSupplier chance) {
+    Registry(EventLoop loop, ObservationLog observations, Scenario.Discovery spec, DoubleSupplier random) {
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.spec = spec;
-        this.chance = chance;
+        this.random = random;
     }
 
-    /** The agents of all nodes, in their order; {@code reach.at(node, server)} is the server's address for the node. */
-    interface Reach {
-        InetSocketAddress at(int node, int server);
+    /** Gives the address by which a node reaches a server. */
+    interface AddressResolver {
+        InetSocketAddress addressOf(int node, int server);
     }
 
     List<ChannelFuture> start(
-            List<String> nodes, List<InetSocketAddress> addresses, Reach reach, List<UpstreamServer> servers) {
+            List<String> nodes,
+            List<InetSocketAddress> addresses,
+            AddressResolver resolver,
+            List<UpstreamServer> servers) {
         List<ChannelFuture> binds = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
-            Agent agent = new Agent(i, nodes.get(i), reach);
+            Agent agent = new Agent(i, nodes.get(i), resolver);
             for (UpstreamServer s : servers) {
-                agent.lines.put(s.id, new Line(0, s, "Ready", s.startedAtMs()));
-                agent.changedAt.put(s.id, agent.generation);
+                agent.instancesById.put(s.id, new Instance(0, s, "Ready", s.startedAtMs()));
+                agent.changedAtGeneration.put(s.id, agent.generation);
             }
             agents.add(agent);
             binds.add(agent.listen(addresses.get(i)));
@@ -78,63 +82,63 @@
         return binds;
     }
 
-    /** The server's true state has changed: each agent hears of it in its own time. */
-    void changed(UpstreamServer server, String state) {
-        Line line = new Line(++changes, server, state, server.startedAtMs());
+    /** Publishes a change of a server's state; each agent receives it after its own delay. */
+    void publishChange(UpstreamServer server, String state) {
+        Instance instance = new Instance(++changeCount, server, state, server.startedAtMs());
         for (Agent agent : agents) {
-            double lateMs = spec.noticeMs() + spec.spreadMs() * chance.getAsDouble() + agent.lateMs;
-            loop.schedule(() -> agent.news(line), Math.round(1_000 * lateMs), TimeUnit.MICROSECONDS);
+            double delayMs = spec.noticeMs() + spec.spreadMs() * random.getAsDouble() + agent.extraDelayMs;
+            loop.schedule(() -> agent.receive(instance), Math.round(1_000 * delayMs), TimeUnit.MICROSECONDS);
         }
     }
 
-    /** The agent hears nothing and answers nothing new until the fault is over. */
-    void silent(int node, boolean on) {
-        agents.get(node).silent(on);
+    /** While silent, the agent receives no changes and leaves requests unanswered. */
+    void setSilent(int node, boolean on) {
+        agents.get(node).setSilent(on);
     }
 
-    void late(int node, double byMs) {
-        agents.get(node).lateMs = byMs;
+    void setDelay(int node, double delayMs) {
+        agents.get(node).extraDelayMs = delayMs;
     }
 
-    /** The agent misses this part of the changes until it is told 0, and then has them all. */
-    void splits(int node, double part) {
-        agents.get(node).splits(part);
+    /** Makes the agent miss this share of the changes; with 0 it receives all that it missed. */
+    void setMissedShare(int node, double share) {
+        agents.get(node).setMissedShare(share);
     }
 
-    /** From now on the agent is at the new address; the old one takes no connection and closes the open ones soon. */
+    /** Moves the agent to a new address: the old one accepts no connections and its open ones are closed after a grace period. */
     ChannelFuture move(int node, InetSocketAddress to) {
         return agents.get(node).move(to);
     }
 
-    /** The list as a configuration's {@code known} has it: what the agent holds now. */
-    ObjectNode known(int node) {
-        return agents.get(node).list(-1);
+    /** Returns the agent's current instances in the format of the configuration's {@code known}. */
+    ObjectNode knownInstances(int node) {
+        return agents.get(node).toJson(-1);
     }
 
-    void end() {
-        agents.forEach(Agent::end);
+    void close() {
+        agents.forEach(Agent::close);
     }
 
     private final class Agent {
-        private final int number;
+        private final int nodeNumber;
         private final String node;
-        private final Reach reach;
-        private final Map<String, Line> lines = new LinkedHashMap<>();
-        private final Map<String, Long> changedAt = new LinkedHashMap<>();
-        private final List<Line> held = new ArrayList<>();
-        private final List<Line> missed = new ArrayList<>();
-        private final Set<Watch> watches = new HashSet<>();
+        private final AddressResolver addresses;
+        private final Map<String, Instance> instancesById = new LinkedHashMap<>();
+        private final Map<String, Long> changedAtGeneration = new LinkedHashMap<>();
+        private final List<Instance> heldChanges = new ArrayList<>();
+        private final List<Instance> missedChanges = new ArrayList<>();
+        private final Set<LongPoll> longPolls = new HashSet<>();
         private final Set<Channel> connections = new HashSet<>();
         private long generation = 1;
         private Channel listener;
         private boolean silent;
-        private double lateMs;
-        private double missing;
+        private double extraDelayMs;
+        private double missedShare;
 
-        Agent(int number, String node, Reach reach) {
-            this.number = number;
+        Agent(int nodeNumber, String node, AddressResolver addresses) {
+            this.nodeNumber = nodeNumber;
             this.node = node;
-            this.reach = reach;
+            this.addresses = addresses;
         }
 
         ChannelFuture listen(InetSocketAddress address) {
@@ -162,122 +166,130 @@
             Set<Channel> open = Set.copyOf(connections);
             ChannelFuture bind = listen(to);
             old.close();
-            loop.schedule(() -> open.forEach(Channel::close), OLD_ADDRESS_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> open.forEach(Channel::close), OLD_CONNECTION_GRACE_MS, TimeUnit.MILLISECONDS);
             return bind;
         }
 
-        void end() {
+        void close() {
             if (listener != null) {
                 listener.close();
             }
             Set.copyOf(connections).forEach(Channel::close);
         }
 
-        void news(Line line) {
+        void receive(Instance instance) {
             if (silent) {
-                held.add(line);
-            } else if (missing > 0 && chance.getAsDouble() < missing) {
-                missed.add(line);
+                heldChanges.add(instance);
+            } else if (missedShare > 0 && random.getAsDouble() < missedShare) {
+                missedChanges.add(instance);
             } else {
-                put(line);
-                tellAll();
+                apply(instance);
+                answerPendingPolls();
             }
         }
 
-        private void put(Line line) {
-            Line before = lines.get(line.server.id);
-            // News may overtake older news of the same server.
-            if (before != null && before.number > line.number) {
+        private void apply(Instance instance) {
+            Instance previous = instancesById.get(instance.server.id);
+            // Changes of the same server may arrive out of order; the newest wins.
+            if (previous != null && previous.changeNumber > instance.changeNumber) {
                 return;
             }
             generation++;
-            lines.put(line.server.id, line);
-            changedAt.put(line.server.id, generation);
+            instancesById.put(instance.server.id, instance);
+            changedAtGeneration.put(instance.server.id, generation);
         }
 
-        void silent(boolean on) {
+        void setSilent(boolean on) {
             silent = on;
             if (!on) {
-                release(held);
+                applyDelayed(heldChanges);
             }
         }
 
-        void splits(double part) {
-            missing = part;
-            if (part == 0) {
-                release(missed);
+        void setMissedShare(double share) {
+            missedShare = share;
+            if (share == 0) {
+                applyDelayed(missedChanges);
             }
         }
 
-        private void release(List<Line> late) {
-            late.forEach(this::put);
-            late.clear();
-            tellAll();
+        private void applyDelayed(List<Instance> changes) {
+            changes.forEach(this::apply);
+            changes.clear();
+            answerPendingPolls();
         }
 
-        private void tellAll() {
-            for (Watch w : Set.copyOf(watches)) {
-                if (w.index < generation) {
-                    w.answer();
+        private void answerPendingPolls() {
+            for (LongPoll poll : Set.copyOf(longPolls)) {
+                if (poll.index < generation) {
+                    poll.answer();
                 }
             }
         }
 
-        /** Changes after the index, or the whole list where it is negative. */
-        ObjectNode list(long index) {
+        /** Returns the changes after the index, or all instances if it is negative. */
+        ObjectNode toJson(long index) {
             ObjectNode list = JSON.createObjectNode();
             list.put("generation", generation).put("reset", index < 0);
             ArrayNode instances = list.putArray("instances");
-            for (Line line : lines.values()) {
-                if (index < 0 ? !line.state.equals("Gone") : changedAt.get(line.server.id) > index) {
+            for (Instance instance : instancesById.values()) {
+                if (index < 0 ? !instance.state.equals("Gone") : changedAtGeneration.get(instance.server.id) > index) {
                     instances
                             .addObject()
-                            .put("instanceId", line.server.id)
-                            .put("hostPort", Addresses.text(reach.at(number, line.server.number)))
-                            .put("zone", line.server.zone)
-                            .put("machineType", line.server.spec().kind())
-                            .put("cell", line.server.cell)
-                            .put("lifecycle", line.state)
+                            .put("instanceId", instance.server.id)
+                            .put("hostPort", Addresses.format(addresses.addressOf(nodeNumber, instance.server.number)))
+                            .put("zone", instance.server.zone)
+                            .put("machineType", instance.server.spec().kind())
+                            .put("cell", instance.server.cell)
+                            .put("lifecycle", instance.state)
                             .put("weight", 1.0)
-                            .put("startedAtMs", line.startedAtMs);
+                            .put("startedAtMs", instance.startedAtMs);
                 }
             }
             return list;
         }
 
-        private void write(Channel channel, long index) {
-            byte[] body = list(index).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        private void respond(Channel channel, long index) {
+            byte[] body = toJson(index).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
             response.headers().set("Content-Length", body.length);
-            List<Line> told = lines.values().stream()
-                    .filter(l -> index < 0 || changedAt.get(l.server.id) > index)
+            List<Instance> sentInstances = instancesById.values().stream()
+                    .filter(i -> index < 0 || changedAtGeneration.get(i.server.id) > index)
                     .toList();
-            long fromUs = seen.us();
+            long writeStartUs = observations.nowUs();
             channel.writeAndFlush(response).addListener(f -> {
                 if (f.isSuccess()) {
-                    for (Line l : told) {
-                        seen.see(What.TOLD, node, l.server.id, null, null, l.state, l.startedAtMs, fromUs);
+                    for (Instance sent : sentInstances) {
+                        observations.add(
+                                EventType.TOLD,
+                                node,
+                                sent.server.id,
+                                null,
+                                null,
+                                sent.state,
+                                sent.startedAtMs,
+                                writeStartUs);
                     }
                 }
             });
         }
 
-        /** A call that waits for news. */
-        private final class Watch {
+        /** A request that waits for changes after its index. */
+        private final class LongPoll {
             private final Channel channel;
             private final long index;
             private Future<?> timer;
 
-            Watch(Channel channel, long index) {
+            LongPoll(Channel channel, long index) {
                 this.channel = channel;
                 this.index = index;
             }
 
             void answer() {
                 timer.cancel(false);
-                if (watches.remove(this) && channel.isActive()) {
-                    write(channel, index > generation ? -1 : index);
+                if (longPolls.remove(this) && channel.isActive()) {
+                    respond(channel, index > generation ? -1 : index);
                 }
             }
         }
@@ -289,34 +301,34 @@
                 long index = Long.parseLong(
                         query.getOrDefault("index", List.of("-1")).get(0));
                 long waitMs = Math.min(
-                        60_000,
+                        MAX_LONG_POLL_MS,
                         Long.parseLong(query.getOrDefault("wait", List.of("0")).get(0)));
                 if (index < 0 && !silent) {
-                    write(ctx.channel(), -1);
+                    respond(ctx.channel(), -1);
                     return;
                 }
-                Watch watch = new Watch(ctx.channel(), index);
-                watches.add(watch);
-                // While discovery is down the agent stays silent, also past the wait.
-                watch.timer = loop.schedule(
+                LongPoll longPoll = new LongPoll(ctx.channel(), index);
+                longPolls.add(longPoll);
+                // A silent agent leaves the request unanswered even after the wait has expired.
+                longPoll.timer = loop.schedule(
                         () -> {
                             if (!silent) {
-                                watch.answer();
+                                longPoll.answer();
                             }
                         },
                         waitMs,
                         TimeUnit.MILLISECONDS);
                 if (!silent && index != generation) {
-                    watch.answer();
+                    longPoll.answer();
                 }
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext ctx) {
-                watches.removeIf(w -> {
-                    boolean gone = w.channel == ctx.channel();
+                longPolls.removeIf(poll -> {
+                    boolean gone = poll.channel == ctx.channel();
                     if (gone) {
-                        w.timer.cancel(false);
+                        poll.timer.cancel(false);
                     }
                     return gone;
                 });
