--- a/src/main/java/rushproxy/lab/world/UpstreamServer.java
+++ b/src/main/java/rushproxy/lab/world/UpstreamServer.java
@@ -29,77 +29,80 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /**
- * One upstream on its sockets, an address for each node, in front of an {@link UpstreamModel}. Lives on the world's event
- * loop from {@link #start} to {@link #crash}, as often as the scenario wants; {@link #end} is for good.
+ * The HTTP side of one simulated upstream: it listens on a separate address for each node and passes requests to an
+ * {@link UpstreamModel}. Confined to the world's event loop. It can be started and crashed repeatedly; {@link #close} is final.
  */
 final class UpstreamServer {
-    /** Small, so that a few connections of the laboratory's own fill it and the kernel drops all further ones. */
-    /** So much of a longer answer comes, and then nothing. */
-    private static final int LONG_BEGINNING = 20_000;
+    /** Length of the part that is sent of a large response that never completes. */
+    private static final int PARTIAL_BODY_BYTES = 20_000;
 
-    private static final int BACKLOG = 8;
-    private static final int MAX_BODY = 1 << 20;
+    /** Small, so that a few connections of the laboratory itself fill it and the kernel drops all further ones. */
+    private static final int ACCEPT_BACKLOG = 8;
 
-    /** What a request that a client has sent needs and what its repeats mean. */
-    record Needs(double workMs, long key, String idempotencyKey, String group, long windowUs) {}
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    /** Processor time that a probe or a request for statistics costs. */
+    private static final double PROBE_WORK_MS = 0.1;
 
-    /** What all upstreams share: the requests that clients have made, and the pods' memory of keys. */
-    interface Shared {
-        /** Null where no client has made a request of this id. */
-        Needs needs(String id);
+    /** The work that a request causes and the scope within which repeats of its idempotency key are recognized. */
+    record RequestProfile(double workMs, long key, String idempotencyKey, String group, long windowUs) {}
 
-        /** True where the key's effect was had in this server's group within its window; else remembers it from now on. */
-        boolean repeated(UpstreamServer at, Needs needs);
+    /** State shared by all upstreams: the requests that clients sent and the idempotency keys already processed. */
+    interface SharedState {
+        /** Returns null if no client sent a request with this id. */
+        RequestProfile requestProfile(String id);
+
+        /** Returns true if this server's group has processed the key within its window; otherwise records it as processed now. */
+        boolean checkAndRecordRepeat(UpstreamServer server, RequestProfile profile);
     }
 
     final int number;
     final String id;
     final String zone;
     final int cell;
-    /** A second answer comes this much after its time at most. */
-    private static final long SECOND_LATE_US = 1_000;
+    /** A duplicate response is skipped if it is later than this: it would be taken for the response to the next request. */
+    private static final long MAX_SECOND_RESPONSE_DELAY_US = 1_000;
 
-    private final rushproxy.lab.scenario.Scenario.Servers spec;
+    private final rushproxy.lab.scenario.Scenario.ServerGroup spec;
     private final rushproxy.lab.scenario.Scenario.Rules rules;
     private final EventLoop loop;
-    private final Observations seen;
+    private final ObservationLog observations;
     private final Network network;
-    private final Network.End end;
-    private final List<Network.End> nodes;
+    private final Network.Endpoint endpoint;
+    private final List<Network.Endpoint> nodes;
     private final List<InetSocketAddress> addresses;
-    private final Shared shared;
-    private final DoubleSupplier chance;
-    private final Runnable fell;
-    private final List<Pair> pairs = new ArrayList<>();
+    private final SharedState sharedState;
+    private final DoubleSupplier random;
+    private final Runnable onCollapse;
+    private final List<NodeListener> nodeListeners = new ArrayList<>();
     private final Set<Connection> connections = new HashSet<>();
-    private final List<UpstreamModel.Job> unseen = new ArrayList<>();
+    private final List<UpstreamModel.Job> startNotRecorded = new ArrayList<>();
     private UpstreamModel model;
     private Future<?> timer;
     private long startedAtMs;
-    private double errors;
-    private boolean refuses;
-    /** How a part of the answers is spoilt; null where none is. */
-    private String spoils;
+    private double errorShare;
+    private boolean refusing;
+    /** How a share of the responses is corrupted, as named in {@link #setCorruption}; null if none is. */
+    private String corruptionMode;
 
-    private double spoilt;
+    private double corruptedShare;
 
     UpstreamServer(
             int number,
             String zone,
             int cell,
-            rushproxy.lab.scenario.Scenario.Servers spec,
+            rushproxy.lab.scenario.Scenario.ServerGroup spec,
             rushproxy.lab.scenario.Scenario.Rules rules,
             EventLoop loop,
-            Observations seen,
+            ObservationLog observations,
             Network network,
-            List<Network.End> nodes,
+            List<Network.Endpoint> nodes,
             List<InetSocketAddress> addresses,
-            Shared shared,
-            DoubleSupplier chance,
-            Runnable fell) {
+            SharedState sharedState,
+            DoubleSupplier random,
+            Runnable onCollapse) {
         this.number = number;
         this.id = "s" + number;
         this.zone = zone;
@@ -107,58 +110,58 @@
         this.spec = spec;
         this.rules = rules;
         this.loop = loop;
-        this.seen = seen;
+        this.observations = observations;
         this.network = network;
-        this.end = new Network.End(id, "servers", zone);
+        this.endpoint = new Network.Endpoint(id, "servers", zone);
         this.nodes = nodes;
         this.addresses = addresses;
-        this.shared = shared;
-        this.chance = chance;
-        this.fell = fell;
+        this.sharedState = sharedState;
+        this.random = random;
+        this.onCollapse = onCollapse;
     }
 
-    /** {@code warm}: it has run for long already. The listeners are open when the result is done. */
+    /** Starts the server, past its warm-up if {@code warm}. The listeners are open when the returned futures are done. */
     List<ChannelFuture> start(boolean warm) {
-        long now = seen.us();
+        long now = observations.nowUs();
         startedAtMs = warm ? 0 : System.currentTimeMillis();
         model = new UpstreamModel(spec, rules, warm ? now - rules.rampUs() - 1 : now);
-        errors = 0;
-        refuses = false;
-        spoils = null;
-        seen.see(What.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
+        errorShare = 0;
+        refusing = false;
+        corruptionMode = null;
+        observations.add(EventType.SERVER_STARTED, null, id, null, null, warm ? "warm" : "cold", startedAtMs, 0);
         List<ChannelFuture> binds = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
-            Pair pair = new Pair(nodes.get(i), addresses.get(i));
-            pairs.add(pair);
-            binds.add(pair.listen());
+            NodeListener nodeListener = new NodeListener(nodes.get(i), addresses.get(i));
+            nodeListeners.add(nodeListener);
+            binds.add(nodeListener.listen());
         }
         return binds;
     }
 
-    /** Its process is gone: connections are reset, new ones refused, what it held is lost. */
-    void crash(String why) {
+    /** Simulates the end of the process: resets all connections, refuses new ones and loses all requests in flight. */
+    void crash(String reason) {
         if (model == null) {
             return;
         }
-        seen.see(What.SERVER_ENDED, null, id, null, null, why, 0, 0);
+        observations.add(EventType.SERVER_ENDED, null, id, null, null, reason, 0, 0);
         model = null;
-        unseen.clear();
+        startNotRecorded.clear();
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        pairs.forEach(Pair::close);
-        pairs.clear();
+        nodeListeners.forEach(NodeListener::close);
+        nodeListeners.clear();
         for (Connection c : Set.copyOf(connections)) {
             c.reset();
         }
     }
 
-    void end() {
+    void close() {
         crash("the run ends");
     }
 
-    boolean running() {
+    boolean isRunning() {
         return model != null;
     }
 
@@ -166,57 +169,57 @@
         return startedAtMs;
     }
 
-    rushproxy.lab.scenario.Scenario.Servers spec() {
+    rushproxy.lab.scenario.Scenario.ServerGroup spec() {
         return spec;
     }
 
-    Network.End place() {
-        return end;
+    Network.Endpoint endpoint() {
+        return endpoint;
     }
 
     int inFlight() {
-        return model == null ? 0 : model.working() + model.waiting();
+        return model == null ? 0 : model.activeCount() + model.queuedCount();
     }
 
-    void hang(boolean on) {
+    void setHung(boolean on) {
         if (model != null) {
-            model.hang(seen.us(), on);
-            look();
+            model.setHung(observations.nowUs(), on);
+            update();
         }
     }
 
-    void slow(double factor) {
+    void setSlowdownFactor(double factor) {
         if (model != null) {
-            model.slow(seen.us(), factor);
-            look();
+            model.setSlowdownFactor(observations.nowUs(), factor);
+            update();
         }
     }
 
-    /** This part of the requests gets an error at once. */
-    void errors(double part) {
-        errors = part;
+    /** Makes a share of the requests fail immediately with status 500. */
+    void setErrorShare(double share) {
+        errorShare = share;
     }
 
-    /** This part of the answers is spoilt: {@code how} is "half", "second", "reset", "bytewise" or "close"; null ends it. */
-    void spoil(String how, double part) {
-        spoils = how;
-        spoilt = part;
+    /** Corrupts a share of the responses; {@code mode} is "half", "second", "reset", "bytewise" or "close", null ends it. */
+    void setCorruption(String mode, double share) {
+        corruptionMode = mode;
+        corruptedShare = share;
     }
 
-    /** Turns everything away, as a full one does. */
-    void refuse(boolean on) {
-        refuses = on;
+    /** Rejects all requests with status 503, as a server with a full queue does. */
+    void setRefusing(boolean on) {
+        refusing = on;
     }
 
-    /** A network fault has begun or ended: whether new connections of a node come up may have changed. */
-    void linksChanged() {
-        pairs.forEach(Pair::look);
+    /** Called when a network fault begins or ends, which may change which nodes can connect. */
+    void onLinksChanged() {
+        nodeListeners.forEach(NodeListener::updateCut);
     }
 
-    /** Connections between this server and the nodes that the fault touches break. */
+    /** Resets the connections between this server and the nodes that the fault affects. */
     void reset(rushproxy.lab.scenario.Scenario.Fault fault) {
         for (Connection c : Set.copyOf(connections)) {
-            if (Network.between(fault, c.node, end)) {
+            if (Network.affectsLinkBetween(fault, c.node, endpoint)) {
                 c.reset();
             }
         }
@@ -226,48 +229,49 @@
         try {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (ChannelException e) {
-            // The other side was first.
+            // The peer has closed the connection already.
         }
         channel.close();
     }
 
-    private void look() {
+    private void update() {
         if (model == null) {
             return;
         }
-        long now = seen.us();
-        for (UpstreamModel.Job job : model.done(now)) {
-            started(job);
-            ((Work) job.tag).done();
+        long now = observations.nowUs();
+        for (UpstreamModel.Job job : model.takeCompleted(now)) {
+            recordStart(job);
+            ((PendingRequest) job.tag).complete();
         }
-        for (UpstreamModel.Job job : List.copyOf(unseen)) {
+        for (UpstreamModel.Job job : List.copyOf(startNotRecorded)) {
             if (job.startedUs() >= 0) {
-                started(job);
+                recordStart(job);
             }
         }
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        long next = model.nextUs();
+        long next = model.nextEventUs();
         if (next != Long.MAX_VALUE) {
-            timer = loop.schedule(this::look, next - now, TimeUnit.MICROSECONDS);
+            timer = loop.schedule(this::update, next - now, TimeUnit.MICROSECONDS);
         }
-        if (model.fallen()) {
+        if (model.hasCollapsed()) {
             crash("pushed over while cold");
-            fell.run();
+            onCollapse.run();
         }
     }
 
-    private void started(UpstreamModel.Job job) {
-        if (unseen.remove(job)) {
-            Work work = (Work) job.tag;
-            boolean repeat = work.needs.idempotencyKey() != null && shared.repeated(this, work.needs);
-            seen.see(
-                    repeat ? What.DROPPED : What.RAN,
-                    work.connection.node.name(),
+    private void recordStart(UpstreamModel.Job job) {
+        if (startNotRecorded.remove(job)) {
+            PendingRequest request = (PendingRequest) job.tag;
+            boolean isRepeat =
+                    request.profile.idempotencyKey() != null && sharedState.checkAndRecordRepeat(this, request.profile);
+            observations.add(
+                    isRepeat ? EventType.DROPPED : EventType.RAN,
+                    request.connection.node.name(),
                     id,
-                    work.id,
+                    request.id,
                     null,
                     null,
                     job.workMs,
@@ -275,35 +279,36 @@
         }
     }
 
-    /** One request from its last byte to its answer. */
-    private final class Work {
+    /** A completely received request that awaits its response. */
+    private final class PendingRequest {
         private final Connection connection;
         private final String id;
-        private final Needs needs;
+        private final RequestProfile profile;
 
-        Work(Connection connection, String id, Needs needs) {
+        PendingRequest(Connection connection, String id, RequestProfile profile) {
             this.connection = connection;
             this.id = id;
-            this.needs = needs;
+            this.profile = profile;
         }
 
-        void done() {
+        void complete() {
             String body = UpstreamServer.this.id + ":" + id + ":"
-                    + Long.toHexString((long) (chance.getAsDouble() * (1L << 50)));
-            seen.see(What.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
-            connection.served(id, body);
+                    + Long.toHexString((long) (random.getAsDouble() * (1L << 50)));
+            observations.add(
+                    EventType.REPLIED, connection.node.name(), UpstreamServer.this.id, id, null, "200 " + body, 0, 0);
+            connection.sendResult(id, body);
         }
     }
 
-    /** The address at which one node finds this server. */
-    private final class Pair {
-        private final Network.End node;
+    /** The listener at the address by which one node reaches this server. */
+    private final class NodeListener {
+        private final Network.Endpoint node;
         private final InetSocketAddress address;
         private final List<SocketChannel> fillers = new ArrayList<>();
-        private final Set<InetSocketAddress> own = new HashSet<>();
+        private final Set<InetSocketAddress> fillerAddresses = new HashSet<>();
         private Channel listener;
 
-        Pair(Network.End node, InetSocketAddress address) {
+        NodeListener(Network.Endpoint node, InetSocketAddress address) {
             this.node = node;
             this.address = address;
         }
@@ -311,93 +316,101 @@
         ChannelFuture listen() {
             ChannelFuture bind = new ServerBootstrap()
                     .group(loop)
-                    .channelFactory(() -> new TimedListener(seen))
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                    .channelFactory(() -> new TimestampingServerChannel(observations))
+                    .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            accepted(channel);
+                            onAccepted(channel);
                         }
                     })
                     .bind(address);
             listener = bind.channel();
-            bind.addListener(f -> look());
+            bind.addListener(f -> updateCut());
             return bind;
         }
 
-        private void accepted(Channel channel) {
-            if (own.remove((InetSocketAddress) channel.remoteAddress())) {
+        private void onAccepted(Channel channel) {
+            if (fillerAddresses.remove((InetSocketAddress) channel.remoteAddress())) {
                 channel.close();
                 return;
             }
-            Connection connection = new Connection((TimedListener.Connection) channel, node);
+            Connection connection = new Connection((TimestampingServerChannel.Connection) channel, node);
             channel.pipeline()
                     .addLast(
-                            connection.firstBytes(),
+                            connection.requestStartRecorder(),
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MAX_BODY),
+                            new HttpObjectAggregator(MAX_BODY_BYTES),
                             connection);
         }
 
-        /** A cut in either way keeps connections from coming up: the queue is filled, and the kernel drops the rest. */
-        void look() {
-            boolean cut = network.cut(node, end) || network.cut(end, node);
+        /** While either direction is cut, blocks new connections by filling the accept queue, so that the kernel drops further SYNs. */
+        void updateCut() {
+            boolean cut = network.isCut(node, endpoint) || network.isCut(endpoint, node);
             if (cut && fillers.isEmpty()) {
                 listener.config().setAutoRead(false);
-                fill();
+                fillBacklog();
             } else if (!cut && !fillers.isEmpty()) {
-                release();
+                releaseBacklog();
                 listener.config().setAutoRead(true);
             }
         }
 
-        private void fill() {
+        private void fillBacklog() {
             try {
-                for (int i = 0; i <= BACKLOG; i++) {
+                for (int i = 0; i <= ACCEPT_BACKLOG; i++) {
                     SocketChannel filler = SocketChannel.open();
                     filler.configureBlocking(false);
                     fillers.add(filler);
                     filler.connect(address);
-                    own.add((InetSocketAddress) filler.getLocalAddress());
+                    fillerAddresses.add((InetSocketAddress) filler.getLocalAddress());
                 }
             } catch (IOException e) {
-                seen.see(What.TROUBLE, node.name(), id, null, null, "a cut could not be made whole: " + e, 0, 0);
+                observations.add(
+                        EventType.TROUBLE,
+                        node.name(),
+                        id,
+                        null,
+                        null,
+                        "cannot fill the accept queue to simulate a network cut: " + e,
+                        0,
+                        0);
             }
         }
 
-        private void release() {
+        private void releaseBacklog() {
             for (SocketChannel filler : fillers) {
                 try {
                     filler.close();
                 } catch (IOException e) {
-                    // It is gone either way.
+                    // Nothing else to release.
                 }
             }
             fillers.clear();
         }
 
         void close() {
-            release();
+            releaseBacklog();
             listener.close();
         }
     }
 
-    /** One connection of a node, from the server's side. */
+    /** Server side of one connection from a node. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final TimedListener.Connection channel;
-        private final Network.End node;
+        private final TimestampingServerChannel.Connection channel;
+        private final Network.Endpoint node;
         private final Link link;
         private final List<UpstreamModel.Job> jobs = new ArrayList<>(1);
-        private boolean fresh = true;
-        /** When the request that is coming began to come; null where none is. */
-        private ArrivalTime began;
+        private boolean firstRequest = true;
+        /** Arrival time of the first byte of the request being received; null between requests. */
+        private ArrivalTime requestStart;
 
-        Connection(TimedListener.Connection channel, Network.End node) {
+        Connection(TimestampingServerChannel.Connection channel, Network.Endpoint node) {
             this.channel = channel;
             this.node = node;
-            link = new Link(loop, network, node, end);
+            link = new Link(loop, network, node, endpoint);
             if (connections.size() >= spec.connections()) {
                 UpstreamServer.reset(channel);
             } else {
@@ -405,13 +418,13 @@
             }
         }
 
-        /** Sees the bytes before the request is whole: only one at a time comes on a connection. */
-        ChannelInboundHandlerAdapter firstBytes() {
+        /** Records when the first byte of each request arrived; requests on a connection are not pipelined. */
+        ChannelInboundHandlerAdapter requestStartRecorder() {
             return new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                    if (began == null) {
-                        began = channel.lastRead();
+                    if (requestStart == null) {
+                        requestStart = channel.lastReadArrival();
                     }
                     ctx.fireChannelRead(bytes);
                 }
@@ -420,124 +433,126 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest m) {
-            ArrivalTime first = began == null ? channel.lastRead() : began;
-            began = null;
+            ArrivalTime first = requestStart == null ? channel.lastReadArrival() : requestStart;
+            requestStart = null;
             String path = m.uri();
             String txn = m.headers().get("X-Txn");
             String key = m.headers().get("Idempotency-Key");
-            long toldMs = told(m);
-            link.inward(() -> arrived(path, txn, key, first, toldMs));
+            long clientRemainingMs = remainingMs(m);
+            link.sendInward(() -> onRequest(path, txn, key, first, clientRemainingMs));
         }
 
-        private static long told(FullHttpRequest m) {
+        private static long remainingMs(FullHttpRequest m) {
             String text = m.headers().get("X-Remaining-Ms");
             return text != null && text.matches("[0-9]{1,9}") ? Long.parseLong(text) : 0;
         }
 
-        private void arrived(String path, String txn, String key, ArrivalTime first, long toldMs) {
-            // A connection that its node has closed meanwhile still brings what was on its way.
+        private void onRequest(String path, String txn, String key, ArrivalTime first, long clientRemainingMs) {
+            // Requests in transit when the node closed its connection arrive too; a crashed server drops them.
             if (model == null) {
                 return;
             }
             if (path.equals("/stats") || path.equals("/health/live")) {
-                model.burden(seen.us(), 0.1);
-                look();
-                answer(HttpResponseStatus.OK, path.equals("/stats") ? report() : "", null);
+                model.addOverhead(observations.nowUs(), PROBE_WORK_MS);
+                update();
+                sendResponse(HttpResponseStatus.OK, path.equals("/stats") ? loadReport() : "", null);
                 return;
             }
-            Needs needs = txn == null ? null : shared.needs(txn);
-            seen.got(node.name(), id, txn, key, needs == null ? 0 : needs.workMs, first, toldMs);
-            if (needs == null) {
-                answer(HttpResponseStatus.BAD_REQUEST, "", null);
+            RequestProfile profile = txn == null ? null : sharedState.requestProfile(txn);
+            observations.addReceived(
+                    node.name(), id, txn, key, profile == null ? 0 : profile.workMs, first, clientRemainingMs);
+            if (profile == null) {
+                sendResponse(HttpResponseStatus.BAD_REQUEST, "", null);
                 return;
             }
-            if (fresh) {
-                fresh = false;
-                model.burden(seen.us(), spec.handshakeMs());
+            if (firstRequest) {
+                firstRequest = false;
+                model.addOverhead(observations.nowUs(), spec.handshakeMs());
             }
-            if (refuses) {
+            if (refusing) {
                 turnAway(txn);
-            } else if (errors > 0 && chance.getAsDouble() < errors) {
-                seen.see(What.REPLIED, node.name(), id, txn, null, "500", 0, 0);
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
+            } else if (errorShare > 0 && random.getAsDouble() < errorShare) {
+                observations.add(EventType.REPLIED, node.name(), id, txn, null, "500", 0, 0);
+                sendResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR, "", null);
             } else {
-                begin(txn, needs);
+                submit(txn, profile);
             }
         }
 
-        private void begin(String txn, Needs needs) {
-            UpstreamModel.Job job = model.arrive(seen.us(), needs.workMs, needs.key, new Work(this, txn, needs));
+        private void submit(String txn, RequestProfile profile) {
+            UpstreamModel.Job job = model.submit(
+                    observations.nowUs(), profile.workMs, profile.key, new PendingRequest(this, txn, profile));
             if (job == null) {
                 turnAway(txn);
             } else {
-                unseen.add(job);
+                startNotRecorded.add(job);
                 jobs.add(job);
             }
-            look();
+            update();
         }
 
         private void turnAway(String txn) {
-            seen.see(What.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "1");
+            observations.add(EventType.TURNED_AWAY, node.name(), id, txn, null, null, 0, 0);
+            sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, "", "1");
         }
 
-        /** A whole answer, or one that is spoilt on its way. */
-        /** A laboratory that is late leaves it out: it would answer the request after. */
-        private void second(long dueUs) {
-            if (seen.us() - dueUs <= SECOND_LATE_US) {
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
+        /** Sends the duplicate response, unless the event loop is late: it would then answer the next request. */
+        private void sendSecondResponse(long dueUs) {
+            if (observations.nowUs() - dueUs <= MAX_SECOND_RESPONSE_DELAY_US) {
+                sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond");
             }
         }
 
-        void served(String txn, String body) {
-            if (spoils == null || chance.getAsDouble() >= spoilt) {
-                answer(HttpResponseStatus.OK, body, null);
+        /** Sends a complete response, or a corrupted one while that fault is active. */
+        void sendResult(String txn, String body) {
+            if (corruptionMode == null || random.getAsDouble() >= corruptedShare) {
+                sendResponse(HttpResponseStatus.OK, body, null);
                 return;
             }
-            seen.see(What.SPOILED, node.name(), id, txn, null, spoils, 0, 0);
+            observations.add(EventType.SPOILED, node.name(), id, txn, null, corruptionMode, 0, 0);
             jobs.clear();
-            String whole = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-            switch (spoils) {
-                case "half" -> raw(half(body));
+            String response = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+            switch (corruptionMode) {
+                case "half" -> sendRaw(partialResponse(body));
                 case "second" -> {
-                    raw(whole);
-                    int afterMs = 1 + (int) (chance.getAsDouble() * 3);
-                    long dueUs = seen.us() + TimeUnit.MILLISECONDS.toMicros(afterMs);
-                    loop.schedule(() -> second(dueUs), afterMs, TimeUnit.MILLISECONDS);
+                    sendRaw(response);
+                    int afterMs = 1 + (int) (random.getAsDouble() * 3);
+                    long dueUs = observations.nowUs() + TimeUnit.MILLISECONDS.toMicros(afterMs);
+                    loop.schedule(() -> sendSecondResponse(dueUs), afterMs, TimeUnit.MILLISECONDS);
                 }
-                case "reset" -> link.outward(this::reset);
+                case "reset" -> link.sendOutward(this::reset);
                 case "bytewise" -> {
-                    for (int i = 0; i < whole.length(); i++) {
-                        String next = whole.substring(i, i + 1);
-                        loop.schedule(() -> raw(next), i, TimeUnit.MILLISECONDS);
+                    for (int i = 0; i < response.length(); i++) {
+                        String next = response.substring(i, i + 1);
+                        loop.schedule(() -> sendRaw(next), i, TimeUnit.MILLISECONDS);
                     }
                 }
                 case "close" -> {
-                    raw(whole);
-                    link.outward(() -> channel.close());
+                    sendRaw(response);
+                    link.sendOutward(() -> channel.close());
                 }
-                default -> throw new IllegalStateException(spoils);
+                default -> throw new IllegalStateException(corruptionMode);
             }
         }
 
-        /** The beginning of an answer, in one of the framings, after which nothing comes. */
-        private String half(String body) {
-            String begun = body.substring(0, body.length() / 2);
-            return switch ((int) (chance.getAsDouble() * 5)) {
-                case 0 -> "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + begun;
+        /** Returns the beginning of a response that never completes, in a randomly chosen message framing. */
+        private String partialResponse(String body) {
+            String prefix = body.substring(0, body.length() / 2);
+            return switch ((int) (random.getAsDouble() * 5)) {
+                case 0 -> "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + prefix;
                 case 1 -> "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 case 2 ->
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length())
-                            + "\r\n" + begun;
-                case 3 -> "HTTP/1.1 200 OK\r\n\r\n" + begun;
+                            + "\r\n" + prefix;
+                case 3 -> "HTTP/1.1 200 OK\r\n\r\n" + prefix;
                 default ->
-                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n" + "x".repeat(LONG_BEGINNING);
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1fffff\r\n" + "x".repeat(PARTIAL_BODY_BYTES);
             };
         }
 
-        /** Past the codec: what no library would write. */
-        private void raw(String text) {
-            link.outward(() -> {
+        /** Writes bytes past the HTTP codec, which would not produce malformed responses. */
+        private void sendRaw(String text) {
+            link.sendOutward(() -> {
                 if (channel.isActive()) {
                     channel.pipeline()
                             .context(HttpServerCodec.class)
@@ -546,27 +561,27 @@
             });
         }
 
-        private String report() {
+        private String loadReport() {
             return String.format(
                     Locale.ROOT,
                     "TEXT inflight=%d, queue=%d, util=%.2f",
                     inFlight(),
-                    model == null ? 0 : model.waiting(),
-                    model == null ? 0 : Math.min(1, model.working() / spec.cores()));
+                    model == null ? 0 : model.queuedCount(),
+                    model == null ? 0 : Math.min(1, model.activeCount() / spec.cores()));
         }
 
-        private void answer(HttpResponseStatus status, String body, String turnedAway) {
+        private void sendResponse(HttpResponseStatus status, String body, String turnedAwayHeader) {
             jobs.clear();
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
             response.headers().set("Content-Length", response.content().readableBytes());
-            if (turnedAway != null) {
-                response.headers().set("X-Turned-Away", turnedAway);
+            if (turnedAwayHeader != null) {
+                response.headers().set("X-Turned-Away", turnedAwayHeader);
             }
             if (spec.reports().equals("inline")) {
-                response.headers().set("X-Pressure", report());
+                response.headers().set("X-Pressure", loadReport());
             }
-            link.outward(() -> channel.writeAndFlush(response));
+            link.sendOutward(() -> channel.writeAndFlush(response));
         }
 
         void reset() {
@@ -576,14 +591,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(this);
-            link.closed();
-            // What has not begun to run is dropped when its sender is known to be gone.
-            link.inward(() -> {
+            link.dropOutward();
+            // Requests still queued are dropped once the close of their connection has arrived.
+            link.sendInward(() -> {
                 if (model != null) {
-                    jobs.forEach(model::leave);
-                    unseen.removeAll(
+                    jobs.forEach(model::removeQueued);
+                    startNotRecorded.removeAll(
                             jobs.stream().filter(j -> j.startedUs() < 0).toList());
-                    look();
+                    update();
                 }
             });
         }
@@ -591,7 +606,15 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
-                seen.see(What.TROUBLE, node.name(), id, null, null, "an upstream failed: " + cause, 0, 0);
+                observations.add(
+                        EventType.TROUBLE,
+                        node.name(),
+                        id,
+                        null,
+                        null,
+                        "unexpected exception on an upstream connection: " + cause,
+                        0,
+                        0);
             }
             ctx.close();
         }
--- a/src/test/java/rushproxy/lab/SoakIT.java
+++ b/src/test/java/rushproxy/lab/SoakIT.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rushproxy.lab.check.Run;
+import rushproxy.lab.check.RecordedRun;
 import rushproxy.lab.report.Report;
 import rushproxy.lab.report.Summary;
 import rushproxy.lab.soak.Soak;
 import rushproxy.lab.soak.SoakPlan;
-import rushproxy.lab.world.Observation.What;
+import rushproxy.lab.world.Observation.EventType;
 
 /** The soak's plans can be played again, its oracle finds what each fault brings out, and a short one holds. */
 @Timeout(240)
@@ -36,19 +36,19 @@
     @Test
     void aPlanIsTheSameForItsSeedAndCanBeReadAgain() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
-            SoakPlan plan = SoakPlan.draw(seed, NODES, LENGTH_S);
-            assertEquals(plan, SoakPlan.draw(seed, NODES, LENGTH_S));
+            SoakPlan plan = SoakPlan.generate(seed, NODES, LENGTH_S);
+            assertEquals(plan, SoakPlan.generate(seed, NODES, LENGTH_S));
             assertEquals(plan.faults().size(), plan.scenario().faults().size(), plan.toml());
             assertEquals(plan.faults().size() - 1, plan.without(0).faults().size());
         }
-        assertFalse(SoakPlan.draw(1, NODES, LENGTH_S).equals(SoakPlan.draw(2, NODES, LENGTH_S)));
+        assertFalse(SoakPlan.generate(1, NODES, LENGTH_S).equals(SoakPlan.generate(2, NODES, LENGTH_S)));
     }
 
     /** Two seeds whose plans hold a restart, spoilt answers and faults of the system between them. */
     @ParameterizedTest
     @CsvSource({"3", "8"})
     void aShortSoakHolds(long seed) throws Exception {
-        Summary s = soak().play(SoakPlan.draw(seed, NODES, LENGTH_S), "seed-" + seed);
+        Summary s = soak().run(SoakPlan.generate(seed, NODES, LENGTH_S), "seed-" + seed);
         assertEquals("held", s.verdict(), s.why() + " " + s.violations());
         assertTrue(s.figures().requests() > 300, s.figures().toString());
         assertTrue(Files.exists(folder.resolve("seed-" + seed).resolve("plan.toml")));
@@ -66,9 +66,9 @@
                 LabRig.wrong("drops-queue"),
                 folder);
         assertEquals("broken", s.verdict(), s.why().toString());
-        Run run = Report.readRun(folder);
+        RecordedRun run = Report.readRun(folder);
         // The first process was ready before time began.
-        long servingUs = run.of(What.NODE).stream()
+        long servingUs = run.observationsOf(EventType.NODE).stream()
                 .filter(o -> o.text().equals("serving") && o.us() > 0)
                 .findFirst()
                 .orElseThrow()
@@ -76,8 +76,8 @@
         assertTrue(
                 s.violations().stream()
                         .filter(v -> v.rule().equals("lost"))
-                        .flatMap(v -> run.byId().get(v.id()).stream())
-                        .anyMatch(o -> o.what() == What.ASKED
+                        .flatMap(v -> run.byRequestId().get(v.id()).stream())
+                        .anyMatch(o -> o.what() == EventType.ASKED
                                 && o.us() < servingUs
                                 && o.us() + o.number() * 1e3 > servingUs + ENOUGH_US),
                 "none is lost that had time left when the process began to serve");
--- a/src/test/java/rushproxy/lab/node/AddressProbeTest.java
+++ b/src/test/java/rushproxy/lab/node/AddressProbeTest.java
@@ -11,17 +11,17 @@
 import rushproxy.lab.world.Addresses;
 
 class AddressProbeTest {
-    /** Guards against a look that lets a client's connection come up and resets it at its end, which counts as a sidecar's loss. */
+    /** Guards against a probe that accepts a client's connection and resets it when closed, which would count as a loss by the sidecar. */
     @Test
-    void whoConnectsMeanwhileIsRefused() throws Exception {
-        try (Addresses own = Addresses.take()) {
+    void connectionsAreRefusedWhileAddressIsProbed() throws Exception {
+        try (Addresses own = Addresses.claim()) {
             InetSocketAddress address = own.listen(0);
             try (AddressProbe probe = new AddressProbe(address);
                     Socket client = new Socket()) {
                 assertThrows(ConnectException.class, () -> client.connect(address));
             }
             try (ServerSocket other = new ServerSocket(address.getPort(), 1, address.getAddress())) {
-                assertThrows(IOException.class, () -> new AddressProbe(address), other + " listens there");
+                assertThrows(IOException.class, () -> new AddressProbe(address), other + " listens on the address");
             }
         }
     }
--- a/src/test/java/rushproxy/sidecar/IdleLoopIT.java
+++ b/src/test/java/rushproxy/sidecar/IdleLoopIT.java
@@ -89,12 +89,12 @@
     void loopDoesNotSpinWhileCallsFail(Call call) throws Exception {
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
-        SystemFaults faults = SystemFaults.with(library.get(), folder.resolve("control"), 7);
+        SystemFaults faults = SystemFaults.create(library.get(), folder.resolve("control"), 7);
         try (FakeServices services = new FakeServices()) {
             services.addServers(2, (message, line) -> {});
             SidecarProcess sidecar = services.start(folder, faults.environment());
             openMisbehavingClients(sidecar);
-            faults.set(call, 1);
+            faults.setProbability(call, 1);
             openMisbehavingClients(sidecar);
             Thread.sleep(SETTLED_MS);
             Path loop = eventLoopThread(sidecar);
--- a/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
+++ b/src/test/java/rushproxy/sidecar/TransientFailuresIT.java
@@ -63,7 +63,7 @@
         services = new FakeServices();
         Optional<Path> library = SystemFaults.compile(folder.resolve("library"));
         Assumptions.assumeTrue(library.isPresent(), "no C compiler on this machine");
-        faults = SystemFaults.with(library.get(), folder.resolve("control"), SEED);
+        faults = SystemFaults.create(library.get(), folder.resolve("control"), SEED);
         services.addServers(SERVERS, (m, line) -> {
             runs.merge(m.header("X-Txn"), 1, Integer::sum);
             line.answer("200 OK", "", m.header("X-Txn"));
@@ -94,7 +94,7 @@
             })
     void requestsOnNewConnectionsAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, FAILURE_RATE);
+        faults.setProbability(call, FAILURE_RATE);
         runClients(client -> {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 try (TestServer.Client connection = sidecar.client()) {
@@ -110,7 +110,7 @@
     @EnumSource(names = {"OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS", "READ_FAILS", "SEND_FAILS"})
     void requestsOnPersistentConnectionsAreAnswered(Call call) throws Exception {
         start();
-        faults.set(call, FAILURE_RATE);
+        faults.setProbability(call, FAILURE_RATE);
         runClients(client -> {
             try (TestServer.Client connection = sidecar.client()) {
                 for (int i = 0; i < REQUESTS_EACH; i++) {
@@ -126,7 +126,7 @@
     @EnumSource(names = {"SOCKET_FAILS", "OPTION_FAILS", "NAME_FAILS", "REGISTER_FAILS"})
     void processStarts(Call call) throws Exception {
         for (int i = 0; i < START_COUNT; i++) {
-            faults.set(call, HIGH_FAILURE_RATE);
+            faults.setProbability(call, HIGH_FAILURE_RATE);
             start();
             faults.clear();
             try (TestServer.Client connection = sidecar.client()) {
@@ -142,7 +142,7 @@
     void processAcceptsFromAnInheritedSocket() throws Exception {
         try (SharedSocket socket = new SharedSocket(new InetSocketAddress("127.0.0.1", 0))) {
             for (int i = 0; i < START_COUNT; i++) {
-                faults.set(Call.NAME_FAILS, HIGH_FAILURE_RATE);
+                faults.setProbability(Call.NAME_FAILS, HIGH_FAILURE_RATE);
                 SidecarProcess process = services.startInheriting(socket, folder, faults.environment());
                 faults.clear();
                 try (TestServer.Client connection = new TestServer.Client(socket.address())) {
@@ -165,7 +165,7 @@
                 line.socket().close();
             };
         }
-        faults.set(call, HIGH_FAILURE_RATE);
+        faults.setProbability(call, HIGH_FAILURE_RATE);
         List<String> failed = new ArrayList<>();
         try (TestServer.Client connection = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
@@ -192,7 +192,7 @@
         try (TestServer.Client connection = sidecar.client()) {
             sendRequest(connection, "safe-first");
         }
-        faults.set(Call.SEND_FAILS, 1);
+        faults.setProbability(Call.SEND_FAILS, 1);
         for (int i = 0; i < CLIENTS; i++) {
             try (TestServer.Client connection = sidecar.client()) {
                 connection.send(SidecarProcess.getRequest("safe-left" + i, "safe", REMAINING_MS));
@@ -219,7 +219,7 @@
                 line.socket().close();
             };
         }
-        faults.set(Call.SHUTDOWN_FAILS, HIGH_FAILURE_RATE);
+        faults.setProbability(Call.SHUTDOWN_FAILS, HIGH_FAILURE_RATE);
         List<String> late = new ArrayList<>();
         for (int i = 0; i < REQUESTS_EACH; i++) {
             try (TestServer.Client connection = sidecar.client()) {
@@ -249,7 +249,7 @@
                 line.reset();
             };
         }
-        faults.set(Call.OPTION_FAILS, HIGH_FAILURE_RATE);
+        faults.setProbability(Call.OPTION_FAILS, HIGH_FAILURE_RATE);
         List<String> whole = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             try (TestServer.Client connection = sidecar.client()) {
@@ -279,7 +279,7 @@
     @EnumSource(names = {"READ_FAILS", "SEND_FAILS", "REGISTER_FAILS", "SHUTDOWN_FAILS", "OPTION_FAILS"})
     void shutdownLosesNoRequest(Call call) throws Exception {
         start();
-        faults.set(call, FAILURE_RATE);
+        faults.setProbability(call, FAILURE_RATE);
         Thread signaller = new Thread(() -> {
             pause();
             try {
